--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
@@ -55,7 +55,7 @@
         mControl = new ControlReducer(config, new CommandCodec(), 1);
         step(
                 new ControlEvent.Replica(
-                        new AgreementEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
+                        new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
         fill(backends);
     }
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
@@ -6,10 +6,10 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.laurelweir.agreement.AgreementConfig;
-import org.laurelweir.agreement.AgreementEffect;
-import org.laurelweir.agreement.AgreementEvent;
-import org.laurelweir.agreement.AgreementReducer;
+import org.laurelweir.agreement.ConsensusConfig;
+import org.laurelweir.agreement.ConsensusEffect;
+import org.laurelweir.agreement.ConsensusEvent;
+import org.laurelweir.agreement.ConsensusReducer;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
@@ -20,24 +20,24 @@
 final class ReplicaGroup {
     private static final Duration TICK = Duration.ofMillis(20);
 
-    private final Map<ReplicaId, AgreementReducer> mReplicas = new LinkedHashMap<>();
+    private final Map<ReplicaId, ConsensusReducer> mReplicas = new LinkedHashMap<>();
     private final ArrayDeque<Delivery> mQueue = new ArrayDeque<>();
     private Instant mNow = Instant.EPOCH;
     private ReplicaId mLeader;
     private long mProposals;
 
-    private record Delivery(ReplicaId to, AgreementEvent event) {}
+    private record Delivery(ReplicaId to, ConsensusEvent event) {}
 
     ReplicaGroup(int voters) {
-        AgreementConfig config = AgreementConfig.builder().build();
+        ConsensusConfig config = ConsensusConfig.builder().build();
         for (int i = 1; i <= voters; i++) {
             ReplicaId id = new ReplicaId("control-" + i, i);
-            mReplicas.put(id, new AgreementReducer(id, config, i));
-            give(id, new AgreementEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of()));
+            mReplicas.put(id, new ConsensusReducer(id, config, i));
+            give(id, new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of()));
         }
         ReplicaId first = mReplicas.keySet().iterator().next();
         Membership all = Membership.ofVoters(mReplicas.keySet());
-        give(first, new AgreementEvent.Bootstrapped(all));
+        give(first, new ConsensusEvent.Bootstrapped(all));
         while (mLeader == null) {
             tick();
         }
@@ -46,15 +46,15 @@
     /** Lets a tick go by at every replica. */
     void tick() {
         mNow = mNow.plus(TICK);
-        mReplicas.keySet().forEach(id -> give(id, new AgreementEvent.Tick()));
+        mReplicas.keySet().forEach(id -> give(id, new ConsensusEvent.Tick()));
     }
 
     /** Proposes a command and lets everything happen that follows from it. */
     void propose(byte[] command) {
-        give(mLeader, new AgreementEvent.Proposed(++mProposals, command));
+        give(mLeader, new ConsensusEvent.Proposed(++mProposals, command));
     }
 
-    private void give(ReplicaId to, AgreementEvent event) {
+    private void give(ReplicaId to, ConsensusEvent event) {
         mQueue.add(new Delivery(to, event));
         while (!mQueue.isEmpty()) {
             Delivery d = mQueue.poll();
@@ -62,15 +62,15 @@
         }
     }
 
-    private void take(ReplicaId self, AgreementEffect effect) {
-        if (effect instanceof AgreementEffect.Send s) {
-            mQueue.add(new Delivery(s.to(), new AgreementEvent.MessageReceived(self, s.message())));
-        } else if (effect instanceof AgreementEffect.Persist p) {
-            mQueue.add(new Delivery(self, new AgreementEvent.Persisted(p.sequence())));
-        } else if (effect instanceof AgreementEffect.TakeSnapshot t) {
-            AgreementEvent taken = new AgreementEvent.SnapshotTaken(t.index(), new byte[0]);
+    private void take(ReplicaId self, ConsensusEffect effect) {
+        if (effect instanceof ConsensusEffect.Send s) {
+            mQueue.add(new Delivery(s.to(), new ConsensusEvent.MessageReceived(self, s.message())));
+        } else if (effect instanceof ConsensusEffect.Persist p) {
+            mQueue.add(new Delivery(self, new ConsensusEvent.Persisted(p.sequence())));
+        } else if (effect instanceof ConsensusEffect.TakeSnapshot t) {
+            ConsensusEvent taken = new ConsensusEvent.SnapshotTaken(t.index(), new byte[0]);
             mQueue.add(new Delivery(self, taken));
-        } else if (effect instanceof AgreementEffect.RoleChanged r && r.role() == Role.LEADER) {
+        } else if (effect instanceof ConsensusEffect.RoleChanged r && r.role() == Role.LEADER) {
             mLeader = self;
         }
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import org.laurelweir.agreement.AgreementConfig;
-import org.laurelweir.agreement.AgreementEvent;
-import org.laurelweir.agreement.AgreementEvent.Persisted;
-import org.laurelweir.agreement.AgreementEvent.Recovered;
+import org.laurelweir.agreement.ConsensusConfig;
+import org.laurelweir.agreement.ConsensusEvent;
+import org.laurelweir.agreement.ConsensusEvent.Persisted;
+import org.laurelweir.agreement.ConsensusEvent.Recovered;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.control.replica.FirstMembership;
 import org.laurelweir.control.replica.FirstSettings;
@@ -223,8 +223,8 @@
         MembershipConfig defaults = MembershipConfig.builder(mFile.name(), incarnation).build();
         return ControlConfig.builder(self, incarnation, addresses)
                 .open(mFile.isOpen())
-                .agreement(
-                        AgreementConfig.builder()
+                .consensus(
+                        ConsensusConfig.builder()
                                 .electionTimeout(election)
                                 .heartbeat(election.dividedBy(HEARTBEATS_PER_ELECTION))
                                 .build())
@@ -278,7 +278,7 @@
         if (!mLoop.isDone()) {
             return;
         }
-        offer(new ControlEvent.Replica(new AgreementEvent.HandOverRequested()));
+        offer(new ControlEvent.Replica(new ConsensusEvent.HandOverRequested()));
         // Whatever happens, the instance stops; the others then elect after their timeout.
         mEffects.handedOver()
                 .completeOnTimeout(null, HAND_OVER.toMillis(), TimeUnit.MILLISECONDS)
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstMembership.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstMembership.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEvent.Bootstrapped;
+import org.laurelweir.agreement.ConsensusEvent.Bootstrapped;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.control.rpc.PeerCalls;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEffect;
+import org.laurelweir.agreement.ConsensusEffect;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.coordination.ControlEffect.AnnounceToPeers;
 import org.laurelweir.coordination.ControlEffect.AskPeer;
@@ -85,7 +85,7 @@
     }
 
     /** Sends a replica's message. It is lost if the peer is slow or unknown. */
-    public void send(AgreementEffect.Send send) {
+    public void send(ConsensusEffect.Send send) {
         String name = send.to().name();
         String address = addressOf(name);
         if (address == null) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
@@ -3,7 +3,7 @@
 import io.grpc.stub.StreamObserver;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.coordination.ControlEvent;
 import org.laurelweir.wire.ReplicaCodec;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.SortedSet;
 import java.util.TreeMap;
-import org.laurelweir.agreement.AgreementEvent.Recovered;
+import org.laurelweir.agreement.ConsensusEvent.Recovered;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.LogEntry;
 import org.laurelweir.agreement.Snapshot;
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -12,9 +12,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
-import org.laurelweir.agreement.AgreementConfig;
-import org.laurelweir.agreement.AgreementEffect;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusConfig;
+import org.laurelweir.agreement.ConsensusEffect;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.LogEntry;
 import org.laurelweir.agreement.Membership;
@@ -57,7 +57,7 @@
         }
         mNodes.forEach(Node::start);
         Membership first = Membership.ofVoters(ids);
-        mNodes.get(0).offer(new ControlEvent.Replica(new AgreementEvent.Bootstrapped(first)));
+        mNodes.get(0).offer(new ControlEvent.Replica(new ConsensusEvent.Bootstrapped(first)));
     }
 
     long now() {
@@ -135,21 +135,21 @@
 
         void start() {
             mRun++;
-            AgreementConfig agreement =
-                    AgreementConfig.builder()
+            ConsensusConfig agreement =
+                    ConsensusConfig.builder()
                             .electionTimeout(Duration.ofMillis(500))
                             .heartbeat(Duration.ofMillis(80))
                             .snapshots(SNAPSHOT_EVERY, SNAPSHOT_EVERY / 4, 4096)
                             .build();
             ControlConfig config =
-                    ControlConfig.builder(mId, mRun, mAddresses).agreement(agreement).build();
+                    ControlConfig.builder(mId, mRun, mAddresses).consensus(agreement).build();
             mReducer = new ControlReducer(config, new CommandCodec(), mRandom.nextLong());
             mCalls.clear();
             List<LogEntry> entries =
                     new ArrayList<>(mLog.tailMap(mSnapshot.index(), false).values());
             offer(
                     new ControlEvent.Replica(
-                            new AgreementEvent.Recovered(
+                            new ConsensusEvent.Recovered(
                                     mHardState, mSnapshot, entries, mDiskCommitted)));
             tick(mRun);
         }
@@ -196,7 +196,7 @@
                 offerLater(
                         5,
                         new ControlEvent.Replica(
-                                new AgreementEvent.SnapshotTaken(s.index(), state)));
+                                new ConsensusEvent.SnapshotTaken(s.index(), state)));
             }
         }
 
@@ -211,24 +211,24 @@
                     });
         }
 
-        private void send(AgreementEffect.Send s) {
+        private void send(ConsensusEffect.Send s) {
             int copies = happens(0.05) ? 0 : happens(0.05) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 after(1 + mRandom.nextInt(15), () -> deliver(s));
             }
         }
 
-        private void deliver(AgreementEffect.Send s) {
+        private void deliver(ConsensusEffect.Send s) {
             Node to = node(s.to().name());
             if (!mCutOff && !to.mCutOff && to.mId.equals(s.to())) {
                 to.offer(
                         new ControlEvent.Replica(
-                                new AgreementEvent.MessageReceived(mId, s.message())));
+                                new ConsensusEvent.MessageReceived(mId, s.message())));
             }
         }
 
         /** Writes come to the disk in order; a crash loses those that have not. */
-        private void persist(AgreementEffect.Persist p, int run) {
+        private void persist(ConsensusEffect.Persist p, int run) {
             mDiskBusyUntil = Math.max(mNow, mDiskBusyUntil) + 1 + mRandom.nextInt(4);
             after(
                     mDiskBusyUntil - mNow,
@@ -237,12 +237,12 @@
                             write(p);
                             offer(
                                     new ControlEvent.Replica(
-                                            new AgreementEvent.Persisted(p.sequence())));
+                                            new ConsensusEvent.Persisted(p.sequence())));
                         }
                     });
         }
 
-        private void write(AgreementEffect.Persist p) {
+        private void write(ConsensusEffect.Persist p) {
             if (p.hardState() != null) {
                 mHardState = p.hardState();
             }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
@@ -65,10 +65,10 @@
         mReducer = new ControlReducer(config, new CommandCodec(), 1);
         step(
                 new ControlEvent.Replica(
-                        new AgreementEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
+                        new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
         step(
                 new ControlEvent.Replica(
-                        new AgreementEvent.Bootstrapped(Membership.ofVoters(List.of(self)))));
+                        new ConsensusEvent.Bootstrapped(Membership.ofVoters(List.of(self)))));
     }
 
     /** Prints one line for each size, idle and under churn. */
@@ -171,7 +171,7 @@
         while (mPersisted != 0) {
             long sequence = mPersisted;
             mPersisted = 0;
-            ControlEvent synced = new ControlEvent.Replica(new AgreementEvent.Persisted(sequence));
+            ControlEvent synced = new ControlEvent.Replica(new ConsensusEvent.Persisted(sequence));
             mReducer.step(mNow, synced, this::take);
         }
     }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/PeerCallsTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/PeerCallsTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.AgreementEffect;
+import org.laurelweir.agreement.ConsensusEffect;
 import org.laurelweir.agreement.LogEntry;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.agreement.ReplicaMessage;
@@ -53,7 +53,7 @@
         Channels channels = Channels.builder(loops, traffic).build();
         Map<String, String> addresses = Map.of("b", "127.0.0.1:" + server.port());
         PeerCalls calls = new PeerCalls(SELF, addresses, false, channels, e -> {});
-        calls.send(new AgreementEffect.Send(PEER, append(tree)));
+        calls.send(new ConsensusEffect.Send(PEER, append(tree)));
         byte[] arrived =
                 mDelivered.get().getAppendRequest().getEntries(0).getPayload().toByteArray();
         assertThat(arrived).isEqualTo(tree);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.laurelweir.agreement.AgreementEffect.Persist;
-import org.laurelweir.agreement.AgreementEvent.Recovered;
+import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.agreement.ConsensusEvent.Recovered;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.LogEntry;
 import org.laurelweir.agreement.Snapshot;
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Applier.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Applier.java
@@ -31,7 +31,7 @@
     /**
      * Starts after the snapshot that the shell has loaded, and applies what is known committed.
      *
-     * @param committed an index told by {@link AgreementEffect.MarkCommitted}, or 0
+     * @param committed an index told by {@link ConsensusEffect.MarkCommitted}, or 0
      */
     void recover(long committed) {
         mCommitIndex = mState.log().snapshot().index();
@@ -49,7 +49,7 @@
         long index = Math.min(mCommitIndex, mState.durability().durableIndex());
         if (index > mMarked) {
             mMarked = index;
-            mState.emit(new AgreementEffect.MarkCommitted(index));
+            mState.emit(new ConsensusEffect.MarkCommitted(index));
         }
     }
 
@@ -58,7 +58,7 @@
         mCommitIndex = snapshot.index();
         mAppliedBytes = 0;
         mSnapshotAsked = false;
-        mState.emit(new AgreementEffect.InstallSnapshot(snapshot));
+        mState.emit(new ConsensusEffect.InstallSnapshot(snapshot));
     }
 
     /** Applies up to an index, as far as the log goes. */
@@ -70,7 +70,7 @@
             LogEntry e = log.entry(mCommitIndex);
             mAppliedBytes += e.bytes();
             if (e.kind() == LogEntry.Kind.COMMAND) {
-                mState.emit(new AgreementEffect.Apply(e.index(), e.term(), e.payload()));
+                mState.emit(new ConsensusEffect.Apply(e.index(), e.term(), e.payload()));
             }
             mAppliedListener.accept(mCommitIndex);
         }
@@ -80,13 +80,13 @@
     private void askForSnapshot() {
         if (!mSnapshotAsked && isSnapshotDue()) {
             mSnapshotAsked = true;
-            mState.emit(new AgreementEffect.TakeSnapshot(mCommitIndex));
+            mState.emit(new ConsensusEffect.TakeSnapshot(mCommitIndex));
         }
     }
 
     private boolean isSnapshotDue() {
         Snapshot last = mState.log().snapshot();
-        AgreementConfig config = mState.config();
+        ConsensusConfig config = mState.config();
         return mCommitIndex - last.index() >= config.snapshotEvery()
                 || mAppliedBytes >= config.bounds().snapshotDue(last.state().length);
     }
@@ -96,7 +96,7 @@
         return mSnapshotAsked;
     }
 
-    void onSnapshotTaken(AgreementEvent.SnapshotTaken taken) {
+    void onSnapshotTaken(ConsensusEvent.SnapshotTaken taken) {
         ReplicatedLog log = mState.log();
         long index = taken.index();
         if (index <= log.snapshot().index() || index > mCommitIndex) {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/AgreementConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusConfig.java
@@ -16,7 +16,7 @@
  * @param snapshotChunkBytes the size of one piece of a snapshot
  * @param catchUpLag entries by which a learner may lag and still become a voter
  */
-public record AgreementConfig(
+public record ConsensusConfig(
         Duration electionTimeout,
         Duration heartbeat,
         int maxBatchBytes,
@@ -32,7 +32,7 @@
         return new Builder();
     }
 
-    /** Builds an {@link AgreementConfig}. */
+    /** Builds an {@link ConsensusConfig}. */
     public static final class Builder {
         private Duration mElectionTimeout = Duration.ofMillis(1000);
         private Duration mHeartbeat = Duration.ofMillis(150);
@@ -86,8 +86,8 @@
         }
 
         /** Returns the configuration. */
-        public AgreementConfig build() {
-            return new AgreementConfig(
+        public ConsensusConfig build() {
+            return new ConsensusConfig(
                     mElectionTimeout,
                     mHeartbeat,
                     mMaxBatchBytes,
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/AgreementEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEffect.java
@@ -4,13 +4,13 @@
 import org.laurelweir.lib.ResultCode;
 
 /** What the shell of a replica has to do, in order. */
-public sealed interface AgreementEffect {
+public sealed interface ConsensusEffect {
     /** Send a message. It may be lost. */
-    record Send(ReplicaId to, ReplicaMessage message) implements AgreementEffect {}
+    record Send(ReplicaId to, ReplicaMessage message) implements ConsensusEffect {}
 
     /**
      * Write to disk and sync, in the order of sequences, then answer {@link
-     * AgreementEvent.Persisted}. Several may be covered by one sync and one answer.
+     * ConsensusEvent.Persisted}. Several may be covered by one sync and one answer.
      *
      * @param sequence rises by one, from 1, since the start of this process
      * @param hardState the new term and vote, or null if unchanged
@@ -26,7 +26,7 @@
             Snapshot snapshot,
             boolean discardLog,
             List<LogEntry> entries)
-            implements AgreementEffect {}
+            implements ConsensusEffect {}
 
     /**
      * Keep in mind, without a sync, that all entries up to an index are committed and on this disk.
@@ -34,13 +34,13 @@
      * the last snapshot until there is a leader that has committed an entry of its own, and readers
      * get nothing for that long. May be lost; an index never told must not be kept.
      */
-    record MarkCommitted(long index) implements AgreementEffect {}
+    record MarkCommitted(long index) implements ConsensusEffect {}
 
     /** Apply a committed command to the state machine. Indexes rise, with gaps. */
-    record Apply(long index, long term, byte[] command) implements AgreementEffect {}
+    record Apply(long index, long term, byte[] command) implements ConsensusEffect {}
 
     /** A proposal was committed; for a command, its Apply came just before. */
-    record ProposalAccepted(long proposalId, long index) implements AgreementEffect {}
+    record ProposalAccepted(long proposalId, long index) implements ConsensusEffect {}
 
     /**
      * A proposal ended without being committed under this leader.
@@ -50,33 +50,33 @@
      * @param leader whom to ask instead, or null
      */
     record ProposalRejected(long proposalId, ResultCode code, ReplicaId leader)
-            implements AgreementEffect {}
+            implements ConsensusEffect {}
 
     /**
      * The state as applied now is at least as new as any read or write ended before the request.
      */
-    record ReadReady(long readId, long index) implements AgreementEffect {}
+    record ReadReady(long readId, long index) implements ConsensusEffect {}
 
     /** A read can't be served here; ask the leader, or again later if it is null. */
     record ReadRejected(long readId, ResultCode code, ReplicaId leader)
-            implements AgreementEffect {}
+            implements ConsensusEffect {}
 
-    /** Encode the state as applied now and answer {@link AgreementEvent.SnapshotTaken}. */
-    record TakeSnapshot(long index) implements AgreementEffect {}
+    /** Encode the state as applied now and answer {@link ConsensusEvent.SnapshotTaken}. */
+    record TakeSnapshot(long index) implements ConsensusEffect {}
 
     /** Replace the state machine's state by the snapshot's. */
-    record InstallSnapshot(Snapshot snapshot) implements AgreementEffect {}
+    record InstallSnapshot(Snapshot snapshot) implements ConsensusEffect {}
 
     /**
      * The replica's role, term or known leader changed.
      *
      * @param leader the leader of the term, or null while unknown
      */
-    record RoleChanged(Role role, long term, ReplicaId leader) implements AgreementEffect {}
+    record RoleChanged(Role role, long term, ReplicaId leader) implements ConsensusEffect {}
 
     /** The replica does not lead any more, or there is nobody to hand over to. */
-    record HandedOver() implements AgreementEffect {}
+    record HandedOver() implements ConsensusEffect {}
 
     /** The newest membership in this replica's log changed; connect accordingly. */
-    record MembershipChanged(Membership membership) implements AgreementEffect {}
+    record MembershipChanged(Membership membership) implements ConsensusEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/AgreementEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What happens to a replica. */
-public sealed interface AgreementEvent {
+public sealed interface ConsensusEvent {
     /**
      * The first event: what the disk held.
      *
@@ -14,7 +14,7 @@
      *     nothing is known
      */
     record Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries, long committed)
-            implements AgreementEvent {
+            implements ConsensusEvent {
         /** Creates the event of a disk on which nothing tells what was committed. */
         public Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {
             this(hardState, snapshot, entries, 0);
@@ -26,38 +26,38 @@
      * a deployment, after all initial replicas have said that their disks are new; ignored if the
      * log is not empty.
      */
-    record Bootstrapped(Membership initial) implements AgreementEvent {}
+    record Bootstrapped(Membership initial) implements ConsensusEvent {}
 
     /** A message arrived that was sent to this replica id. */
-    record MessageReceived(ReplicaId from, ReplicaMessage message) implements AgreementEvent {}
+    record MessageReceived(ReplicaId from, ReplicaMessage message) implements ConsensusEvent {}
 
     /** Someone wants a command in the log; ends in accepted or rejected under the same id. */
-    record Proposed(long proposalId, byte[] command) implements AgreementEvent {}
+    record Proposed(long proposalId, byte[] command) implements ConsensusEvent {}
 
     /** Someone wants the membership changed; ends in accepted or rejected under the same id. */
     record MembershipChangeProposed(long proposalId, MembershipChange change)
-            implements AgreementEvent {}
+            implements ConsensusEvent {}
 
     /** Someone wants to read the latest state; ends in ready or rejected under the same id. */
-    record ReadRequested(long readId) implements AgreementEvent {}
+    record ReadRequested(long readId) implements ConsensusEvent {}
 
     /**
      * The replica is about to stop and, if it leads, should see another lead first. Answered by
-     * {@link AgreementEffect.HandedOver}.
+     * {@link ConsensusEffect.HandedOver}.
      */
-    record HandOverRequested() implements AgreementEvent {}
+    record HandOverRequested() implements ConsensusEvent {}
 
-    /** Every {@link AgreementEffect.Persist} up to this sequence has been synced to disk. */
-    record Persisted(long sequence) implements AgreementEvent {}
+    /** Every {@link ConsensusEffect.Persist} up to this sequence has been synced to disk. */
+    record Persisted(long sequence) implements ConsensusEvent {}
 
     /**
-     * Answers {@link AgreementEffect.TakeSnapshot}.
+     * Answers {@link ConsensusEffect.TakeSnapshot}.
      *
      * @param index the last entry applied to the state, as the effect gave it
      * @param state the encoded state
      */
-    record SnapshotTaken(long index, byte[] state) implements AgreementEvent {}
+    record SnapshotTaken(long index, byte[] state) implements ConsensusEvent {}
 
     /** Time has passed. Sent several times in each heartbeat interval. */
-    record Tick() implements AgreementEvent {}
+    record Tick() implements ConsensusEvent {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/AgreementReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusReducer.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 import java.util.List;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEvent.Bootstrapped;
-import org.laurelweir.agreement.AgreementEvent.MembershipChangeProposed;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
-import org.laurelweir.agreement.AgreementEvent.Persisted;
-import org.laurelweir.agreement.AgreementEvent.Proposed;
-import org.laurelweir.agreement.AgreementEvent.ReadRequested;
-import org.laurelweir.agreement.AgreementEvent.Recovered;
-import org.laurelweir.agreement.AgreementEvent.SnapshotTaken;
+import org.laurelweir.agreement.ConsensusEvent.Bootstrapped;
+import org.laurelweir.agreement.ConsensusEvent.MembershipChangeProposed;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusEvent.Persisted;
+import org.laurelweir.agreement.ConsensusEvent.Proposed;
+import org.laurelweir.agreement.ConsensusEvent.ReadRequested;
+import org.laurelweir.agreement.ConsensusEvent.Recovered;
+import org.laurelweir.agreement.ConsensusEvent.SnapshotTaken;
 import org.laurelweir.agreement.ReplicaMessage.AppendReply;
 import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
 import org.laurelweir.agreement.ReplicaMessage.PreVoteReply;
@@ -24,10 +24,10 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * One replica of the log. The first event is {@link AgreementEvent.Recovered}. After an exception
+ * One replica of the log. The first event is {@link ConsensusEvent.Recovered}. After an exception
  * the reducer must not be used again: the replica has to be restarted from its disk.
  */
-public final class AgreementReducer implements Reducer<AgreementEvent, AgreementEffect> {
+public final class ConsensusReducer implements Reducer<ConsensusEvent, ConsensusEffect> {
     private final ReplicaState mState;
     private final Elections mElections;
     private final Applier mApplier;
@@ -42,7 +42,7 @@
      * @param config times and bounds, the same on all replicas
      * @param seed for election timeouts; must differ between replicas
      */
-    public AgreementReducer(ReplicaId self, AgreementConfig config, long seed) {
+    public ConsensusReducer(ReplicaId self, ConsensusConfig config, long seed) {
         mState = new ReplicaState(self, config);
         mElections = new Elections(mState, seed);
         mApplier = new Applier(mState, this::onApplied);
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void step(Instant now, AgreementEvent event, Consumer<? super AgreementEffect> effects) {
+    public void step(Instant now, ConsensusEvent event, Consumer<? super ConsensusEffect> effects) {
         mState.begin(now, effects);
         dispatch(event);
         followRole();
@@ -114,10 +114,10 @@
         }
     }
 
-    private void dispatch(AgreementEvent event) {
+    private void dispatch(ConsensusEvent event) {
         if (event instanceof MessageReceived e) {
             onMessage(e.from(), e.message());
-        } else if (event instanceof AgreementEvent.Tick) {
+        } else if (event instanceof ConsensusEvent.Tick) {
             onTick();
         } else if (event instanceof Persisted e) {
             mState.durability().persisted(e.sequence());
@@ -131,7 +131,7 @@
             mApplier.onSnapshotTaken(e);
         } else if (event instanceof Recovered e) {
             onRecovered(e);
-        } else if (event instanceof AgreementEvent.HandOverRequested) {
+        } else if (event instanceof ConsensusEvent.HandOverRequested) {
             onHandOverRequested();
         } else if (event instanceof Bootstrapped e) {
             onBootstrapped(e);
@@ -154,7 +154,7 @@
 
     private void onHandOverRequested() {
         if (mLeadership == null) {
-            mState.emit(new AgreementEffect.HandedOver());
+            mState.emit(new ConsensusEffect.HandedOver());
         } else {
             mLeadership.onHandOverRequested();
         }
@@ -186,13 +186,13 @@
 
     private void rejectProposal(long id) {
         mState.emit(
-                new AgreementEffect.ProposalRejected(id, ResultCode.NOT_LEADER, mState.leader()));
+                new ConsensusEffect.ProposalRejected(id, ResultCode.NOT_LEADER, mState.leader()));
     }
 
     private void onReadRequested(ReadRequested e) {
         if (mLeadership == null) {
             mState.emit(
-                    new AgreementEffect.ReadRejected(
+                    new ConsensusEffect.ReadRejected(
                             e.readId(), ResultCode.NOT_LEADER, mState.leader()));
         } else {
             mLeadership.onReadRequested(e.readId());
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Durability.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Durability.java
@@ -65,7 +65,7 @@
     }
 
     /** Issues a write of what has gathered, unless enough are outstanding. */
-    void flush(Consumer<? super AgreementEffect> effects) {
+    void flush(Consumer<? super ConsensusEffect> effects) {
         if (!isDirty() || mOutstanding.size() >= MAX_OUTSTANDING) {
             return;
         }
@@ -73,7 +73,7 @@
         mOutstanding.add(new Batch(mIssued, lastWrittenIndex(), mGatheredBytes));
         mOutstandingBytes += mGatheredBytes;
         effects.accept(
-                new AgreementEffect.Persist(
+                new ConsensusEffect.Persist(
                         mIssued, mHardState, mSnapshot, mDiscardLog, List.copyOf(mEntries)));
         mHardState = null;
         mSnapshot = null;
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/HandOver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/HandOver.java
@@ -37,7 +37,7 @@
     void end() {
         if (isUnderWay()) {
             mEnd = null;
-            mState.emit(new AgreementEffect.HandedOver());
+            mState.emit(new ConsensusEffect.HandedOver());
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
@@ -2,8 +2,8 @@
 
 import java.time.Instant;
 import java.util.List;
-import org.laurelweir.agreement.AgreementEffect.ProposalAccepted;
-import org.laurelweir.agreement.AgreementEffect.ProposalRejected;
+import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
 /** One term of leading: orders proposals, counts copies, and ends when a quorum is out of reach. */
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Proposals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Proposals.java
@@ -1,8 +1,8 @@
 package org.laurelweir.agreement;
 
 import java.util.ArrayDeque;
-import org.laurelweir.agreement.AgreementEffect.ProposalAccepted;
-import org.laurelweir.agreement.AgreementEffect.ProposalRejected;
+import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
 /** The proposals of one term of leading that are not yet committed. */
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Reads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Reads.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.laurelweir.agreement.AgreementEffect.ReadReady;
-import org.laurelweir.agreement.AgreementEffect.ReadRejected;
+import org.laurelweir.agreement.ConsensusEffect.ReadReady;
+import org.laurelweir.agreement.ConsensusEffect.ReadRejected;
 import org.laurelweir.lib.ResultCode;
 
 /**
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaState.java
@@ -7,7 +7,7 @@
 /** What all concerns of one replica share: its term, vote, role and log, and the way out. */
 final class ReplicaState {
     private final ReplicaId mSelf;
-    private final AgreementConfig mConfig;
+    private final ConsensusConfig mConfig;
     private final ReplicatedLog mLog = new ReplicatedLog();
     private final Durability mDurability = new Durability();
     private HardState mHardState = HardState.INITIAL;
@@ -15,15 +15,15 @@
     private ReplicaId mLeader;
     private Membership mAnnounced = Membership.EMPTY;
     private Instant mNow;
-    private Consumer<? super AgreementEffect> mEffects;
+    private Consumer<? super ConsensusEffect> mEffects;
 
-    ReplicaState(ReplicaId self, AgreementConfig config) {
+    ReplicaState(ReplicaId self, ConsensusConfig config) {
         mSelf = self;
         mConfig = config;
     }
 
     /** Opens a step. */
-    void begin(Instant now, Consumer<? super AgreementEffect> effects) {
+    void begin(Instant now, Consumer<? super ConsensusEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
@@ -33,24 +33,24 @@
         mDurability.flush(mEffects);
         if (!mAnnounced.equals(mLog.membership())) {
             mAnnounced = mLog.membership();
-            emit(new AgreementEffect.MembershipChanged(mAnnounced));
+            emit(new ConsensusEffect.MembershipChanged(mAnnounced));
         }
         mEffects = null;
     }
 
-    void recover(AgreementEvent.Recovered disk) {
+    void recover(ConsensusEvent.Recovered disk) {
         mHardState = disk.hardState();
         mLog.reset(disk.snapshot());
         disk.entries().forEach(mLog::append);
         mDurability.recovered(mLog.lastIndex());
-        emit(new AgreementEffect.RoleChanged(mRole, term(), mLeader));
+        emit(new ConsensusEffect.RoleChanged(mRole, term(), mLeader));
     }
 
     ReplicaId self() {
         return mSelf;
     }
 
-    AgreementConfig config() {
+    ConsensusConfig config() {
         return mConfig;
     }
 
@@ -103,7 +103,7 @@
         mRole = role;
         mLeader = leader;
         if (!same) {
-            emit(new AgreementEffect.RoleChanged(role, term(), leader));
+            emit(new ConsensusEffect.RoleChanged(role, term(), leader));
         }
     }
 
@@ -126,12 +126,12 @@
         mDurability.write(entries);
     }
 
-    void emit(AgreementEffect effect) {
+    void emit(ConsensusEffect effect) {
         mEffects.accept(effect);
     }
 
     void send(ReplicaId to, ReplicaMessage message) {
-        emit(new AgreementEffect.Send(to, message));
+        emit(new ConsensusEffect.Send(to, message));
     }
 
     /**
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Replication.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Replication.java
@@ -77,7 +77,7 @@
     }
 
     private boolean canSend(FollowerProgress p) {
-        AgreementConfig config = mState.config();
+        ConsensusConfig config = mState.config();
         return p.canSend(config.maxInFlight(), config.bounds().inFlight());
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.util.Map;
-import org.laurelweir.agreement.AgreementConfig;
+import org.laurelweir.agreement.ConsensusConfig;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.membership.MembershipConfig;
 
@@ -15,7 +15,7 @@
  * @param exchangeInterval how often sidecars and routers exchange
  * @param shareInterval how often control instances tell each other what they hear
  * @param freshFor how long contact with the leader shows that nothing newer was accepted
- * @param agreement times and bounds of the replicated log
+ * @param consensus times and bounds of the replicated log
  * @param membership times and bounds of the membership
  * @param limits how much the state machine keeps
  * @param open whether control instances that no settings name join by themselves; the name of each
@@ -28,7 +28,7 @@
         Duration exchangeInterval,
         Duration shareInterval,
         Duration freshFor,
-        AgreementConfig agreement,
+        ConsensusConfig consensus,
         MembershipConfig membership,
         ControlState.Limits limits,
         boolean open) {
@@ -70,7 +70,7 @@
         private final Map<String, String> mAddresses;
         private Duration mExchangeInterval = Duration.ofSeconds(1);
         private Duration mShareInterval = Duration.ofMillis(500);
-        private AgreementConfig mAgreement = AgreementConfig.builder().build();
+        private ConsensusConfig mAgreement = ConsensusConfig.builder().build();
         private MembershipConfig mMembership;
         private ControlState.Limits mLimits = ControlState.Limits.DEFAULT;
         private boolean mOpen;
@@ -96,7 +96,7 @@
         }
 
         /** Sets times and bounds of the replicated log. */
-        public Builder agreement(AgreementConfig agreement) {
+        public Builder consensus(ConsensusConfig agreement) {
             mAgreement = agreement;
             return this;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -1,7 +1,7 @@
 package org.laurelweir.coordination;
 
 import java.util.List;
-import org.laurelweir.agreement.AgreementEffect;
+import org.laurelweir.agreement.ConsensusEffect;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.lib.Decision;
 import org.laurelweir.lib.ResultCode;
@@ -27,10 +27,10 @@
     }
 
     /** Send a message to another replica; it may be lost. */
-    record SendToReplica(AgreementEffect.Send send) implements ControlEffect {}
+    record SendToReplica(ConsensusEffect.Send send) implements ControlEffect {}
 
     /** Write to disk and sync, and report it as persisted. */
-    record Persist(AgreementEffect.Persist persist) implements ControlEffect {}
+    record Persist(ConsensusEffect.Persist persist) implements ControlEffect {}
 
     /** Keep in mind, without a sync, up to which entry the log on this disk is committed. */
     record MarkCommitted(long index) implements ControlEffect {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -1,7 +1,7 @@
 package org.laurelweir.coordination;
 
 import java.util.List;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.agreement.MembershipChange;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.load.LoadReport;
@@ -27,7 +27,7 @@
     record Tick() implements ControlEvent {}
 
     /** Something happened to the replica of the log. */
-    record Replica(AgreementEvent event) implements ControlEvent {}
+    record Replica(ConsensusEvent event) implements ControlEvent {}
 
     /** A sidecar reports and asks for what is new. */
     record SidecarExchanged(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.coordination.ControlEvent.BackendAnnounced;
 import org.laurelweir.coordination.ControlEvent.BackendWithdrawn;
 import org.laurelweir.coordination.ControlEvent.CommandReceived;
@@ -52,7 +52,7 @@
     private Consumer<? super ControlEffect> mEffects;
 
     /**
-     * Creates the reducer; its first event is {@link AgreementEvent.Recovered}.
+     * Creates the reducer; its first event is {@link ConsensusEvent.Recovered}.
      *
      * @param config what the instance is told at its start
      * @param codec how the log is written
@@ -135,7 +135,7 @@
     }
 
     private void tick() {
-        mReplica.step(mNow, new AgreementEvent.Tick(), mEffects);
+        mReplica.step(mNow, new ConsensusEvent.Tick(), mEffects);
         mMembership.tick(mNow);
         mRouters.forget(mNow);
         mCrashes.forget(mNow);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.laurelweir.agreement.AgreementEffect.RoleChanged;
+import org.laurelweir.agreement.ConsensusEffect.RoleChanged;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.coordination.CommandResult.ClaimResult;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Freshness.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Freshness.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
-import org.laurelweir.agreement.AgreementReducer;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusReducer;
 import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
 import org.laurelweir.agreement.Role;
 
@@ -15,14 +15,14 @@
  * election timeout, so a follower that hears one is behind by two such times at most.
  */
 final class Freshness {
-    private final AgreementReducer mAgreement;
+    private final ConsensusReducer mAgreement;
     private final Duration mFreshFor;
     private Instant mConfirmed = Instant.MIN;
     private Instant mHeard;
     private long mHeardCommit;
     private long mLeadingSince = Long.MAX_VALUE;
 
-    Freshness(AgreementReducer agreement, Duration freshFor) {
+    Freshness(ConsensusReducer agreement, Duration freshFor) {
         mAgreement = agreement;
         mFreshFor = freshFor;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -8,9 +8,9 @@
 import java.util.Queue;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.AgreementEffect;
-import org.laurelweir.agreement.AgreementEvent;
-import org.laurelweir.agreement.AgreementReducer;
+import org.laurelweir.agreement.ConsensusEffect;
+import org.laurelweir.agreement.ConsensusEvent;
+import org.laurelweir.agreement.ConsensusReducer;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.MembershipChange;
 import org.laurelweir.agreement.ReplicaId;
@@ -30,7 +30,7 @@
     private final ControlConfig mConfig;
     private final LogCodec mCodec;
     private final ControlState mState;
-    private final AgreementReducer mAgreement;
+    private final ConsensusReducer mAgreement;
     private final Freshness mFreshness;
     private final DecisionNotes mNotes;
     private final Map<Long, Command> mCommands = new HashMap<>();
@@ -48,7 +48,7 @@
         mConfig = config;
         mCodec = codec;
         mState = new ControlState(config.limits());
-        mAgreement = new AgreementReducer(config.replica(), config.agreement(), seed);
+        mAgreement = new ConsensusReducer(config.replica(), config.consensus(), seed);
         mFreshness = new Freshness(mAgreement, config.freshFor());
         mNotes = notes;
     }
@@ -91,15 +91,15 @@
         return mAgreement.membership();
     }
 
-    void step(Instant now, AgreementEvent event, Consumer<? super ControlEffect> effects) {
+    void step(Instant now, ConsensusEvent event, Consumer<? super ControlEffect> effects) {
         mNow = now;
         mEffects = effects;
-        if (event instanceof AgreementEvent.Recovered r && r.snapshot().index() > 0) {
+        if (event instanceof ConsensusEvent.Recovered r && r.snapshot().index() > 0) {
             restore(r.snapshot());
         }
         mAgreement.step(now, event, this::take);
         proposeWholeTrees();
-        if (event instanceof AgreementEvent.MessageReceived m) {
+        if (event instanceof ConsensusEvent.MessageReceived m) {
             mFreshness.received(now, m);
         }
     }
@@ -109,13 +109,13 @@
         // Files hold milliseconds; all replicas have to apply the same instant.
         Command stamped = command.stamped(Instant.ofEpochMilli(now.toEpochMilli()));
         mCommands.put(call, stamped);
-        step(now, new AgreementEvent.Proposed(call, encode(stamped)), out);
+        step(now, new ConsensusEvent.Proposed(call, encode(stamped)), out);
     }
 
     /** A whole tree goes into the log as what changes, where it is small enough to be taken. */
     private byte[] encode(Command command) {
         byte[] encoded = mCodec.encode(command);
-        boolean fits = encoded.length <= mConfig.agreement().bounds().command();
+        boolean fits = encoded.length <= mConfig.consensus().bounds().command();
         if (!fits || !leads() || !(command instanceof Command.ReplaceSettings whole)) {
             return encoded;
         }
@@ -128,37 +128,37 @@
         while (!mOvertaken.isEmpty()) {
             long call = mOvertaken.remove();
             byte[] whole = mCodec.encode(mCommands.get(call));
-            mAgreement.step(mNow, new AgreementEvent.Proposed(call, whole), this::take);
+            mAgreement.step(mNow, new ConsensusEvent.Proposed(call, whole), this::take);
         }
     }
 
     void change(Instant now, long call, MembershipChange c, Consumer<? super ControlEffect> out) {
         mMemberChanges.add(call);
-        step(now, new AgreementEvent.MembershipChangeProposed(call, c), out);
+        step(now, new ConsensusEvent.MembershipChangeProposed(call, c), out);
     }
 
     /** Runs a read once the state is at least as new as any write that ended before. */
     void read(Instant now, long call, Runnable read, Consumer<? super ControlEffect> out) {
         mReads.put(call, read);
-        step(now, new AgreementEvent.ReadRequested(call), out);
+        step(now, new ConsensusEvent.ReadRequested(call), out);
     }
 
-    private void take(AgreementEffect e) {
-        if (e instanceof AgreementEffect.Send s) {
+    private void take(ConsensusEffect e) {
+        if (e instanceof ConsensusEffect.Send s) {
             mEffects.accept(new ControlEffect.SendToReplica(s));
-        } else if (e instanceof AgreementEffect.Persist p) {
+        } else if (e instanceof ConsensusEffect.Persist p) {
             mEffects.accept(new ControlEffect.Persist(p));
-        } else if (e instanceof AgreementEffect.MarkCommitted m) {
+        } else if (e instanceof ConsensusEffect.MarkCommitted m) {
             mEffects.accept(new ControlEffect.MarkCommitted(m.index()));
-        } else if (e instanceof AgreementEffect.Apply a) {
+        } else if (e instanceof ConsensusEffect.Apply a) {
             mLastResult = mState.apply(a.index(), mCodec.decodeCommand(a.command()));
-        } else if (e instanceof AgreementEffect.ProposalAccepted a) {
+        } else if (e instanceof ConsensusEffect.ProposalAccepted a) {
             accepted(a.proposalId());
-        } else if (e instanceof AgreementEffect.ProposalRejected r) {
+        } else if (e instanceof ConsensusEffect.ProposalRejected r) {
             rejected(r);
-        } else if (e instanceof AgreementEffect.ReadReady r) {
+        } else if (e instanceof ConsensusEffect.ReadReady r) {
             mReads.remove(r.readId()).run();
-        } else if (e instanceof AgreementEffect.ReadRejected r) {
+        } else if (e instanceof ConsensusEffect.ReadRejected r) {
             mReads.remove(r.readId());
             refuse(r.readId(), r.code(), r.leader());
         } else {
@@ -166,17 +166,17 @@
         }
     }
 
-    private void takeRest(AgreementEffect e) {
-        if (e instanceof AgreementEffect.TakeSnapshot t) {
+    private void takeRest(ConsensusEffect e) {
+        if (e instanceof ConsensusEffect.TakeSnapshot t) {
             mEffects.accept(new EncodeSnapshot(t.index(), mState.snapshot()));
-        } else if (e instanceof AgreementEffect.InstallSnapshot i) {
+        } else if (e instanceof ConsensusEffect.InstallSnapshot i) {
             restore(i.snapshot());
-        } else if (e instanceof AgreementEffect.RoleChanged r) {
+        } else if (e instanceof ConsensusEffect.RoleChanged r) {
             mFreshness.roleChanged(r.role());
             mNotes.roleChanged(mNow, r, mEffects);
-        } else if (e instanceof AgreementEffect.HandedOver) {
+        } else if (e instanceof ConsensusEffect.HandedOver) {
             mEffects.accept(new ControlEffect.HandedOver());
-        } else if (e instanceof AgreementEffect.MembershipChanged m) {
+        } else if (e instanceof ConsensusEffect.MembershipChanged m) {
             mNotes.replicasChanged(mNow, m.membership(), mEffects);
         }
     }
@@ -206,7 +206,7 @@
                 && mLastResult.code() == ResultCode.SETTINGS_CONFLICT;
     }
 
-    private void rejected(AgreementEffect.ProposalRejected r) {
+    private void rejected(ConsensusEffect.ProposalRejected r) {
         mMemberChanges.remove(r.proposalId());
         mCommands.remove(r.proposalId());
         refuse(r.proposalId(), r.code(), r.leader());
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementRulesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementRulesTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.AgreementEffect.Persist;
-import org.laurelweir.agreement.AgreementEffect.ProposalRejected;
-import org.laurelweir.agreement.AgreementEffect.Send;
-import org.laurelweir.agreement.AgreementEvent.MembershipChangeProposed;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
+import org.laurelweir.agreement.ConsensusEffect.Send;
+import org.laurelweir.agreement.ConsensusEvent.MembershipChangeProposed;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
 import org.laurelweir.agreement.MembershipChange.AddLearner;
 import org.laurelweir.agreement.MembershipChange.Promote;
 import org.laurelweir.agreement.MembershipChange.Remove;
@@ -46,11 +46,11 @@
         TestReplica voter = new TestReplica(new ReplicaId("v", 1));
         voter.start(Instant.EPOCH, 1);
         VoteRequest request = new VoteRequest(5, 9, 4, false);
-        List<AgreementEffect> effects =
+        List<ConsensusEffect> effects =
                 mNetwork.effectsOf(voter, new MessageReceived(mLeader.mId, request));
         assertThat(effects).noneMatch(e -> e instanceof Send);
         assertThat(effects).anyMatch(e -> e instanceof Persist);
-        assertThat(mNetwork.effectsOf(voter, new AgreementEvent.Persisted(1)))
+        assertThat(mNetwork.effectsOf(voter, new ConsensusEvent.Persisted(1)))
                 .contains(new Send(mLeader.mId, new VoteReply(5, true)));
     }
 
@@ -118,13 +118,13 @@
         mNetwork.run(SECOND);
         ReplicaId other =
                 mNetwork.up().stream().filter(r -> r != mLeader).findFirst().orElseThrow().mId;
-        List<AgreementEffect> effects =
+        List<ConsensusEffect> effects =
                 mNetwork.effectsOf(mLeader, new MembershipChangeProposed(1, new Remove(other)));
         assertThat(effects).contains(new ProposalRejected(1, ResultCode.NO_QUORUM, mLeader.mId));
     }
 
     private void assertRefused(TestReplica leader, MembershipChange change) {
-        List<AgreementEffect> effects =
+        List<ConsensusEffect> effects =
                 mNetwork.effectsOf(leader, new MembershipChangeProposed(9, change));
         ResultCode code = ResultCode.MEMBERSHIP_CHANGE_PENDING;
         assertThat(effects).contains(new ProposalRejected(9, code, leader.mId));
@@ -164,8 +164,8 @@
     @Test
     void aLeaderThatLeavesHandsOverOnceAllIsCommitted() {
         mNetwork.propose(mLeader, "under way");
-        mNetwork.step(mLeader, new AgreementEvent.HandOverRequested());
-        assertThat(mNetwork.effectsOf(mLeader, new AgreementEvent.Proposed(9, new byte[1])))
+        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
+        assertThat(mNetwork.effectsOf(mLeader, new ConsensusEvent.Proposed(9, new byte[1])))
                 .contains(new ProposalRejected(9, ResultCode.NOT_LEADER, null));
         mNetwork.run(Duration.ofMillis(80));
         assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(1);
@@ -184,7 +184,7 @@
         List<TestReplica> others = mNetwork.up().stream().filter(r -> r != mLeader).toList();
         others.subList(1, 4).forEach(r -> r.mIsPaused = true);
         mNetwork.propose(mLeader, "under way");
-        mNetwork.step(mLeader, new AgreementEvent.HandOverRequested());
+        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
         mNetwork.run(Duration.ofMillis(60));
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.LEADER);
         others.get(1).mIsPaused = false;
@@ -198,7 +198,7 @@
     @Test
     void aHandOverThatReachesNobodyEnds() {
         mNetwork.cutOff(List.of(mLeader.mId.name()));
-        mNetwork.step(mLeader, new AgreementEvent.HandOverRequested());
+        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
         mNetwork.calm(SECOND);
         mNetwork.propose(mNetwork.leader(), "c");
         mNetwork.run(SECOND);
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/ElectionRaceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/ElectionRaceTest.java
@@ -12,13 +12,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.AgreementEffect.Persist;
-import org.laurelweir.agreement.AgreementEffect.RoleChanged;
-import org.laurelweir.agreement.AgreementEffect.Send;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
-import org.laurelweir.agreement.AgreementEvent.Persisted;
-import org.laurelweir.agreement.AgreementEvent.Recovered;
-import org.laurelweir.agreement.AgreementEvent.Tick;
+import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.agreement.ConsensusEffect.RoleChanged;
+import org.laurelweir.agreement.ConsensusEffect.Send;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusEvent.Persisted;
+import org.laurelweir.agreement.ConsensusEvent.Recovered;
+import org.laurelweir.agreement.ConsensusEvent.Tick;
 
 /** How soon replicas that were all stopped at once have a leader again. */
 class ElectionRaceTest {
@@ -29,17 +29,17 @@
     private static final int SLOWEST_MESSAGE_MILLIS = 80;
     private static final int RACES = 500;
     private static final long SEED = 20;
-    private static final AgreementConfig CONFIG =
-            AgreementConfig.builder()
+    private static final ConsensusConfig CONFIG =
+            ConsensusConfig.builder()
                     .electionTimeout(Duration.ofMillis(600))
                     .heartbeat(Duration.ofMillis(100))
                     .build();
 
-    private record Due(Instant at, long order, ReplicaId to, AgreementEvent event) {}
+    private record Due(Instant at, long order, ReplicaId to, ConsensusEvent event) {}
 
     private final PriorityQueue<Due> mDue =
             new PriorityQueue<>(Comparator.comparing(Due::at).thenComparing(Due::order));
-    private final Map<ReplicaId, AgreementReducer> mReducers = new HashMap<>();
+    private final Map<ReplicaId, ConsensusReducer> mReducers = new HashMap<>();
     private SplittableRandom mRandom;
     private Instant mNow;
     private Instant mLed;
@@ -70,7 +70,7 @@
     private long termOfLeader() {
         return mReducers.values().stream()
                 .filter(r -> r.role() == Role.LEADER)
-                .mapToLong(AgreementReducer::term)
+                .mapToLong(ConsensusReducer::term)
                 .max()
                 .orElseThrow();
     }
@@ -89,7 +89,7 @@
         Snapshot snapshot = new Snapshot(10, 1, Membership.ofVoters(ids), new byte[0]);
         Instant lastStart = Instant.EPOCH;
         for (ReplicaId id : ids) {
-            mReducers.put(id, new AgreementReducer(id, CONFIG, mRandom.nextLong()));
+            mReducers.put(id, new ConsensusReducer(id, CONFIG, mRandom.nextLong()));
             Duration delay = Duration.ofMillis(mRandom.nextInt(STARTED_WITHIN_MILLIS));
             due(delay, id, new Recovered(new HardState(1, ids.get(0)), snapshot, List.of()));
             due(delay, id, new Tick());
@@ -107,18 +107,18 @@
         return a.isAfter(b) ? a : b;
     }
 
-    private void due(Duration delay, ReplicaId to, AgreementEvent event) {
+    private void due(Duration delay, ReplicaId to, ConsensusEvent event) {
         mDue.add(new Due(mNow.plus(delay), mOrder++, to, event));
     }
 
-    private void step(ReplicaId id, AgreementEvent event) {
+    private void step(ReplicaId id, ConsensusEvent event) {
         if (event instanceof Tick) {
             due(TICK, id, event);
         }
         mReducers.get(id).step(mNow, event, effect -> follow(id, effect));
     }
 
-    private void follow(ReplicaId id, AgreementEffect effect) {
+    private void follow(ReplicaId id, ConsensusEffect effect) {
         if (effect instanceof Send e) {
             int spread = SLOWEST_MESSAGE_MILLIS - FASTEST_MESSAGE_MILLIS;
             Duration way = Duration.ofMillis(FASTEST_MESSAGE_MILLIS + mRandom.nextInt(spread));
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/LogBoundsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/LogBoundsTest.java
@@ -22,10 +22,10 @@
         return mNetwork
                 .effectsOf(
                         mNetwork.leader(),
-                        new AgreementEvent.Proposed(1 << 20, command(bytes).getBytes()))
+                        new ConsensusEvent.Proposed(1 << 20, command(bytes).getBytes()))
                 .stream()
-                .filter(AgreementEffect.ProposalRejected.class::isInstance)
-                .map(e -> ((AgreementEffect.ProposalRejected) e).code())
+                .filter(ConsensusEffect.ProposalRejected.class::isInstance)
+                .map(e -> ((ConsensusEffect.ProposalRejected) e).code())
                 .findFirst()
                 .orElse(null);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/ReplicaNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/ReplicaNetwork.java
@@ -10,19 +10,19 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.laurelweir.agreement.AgreementEffect.Apply;
-import org.laurelweir.agreement.AgreementEffect.InstallSnapshot;
-import org.laurelweir.agreement.AgreementEffect.MarkCommitted;
-import org.laurelweir.agreement.AgreementEffect.Persist;
-import org.laurelweir.agreement.AgreementEffect.ProposalAccepted;
-import org.laurelweir.agreement.AgreementEffect.ProposalRejected;
-import org.laurelweir.agreement.AgreementEffect.ReadReady;
-import org.laurelweir.agreement.AgreementEffect.RoleChanged;
-import org.laurelweir.agreement.AgreementEffect.Send;
-import org.laurelweir.agreement.AgreementEffect.TakeSnapshot;
-import org.laurelweir.agreement.AgreementEvent.MembershipChangeProposed;
-import org.laurelweir.agreement.AgreementEvent.MessageReceived;
-import org.laurelweir.agreement.AgreementEvent.SnapshotTaken;
+import org.laurelweir.agreement.ConsensusEffect.Apply;
+import org.laurelweir.agreement.ConsensusEffect.InstallSnapshot;
+import org.laurelweir.agreement.ConsensusEffect.MarkCommitted;
+import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
+import org.laurelweir.agreement.ConsensusEffect.ReadReady;
+import org.laurelweir.agreement.ConsensusEffect.RoleChanged;
+import org.laurelweir.agreement.ConsensusEffect.Send;
+import org.laurelweir.agreement.ConsensusEffect.TakeSnapshot;
+import org.laurelweir.agreement.ConsensusEvent.MembershipChangeProposed;
+import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
+import org.laurelweir.agreement.ConsensusEvent.SnapshotTaken;
 
 /** Some replicas and the messages between them; every choice comes from one seed. */
 final class ReplicaNetwork {
@@ -45,7 +45,7 @@
         }
         List<ReplicaId> ids = mReplicas.values().stream().map(r -> r.mId).toList();
         Membership initial = Membership.ofVoters(ids);
-        step(mReplicas.get("r0"), new AgreementEvent.Bootstrapped(initial));
+        step(mReplicas.get("r0"), new ConsensusEvent.Bootstrapped(initial));
         syncAndRunLocal(mReplicas.get("r0"));
     }
 
@@ -60,7 +60,7 @@
         handle(replica, replica.start(mNow, mRandom.nextLong()));
     }
 
-    void step(TestReplica replica, AgreementEvent event) {
+    void step(TestReplica replica, ConsensusEvent event) {
         if (!replica.isUp()) {
             return;
         }
@@ -68,13 +68,13 @@
             replica.mLocalEvents.add(event);
             return;
         }
-        List<AgreementEffect> effects = new ArrayList<>();
+        List<ConsensusEffect> effects = new ArrayList<>();
         replica.mReducer.step(mNow, event, effects::add);
         handle(replica, effects);
     }
 
-    private void handle(TestReplica replica, List<AgreementEffect> effects) {
-        for (AgreementEffect effect : effects) {
+    private void handle(TestReplica replica, List<ConsensusEffect> effects) {
+        for (ConsensusEffect effect : effects) {
             if (effect instanceof Send e) {
                 mMessages.add(new Envelope(replica.mId, e.to(), e.message()));
             } else if (effect instanceof Persist e) {
@@ -103,7 +103,7 @@
 
     void tick(int millis) {
         mNow = mNow.plusMillis(millis);
-        up().stream().filter(r -> !r.mIsPaused).forEach(r -> step(r, new AgreementEvent.Tick()));
+        up().stream().filter(r -> !r.mIsPaused).forEach(r -> step(r, new ConsensusEvent.Tick()));
     }
 
     /** Takes some of the messages on their way, in any order. */
@@ -166,14 +166,14 @@
     long propose(TestReplica to, String command) {
         long id = mNextId++;
         mHistory.proposed(id, command);
-        step(to, new AgreementEvent.Proposed(id, command.getBytes()));
+        step(to, new ConsensusEvent.Proposed(id, command.getBytes()));
         return id;
     }
 
     void read(TestReplica from) {
         long id = mNextId++;
         mHistory.readRequested(id);
-        step(from, new AgreementEvent.ReadRequested(id));
+        step(from, new ConsensusEvent.ReadRequested(id));
     }
 
     void propose(TestReplica to, MembershipChange change) {
@@ -271,8 +271,8 @@
     }
 
     /** Lets a replica take an event and returns the effects instead of following them. */
-    List<AgreementEffect> effectsOf(TestReplica replica, AgreementEvent event) {
-        List<AgreementEffect> effects = new ArrayList<>();
+    List<ConsensusEffect> effectsOf(TestReplica replica, ConsensusEvent event) {
+        List<ConsensusEffect> effects = new ArrayList<>();
         replica.mReducer.step(mNow, event, effects::add);
         return effects;
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/TestReplica.java
@@ -6,12 +6,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.laurelweir.agreement.AgreementEffect.Persist;
+import org.laurelweir.agreement.ConsensusEffect.Persist;
 
 /** A reducer with a disk that forgets what was not synced, and a list as its state machine. */
 final class TestReplica {
-    static final AgreementConfig CONFIG =
-            AgreementConfig.builder()
+    static final ConsensusConfig CONFIG =
+            ConsensusConfig.builder()
                     .electionTimeout(Duration.ofMillis(150))
                     .heartbeat(Duration.ofMillis(40))
                     .flow(70, 3)
@@ -21,8 +21,8 @@
                     .build();
 
     final ReplicaId mId;
-    final ArrayDeque<AgreementEvent> mLocalEvents = new ArrayDeque<>();
-    AgreementReducer mReducer;
+    final ArrayDeque<ConsensusEvent> mLocalEvents = new ArrayDeque<>();
+    ConsensusReducer mReducer;
     boolean mIsPaused;
     List<String> mApplied = new ArrayList<>();
     long mAppliedIndex;
@@ -42,13 +42,13 @@
     }
 
     /** Starts from the disk; returns the effects of the first event. */
-    List<AgreementEffect> start(Instant now, long seed) {
-        mReducer = new AgreementReducer(mId, CONFIG, seed);
+    List<ConsensusEffect> start(Instant now, long seed) {
+        mReducer = new ConsensusReducer(mId, CONFIG, seed);
         load(mDiskSnapshot);
-        List<AgreementEffect> effects = new ArrayList<>();
+        List<ConsensusEffect> effects = new ArrayList<>();
         mReducer.step(
                 now,
-                new AgreementEvent.Recovered(
+                new ConsensusEvent.Recovered(
                         mDiskState, mDiskSnapshot, List.copyOf(mDiskLog), mDiskCommitted),
                 effects::add);
         return effects;
@@ -85,7 +85,7 @@
         long last = mUnsynced.peekLast().sequence();
         mUnsynced.forEach(this::write);
         mUnsynced.clear();
-        mLocalEvents.add(new AgreementEvent.Persisted(last));
+        mLocalEvents.add(new ConsensusEvent.Persisted(last));
     }
 
     private void write(Persist p) {
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 import java.util.function.Supplier;
-import org.laurelweir.agreement.AgreementEvent;
+import org.laurelweir.agreement.ConsensusEvent;
 import org.laurelweir.agreement.HardState;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.agreement.Snapshot;
@@ -100,7 +100,7 @@
             mReducer = new ControlReducer(config, null, mTime.random().nextLong());
             offer(
                     new ControlEvent.Replica(
-                            new AgreementEvent.Recovered(
+                            new ConsensusEvent.Recovered(
                                     HardState.INITIAL, Snapshot.NONE, List.of(), 0)));
         }
 
