--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -75,7 +75,7 @@
             mBackground.execute(() -> encode(s));
         } else if (e instanceof ControlEffect.Reported r) {
             mMetrics.reported(r);
-        } else if (e instanceof ControlEffect.HandedOver) {
+        } else if (e instanceof ControlEffect.LeadershipTransferEnded) {
             mHandedOver.complete(null);
         } else if (e instanceof ControlEffect.Decided d) {
             DecisionLog.write(d.decision());
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -278,7 +278,7 @@
         if (!mLoop.isDone()) {
             return;
         }
-        offer(new ControlEvent.Replica(new ConsensusEvent.HandOverRequested()));
+        offer(new ControlEvent.Replica(new ConsensusEvent.LeadershipTransferRequested()));
         // Whatever happens, the instance stops; the others then elect after their timeout.
         mEffects.handedOver()
                 .completeOnTimeout(null, HAND_OVER.toMillis(), TimeUnit.MILLISECONDS)
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
@@ -50,7 +50,7 @@
             envelope.setPreVoteReply(answered(m.term(), m.granted()));
         } else if (message instanceof ReplicaMessage.VoteRequest m) {
             VoteAsked asked = asked(m.term(), m.lastIndex(), m.lastTerm());
-            envelope.setVoteRequest(asked.toBuilder().setHandedOver(m.handedOver()));
+            envelope.setVoteRequest(asked.toBuilder().setHandedOver(m.leadershipTransfer()));
         } else if (message instanceof ReplicaMessage.TimeoutNow m) {
             envelope.setTimeoutNow(TimeoutNow.newBuilder().setTerm(m.term()));
         } else if (message instanceof ReplicaMessage.VoteReply m) {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEffect.java
@@ -75,7 +75,7 @@
     record RoleChanged(Role role, long term, ReplicaId leader) implements ConsensusEffect {}
 
     /** The replica does not lead any more, or there is nobody to hand over to. */
-    record HandedOver() implements ConsensusEffect {}
+    record LeadershipTransferEnded() implements ConsensusEffect {}
 
     /** The newest membership in this replica's log changed; connect accordingly. */
     record MembershipChanged(Membership membership) implements ConsensusEffect {}
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusEvent.java
@@ -43,9 +43,9 @@
 
     /**
      * The replica is about to stop and, if it leads, should see another lead first. Answered by
-     * {@link ConsensusEffect.HandedOver}.
+     * {@link ConsensusEffect.LeadershipTransferEnded}.
      */
-    record HandOverRequested() implements ConsensusEvent {}
+    record LeadershipTransferRequested() implements ConsensusEvent {}
 
     /** Every {@link ConsensusEffect.Persist} up to this sequence has been synced to disk. */
     record Persisted(long sequence) implements ConsensusEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusReducer.java
@@ -131,7 +131,7 @@
             mApplier.onSnapshotTaken(e);
         } else if (event instanceof Recovered e) {
             onRecovered(e);
-        } else if (event instanceof ConsensusEvent.HandOverRequested) {
+        } else if (event instanceof ConsensusEvent.LeadershipTransferRequested) {
             onHandOverRequested();
         } else if (event instanceof Bootstrapped e) {
             onBootstrapped(e);
@@ -154,7 +154,7 @@
 
     private void onHandOverRequested() {
         if (mLeadership == null) {
-            mState.emit(new ConsensusEffect.HandedOver());
+            mState.emit(new ConsensusEffect.LeadershipTransferEnded());
         } else {
             mLeadership.onHandOverRequested();
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Elections.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Elections.java
@@ -174,7 +174,7 @@
 
     void onVoteRequest(ReplicaId from, VoteRequest m) {
         // A removed replica that never heard of its removal would else depose leader after leader.
-        if (isLeaderAlive() && !m.handedOver()) {
+        if (isLeaderAlive() && !m.leadershipTransfer()) {
             return;
         }
         if (m.term() > mState.term()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
@@ -16,7 +16,7 @@
     private final Proposals mProposals;
     private final Reads mReads;
     private final MembershipRules mRules;
-    private final HandOver mHandOver;
+    private final LeadershipTransfer mHandOver;
     private Instant mNextHeartbeat;
 
     Leadership(ReplicaState state, Applier applier) {
@@ -26,7 +26,7 @@
         mProposals = new Proposals(state);
         mReads = new Reads(state, applier, mReplication);
         mRules = new MembershipRules(state, mReplication, this::isHeard);
-        mHandOver = new HandOver(state, mReplication, this::isHeard);
+        mHandOver = new LeadershipTransfer(state, mReplication, this::isHeard);
         mNextHeartbeat = state.now();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/HandOver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/LeadershipTransfer.java
@@ -11,14 +11,14 @@
  * asks the voter with the newest log to campaign at once. The others would else wait for an
  * election timeout first.
  */
-final class HandOver {
+final class LeadershipTransfer {
     private final ReplicaState mState;
     private final Replication mReplication;
     private final Predicate<ReplicaId> mIsHeard;
     private Instant mEnd;
     private boolean mAsked;
 
-    HandOver(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
+    LeadershipTransfer(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
         mState = state;
         mReplication = replication;
         mIsHeard = isHeard;
@@ -37,7 +37,7 @@
     void end() {
         if (isUnderWay()) {
             mEnd = null;
-            mState.emit(new ConsensusEffect.HandedOver());
+            mState.emit(new ConsensusEffect.LeadershipTransferEnded());
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaMessage.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaMessage.java
@@ -36,7 +36,7 @@
      * @param handedOver whether the leader asked the sender to take over, so that voters need not
      *     wait until they have heard no leader for long
      */
-    record VoteRequest(long term, long lastIndex, long lastTerm, boolean handedOver)
+    record VoteRequest(long term, long lastIndex, long lastTerm, boolean leadershipTransfer)
             implements ReplicaMessage {}
 
     /** The leader leaves and asks the receiver to campaign at once. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -156,7 +156,7 @@
             implements ControlEffect {}
 
     /** This instance does not lead, or can't hand over: it may stop. */
-    record HandedOver() implements ControlEffect {}
+    record LeadershipTransferEnded() implements ControlEffect {}
 
     /** Log a decision. */
     record Decided(Decision decision) implements ControlEffect {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -174,8 +174,8 @@
         } else if (e instanceof ConsensusEffect.RoleChanged r) {
             mFreshness.roleChanged(r.role());
             mNotes.roleChanged(mNow, r, mEffects);
-        } else if (e instanceof ConsensusEffect.HandedOver) {
-            mEffects.accept(new ControlEffect.HandedOver());
+        } else if (e instanceof ConsensusEffect.LeadershipTransferEnded) {
+            mEffects.accept(new ControlEffect.LeadershipTransferEnded());
         } else if (e instanceof ConsensusEffect.MembershipChanged m) {
             mNotes.replicasChanged(mNow, m.membership(), mEffects);
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementPropertyTest.java
@@ -59,7 +59,7 @@
             network.read(network.anyLeader());
         }
         if (network.mRandom.nextDouble() < 0.005) {
-            network.step(network.anyLeader(), new ConsensusEvent.HandOverRequested());
+            network.step(network.anyLeader(), new ConsensusEvent.LeadershipTransferRequested());
         }
         if (step % 100 == 0) {
             network.assertLogsMatch();
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementRulesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementRulesTest.java
@@ -164,7 +164,7 @@
     @Test
     void aLeaderThatLeavesHandsOverOnceAllIsCommitted() {
         mNetwork.propose(mLeader, "under way");
-        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
+        mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         assertThat(mNetwork.effectsOf(mLeader, new ConsensusEvent.Proposed(9, new byte[1])))
                 .contains(new ProposalRejected(9, ResultCode.NOT_LEADER, null));
         mNetwork.run(Duration.ofMillis(80));
@@ -184,7 +184,7 @@
         List<TestReplica> others = mNetwork.up().stream().filter(r -> r != mLeader).toList();
         others.subList(1, 4).forEach(r -> r.mIsPaused = true);
         mNetwork.propose(mLeader, "under way");
-        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
+        mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         mNetwork.run(Duration.ofMillis(60));
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.LEADER);
         others.get(1).mIsPaused = false;
@@ -198,7 +198,7 @@
     @Test
     void aHandOverThatReachesNobodyEnds() {
         mNetwork.cutOff(List.of(mLeader.mId.name()));
-        mNetwork.step(mLeader, new ConsensusEvent.HandOverRequested());
+        mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         mNetwork.calm(SECOND);
         mNetwork.propose(mNetwork.leader(), "c");
         mNetwork.run(SECOND);
