--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -139,7 +139,7 @@
         }
         Path folder = mFile.dataFolder().get();
         PatientOpening opening = new PatientOpening(mClock, ControlProgram::sleep);
-        LongSupplier newDisk = () -> ReplicaId.newDisk(random);
+        LongSupplier newDisk = () -> ReplicaId.durableStorageId(random);
         return opening.open(() -> FileLogStorage.openOrBeginAnew(folder, newDisk));
     }
 
@@ -150,7 +150,7 @@
                     "data-folder: is missing; only an instance with seeds may do without");
         }
         sLogger.atInfo().log("there is no data folder: this instance learns and never votes");
-        return new NoLogStorage(ReplicaId.noDisk(random));
+        return new NoLogStorage(ReplicaId.volatileStorageId(random));
     }
 
     private static void sleep(Duration time) {
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -51,7 +51,7 @@
         }
         List<ReplicaId> ids = new ArrayList<>();
         for (String name : mAddresses.keySet()) {
-            Node n = new Node(new ReplicaId(name, ReplicaId.newDisk(mRandom::nextLong)));
+            Node n = new Node(new ReplicaId(name, ReplicaId.durableStorageId(mRandom::nextLong)));
             mNodes.add(n);
             ids.add(n.mId);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaId.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ReplicaId.java
@@ -13,12 +13,12 @@
  */
 public record ReplicaId(String name, long storageId) implements Comparable<ReplicaId> {
     /** Returns the storage id of a new disk. */
-    public static long newDisk(LongSupplier random) {
+    public static long durableStorageId(LongSupplier random) {
         return random.getAsLong() & Long.MAX_VALUE;
     }
 
     /** Returns the storage id of one start of an instance without a disk. */
-    public static long noDisk(LongSupplier random) {
+    public static long volatileStorageId(LongSupplier random) {
         return random.getAsLong() | Long.MIN_VALUE;
     }
 
