--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -226,7 +226,7 @@
                 .consensus(
                         ConsensusConfig.builder()
                                 .electionTimeout(election)
-                                .heartbeat(election.dividedBy(HEARTBEATS_PER_ELECTION))
+                                .heartbeatInterval(election.dividedBy(HEARTBEATS_PER_ELECTION))
                                 .build())
                 .membership(
                         MembershipConfig.builder(mFile.name(), incarnation)
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -138,7 +138,7 @@
             ConsensusConfig agreement =
                     ConsensusConfig.builder()
                             .electionTimeout(Duration.ofMillis(500))
-                            .heartbeat(Duration.ofMillis(80))
+                            .heartbeatInterval(Duration.ofMillis(80))
                             .snapshots(SNAPSHOT_EVERY, SNAPSHOT_EVERY / 4, 4096)
                             .build();
             ControlConfig config =
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusConfig.java
@@ -7,7 +7,7 @@
  *
  * @param electionTimeout a follower that hears no leader for this time, up to twice, campaigns; a
  *     leader that hears no quorum for this time steps down
- * @param heartbeat how often a leader shows that it is alive
+ * @param heartbeatInterval how often a leader shows that it is alive
  * @param maxBatchBytes about the size of one append message, if more than one entry is in it
  * @param maxInFlight unanswered append messages to one follower
  * @param bounds what the log takes in bytes
@@ -18,7 +18,7 @@
  */
 public record ConsensusConfig(
         Duration electionTimeout,
-        Duration heartbeat,
+        Duration heartbeatInterval,
         int maxBatchBytes,
         int maxInFlight,
         LogBounds bounds,
@@ -51,7 +51,7 @@
         }
 
         /** Sets how often a leader shows that it is alive. */
-        public Builder heartbeat(Duration interval) {
+        public Builder heartbeatInterval(Duration interval) {
             mHeartbeat = interval;
             return this;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
@@ -116,7 +116,7 @@
             return;
         }
         if (!mState.now().isBefore(mNextHeartbeat)) {
-            mNextHeartbeat = mState.now().plus(mState.config().heartbeat());
+            mNextHeartbeat = mState.now().plus(mState.config().heartbeatInterval());
             mReplication.sendHeartbeats();
             mHandOver.onHeartbeat();
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/ElectionRaceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/ElectionRaceTest.java
@@ -32,7 +32,7 @@
     private static final ConsensusConfig CONFIG =
             ConsensusConfig.builder()
                     .electionTimeout(Duration.ofMillis(600))
-                    .heartbeat(Duration.ofMillis(100))
+                    .heartbeatInterval(Duration.ofMillis(100))
                     .build();
 
     private record Due(Instant at, long order, ReplicaId to, ConsensusEvent event) {}
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/agreement/TestReplica.java
@@ -13,7 +13,7 @@
     static final ConsensusConfig CONFIG =
             ConsensusConfig.builder()
                     .electionTimeout(Duration.ofMillis(150))
-                    .heartbeat(Duration.ofMillis(40))
+                    .heartbeatInterval(Duration.ofMillis(40))
                     .flow(70, 3)
                     .snapshots(10, 4, 16)
                     .catchUpLag(3)
