--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
@@ -26,7 +26,7 @@
         mRefusals = registry.meter("control.refusals");
         gauge(registry, "control.leader", r -> r.self().leader() ? 1 : 0);
         gauge(registry, "control.term", r -> r.self().term());
-        gauge(registry, "control.committed", r -> r.self().committed());
+        gauge(registry, "control.committed", r -> r.self().commitIndex());
         gauge(registry, "control.possibly.stale", r -> r.self().possiblyStale() ? 1 : 0);
         gauge(registry, "control.sidecars.heard", Reported::sessions);
         gauge(registry, "control.backends", Reported::backends);
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -116,8 +116,8 @@
                         .setAddress(c.address())
                         .setLeader(c.leader())
                         .setTerm(c.term())
-                        .setApplied(c.committed())
-                        .setCommitted(c.committed())
+                        .setApplied(c.commitIndex())
+                        .setCommitted(c.commitIndex())
                         .setPossiblyStale(c.possiblyStale())
                         .setReplica(ReplicaCodec.toWire(c.replica()));
         c.members().voters().forEach(v -> status.addVoters(ReplicaCodec.toWire(v)));
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
@@ -86,12 +86,12 @@
             storage.markCommitted(2);
         }
         try (FileLogStorage storage = open()) {
-            assertThat(storage.recovered().committed()).isEqualTo(2);
+            assertThat(storage.recovered().commitIndex()).isEqualTo(2);
         }
         Path mark = mFolder.resolve("commit-mark");
         damage(mark, 4, true);
         try (FileLogStorage storage = open()) {
-            assertThat(storage.recovered().committed()).isZero();
+            assertThat(storage.recovered().commitIndex()).isZero();
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusReducer.java
@@ -140,7 +140,7 @@
 
     private void onRecovered(Recovered disk) {
         mState.recover(disk);
-        mApplier.recover(disk.committed());
+        mApplier.recover(disk.commitIndex());
         mElections.startTimer();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPresence.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPresence.java
@@ -10,7 +10,7 @@
  * @param address where it is reached
  * @param leader whether it leads
  * @param term its term
- * @param committed the last entry that it knows to be committed; all up to it have been applied
+ * @param commitIndex the last entry that it knows to be committed; all up to it have been applied
  * @param possiblyStale whether it can't confirm that nothing newer was accepted
  * @param members the replicas of the log as it knows them
  */
@@ -19,6 +19,6 @@
         String address,
         boolean leader,
         long term,
-        long committed,
+        long commitIndex,
         boolean possiblyStale,
         Membership members) {}
