--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -14,7 +14,7 @@
 import org.laurelweir.coordination.ControlConfig;
 import org.laurelweir.coordination.ControlEffect;
 import org.laurelweir.coordination.ControlEvent;
-import org.laurelweir.coordination.ControlPresence;
+import org.laurelweir.coordination.ControlInstanceStatus;
 import org.laurelweir.coordination.ControlReducer;
 import org.laurelweir.load.LoadReport;
 import org.laurelweir.load.PeerLoads;
@@ -166,8 +166,8 @@
         return new PeerShare(cursor, List.of(), sums);
     }
 
-    private static ControlPresence peer(int instance) {
+    private static ControlInstanceStatus peer(int instance) {
         ReplicaId id = new ReplicaId(name(instance), 1);
-        return new ControlPresence(id, "10.3.0.9:7000", false, 1, 1, false, Membership.EMPTY);
+        return new ControlInstanceStatus(id, "10.3.0.9:7000", false, 1, 1, false, Membership.EMPTY);
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -5,14 +5,14 @@
 import java.util.TreeSet;
 import org.laurelweir.agreement.Membership;
 import org.laurelweir.agreement.ReplicaId;
-import org.laurelweir.coordination.BackendPresence;
+import org.laurelweir.coordination.BackendServerStatus;
 import org.laurelweir.coordination.ControlEffect.Answer;
 import org.laurelweir.coordination.ControlEffect.AnswerPeer;
 import org.laurelweir.coordination.ControlEffect.AnswerStatus;
 import org.laurelweir.coordination.ControlEvent.PeerAnswered;
-import org.laurelweir.coordination.ControlPresence;
+import org.laurelweir.coordination.ControlInstanceStatus;
 import org.laurelweir.coordination.FleetStatus;
-import org.laurelweir.coordination.RouterPresence;
+import org.laurelweir.coordination.RouterInstanceStatus;
 import org.laurelweir.membership.PeerShare;
 import org.laurelweir.membership.ServiceSum;
 import org.laurelweir.quarantine.CrashDelta;
@@ -68,7 +68,7 @@
                 toCore(m.getStatus()));
     }
 
-    private static BackendStatus toWire(BackendPresence b) {
+    private static BackendStatus toWire(BackendServerStatus b) {
         BackendStatus.Builder status =
                 BackendStatus.newBuilder()
                         .setBackend(MembershipCodec.toWire(b.backend()))
@@ -94,22 +94,22 @@
         return new ServiceSum(m.getService(), m.getWork(), m.getBackends(), m.getWeight());
     }
 
-    private static RouterStatus toWire(RouterPresence r) {
+    private static RouterStatus toWire(RouterInstanceStatus r) {
         return RouterStatus.newBuilder()
                 .setRouter(MembershipCodec.toWire(r.report()))
                 .setSettingsPosition(r.settingsPosition())
-                .setHeardMillis(r.heard().toEpochMilli())
+                .setHeardMillis(r.lastExchange().toEpochMilli())
                 .build();
     }
 
-    private static RouterPresence toCore(RouterStatus m) {
-        return new RouterPresence(
+    private static RouterInstanceStatus toCore(RouterStatus m) {
+        return new RouterInstanceStatus(
                 MembershipCodec.toCore(m.getRouter()),
                 m.getSettingsPosition(),
                 Instant.ofEpochMilli(m.getHeardMillis()));
     }
 
-    private static ControlStatus toWire(ControlPresence c) {
+    private static ControlStatus toWire(ControlInstanceStatus c) {
         ControlStatus.Builder status =
                 ControlStatus.newBuilder()
                         .setName(c.replica().name())
@@ -125,8 +125,8 @@
         return status.build();
     }
 
-    private static ControlPresence toCore(ControlStatus m) {
-        return new ControlPresence(
+    private static ControlInstanceStatus toCore(ControlStatus m) {
+        return new ControlInstanceStatus(
                 ReplicaCodec.toCore(m.getReplica()),
                 m.getAddress(),
                 m.getLeader(),
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/BackendPresence.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/BackendServerStatus.java
@@ -10,4 +10,4 @@
  * @param report its last report, or null where another control instance hears it
  * @param drainOrdered whether an operator wants it drained
  */
-public record BackendPresence(Backend backend, SidecarReport report, boolean drainOrdered) {}
+public record BackendServerStatus(Backend backend, SidecarReport report, boolean drainOrdered) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -109,8 +109,8 @@
             long call,
             PeerShare share,
             CrashDelta crashes,
-            List<RouterPresence> routers,
-            ControlPresence status)
+            List<RouterInstanceStatus> routers,
+            ControlInstanceStatus status)
             implements Answer {}
 
     /**
@@ -143,7 +143,7 @@
      * @param peers where the other control instances are reached, host:port
      */
     record Reported(
-            ControlPresence self,
+            ControlInstanceStatus self,
             int sessions,
             int backends,
             int claims,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -109,8 +109,8 @@
             String peer,
             PeerShare share,
             CrashDelta crashes,
-            List<RouterPresence> routers,
-            ControlPresence status)
+            List<RouterInstanceStatus> routers,
+            ControlInstanceStatus status)
             implements ControlEvent {}
 
     /** A peer passes on at once what changed there. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPresence.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlInstanceStatus.java
@@ -14,7 +14,7 @@
  * @param possiblyStale whether it can't confirm that nothing newer was accepted
  * @param members the replicas of the log as it knows them
  */
-public record ControlPresence(
+public record ControlInstanceStatus(
         ReplicaId replica,
         String address,
         boolean leader,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
@@ -66,7 +66,7 @@
     void answer(Instant now, RouterExchanged e, Consumer<? super ControlEffect> effects) {
         mCrashes.toldByRouter(now, e.crashes().records());
         mLoads.toldByRouter(now, e.report().name(), e.loads());
-        mRouters.heard(new RouterPresence(e.report(), e.settingsPosition(), now));
+        mRouters.heard(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
         SettingsDelta settings = settings(e.settingsPosition());
         if (settings.full()) {
             mNotes.treeTold(now, e.report().name(), settings, effects);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/FleetStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/FleetStatus.java
@@ -15,9 +15,9 @@
  * @param settingsPosition the log position of the settings in force
  */
 public record FleetStatus(
-        List<ControlPresence> controls,
-        List<BackendPresence> backends,
-        List<RouterPresence> routers,
+        List<ControlInstanceStatus> controls,
+        List<BackendServerStatus> backends,
+        List<RouterInstanceStatus> routers,
         List<ServiceLoad> loads,
         List<CrashRecord> quarantined,
         long settingsPosition) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -62,8 +62,8 @@
         return mFreshness.isPossiblyStale(now);
     }
 
-    ControlPresence presence(Instant now) {
-        return new ControlPresence(
+    ControlInstanceStatus presence(Instant now) {
+        return new ControlInstanceStatus(
                 mConfig.replica(),
                 mConfig.address(),
                 leads(),
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerPresences.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerPresences.java
@@ -13,17 +13,17 @@
 
     private final Map<String, Told> mTold = new TreeMap<>();
 
-    void put(Instant now, ControlPresence peer) {
+    void put(Instant now, ControlInstanceStatus peer) {
         mTold.put(peer.replica().name(), new Told(now, peer));
     }
 
-    List<ControlPresence> all() {
+    List<ControlInstanceStatus> all() {
         return mTold.values().stream().map(Told::presence).toList();
     }
 
     /** Returns those that were told moments ago. */
-    List<ControlPresence> fresh(Instant now) {
-        List<ControlPresence> fresh = new ArrayList<>();
+    List<ControlInstanceStatus> fresh(Instant now) {
+        List<ControlInstanceStatus> fresh = new ArrayList<>();
         for (Told t : mTold.values()) {
             if (!t.at().plus(FRESH).isBefore(now)) {
                 fresh.add(t.presence());
@@ -32,5 +32,5 @@
         return fresh;
     }
 
-    private record Told(Instant at, ControlPresence presence) {}
+    private record Told(Instant at, ControlInstanceStatus presence) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
@@ -105,14 +105,14 @@
     }
 
     void answer(Instant now, StatusRead e, Consumer<? super ControlEffect> effects) {
-        List<ControlPresence> controls = new ArrayList<>();
+        List<ControlInstanceStatus> controls = new ArrayList<>();
         controls.add(mReplica.presence(now));
         controls.addAll(mPeers.all());
-        List<BackendPresence> backends =
+        List<BackendServerStatus> backends =
                 mMembership.backends().stream()
                         .map(
                                 b ->
-                                        new BackendPresence(
+                                        new BackendServerStatus(
                                                 b,
                                                 mMembership.report(b.ref().id()),
                                                 mReplica.state().isDrainOrdered(b.ref().id())))
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterPresence.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterInstanceStatus.java
@@ -8,6 +8,6 @@
  *
  * @param report what it told of itself
  * @param settingsPosition the log position of the settings that it has
- * @param heard when it exchanged last, by that instance's clock
+ * @param lastExchange when it exchanged last, by that instance's clock
  */
-public record RouterPresence(RouterReport report, long settingsPosition, Instant heard) {}
+public record RouterInstanceStatus(RouterReport report, long settingsPosition, Instant lastExchange) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
@@ -12,24 +12,24 @@
 final class RouterTable {
     private static final Duration KEPT = Duration.ofMinutes(1);
 
-    private final Map<String, RouterPresence> mOwn = new TreeMap<>();
-    private final Map<String, RouterPresence> mAll = new TreeMap<>();
+    private final Map<String, RouterInstanceStatus> mOwn = new TreeMap<>();
+    private final Map<String, RouterInstanceStatus> mAll = new TreeMap<>();
 
-    void heard(RouterPresence router) {
+    void heard(RouterInstanceStatus router) {
         mOwn.put(router.report().name(), router);
         mAll.put(router.report().name(), router);
     }
 
-    void told(Collection<RouterPresence> routers) {
-        for (RouterPresence r : routers) {
-            RouterPresence known = mAll.get(r.report().name());
-            if (known == null || r.heard().isAfter(known.heard())) {
+    void told(Collection<RouterInstanceStatus> routers) {
+        for (RouterInstanceStatus r : routers) {
+            RouterInstanceStatus known = mAll.get(r.report().name());
+            if (known == null || r.lastExchange().isAfter(known.lastExchange())) {
                 mAll.put(r.report().name(), r);
             }
         }
     }
 
-    List<RouterPresence> own() {
+    List<RouterInstanceStatus> own() {
         return new ArrayList<>(mOwn.values());
     }
 
@@ -38,13 +38,13 @@
         return mAll.size();
     }
 
-    List<RouterPresence> all() {
+    List<RouterInstanceStatus> all() {
         return new ArrayList<>(mAll.values());
     }
 
     void forget(Instant now) {
         Instant latest = now.minus(KEPT);
-        mOwn.values().removeIf(r -> r.heard().isBefore(latest));
-        mAll.values().removeIf(r -> r.heard().isBefore(latest));
+        mOwn.values().removeIf(r -> r.lastExchange().isBefore(latest));
+        mAll.values().removeIf(r -> r.lastExchange().isBefore(latest));
     }
 }
