--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -222,7 +222,7 @@
         Duration election = mFile.electionTimeout();
         MembershipConfig defaults = MembershipConfig.builder(mFile.name(), incarnation).build();
         return ControlConfig.builder(self, incarnation, addresses)
-                .open(mFile.isOpen())
+                .autoJoin(mFile.isOpen())
                 .consensus(
                         ConsensusConfig.builder()
                                 .electionTimeout(election)
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -18,7 +18,7 @@
  * @param consensus times and bounds of the replicated log
  * @param membership times and bounds of the membership
  * @param limits how much the state machine keeps
- * @param open whether control instances that no settings name join by themselves; the name of each
+ * @param autoJoin whether control instances that no settings name join by themselves; the name of each
  *     is its address then
  */
 public record ControlConfig(
@@ -31,7 +31,7 @@
         ConsensusConfig consensus,
         MembershipConfig membership,
         ControlState.Limits limits,
-        boolean open) {
+        boolean autoJoin) {
 
     /**
      * Returns a builder with the defaults.
@@ -60,7 +60,7 @@
         if (id == null) {
             return "";
         }
-        return addresses.getOrDefault(id.name(), open ? id.name() : "");
+        return addresses.getOrDefault(id.name(), autoJoin ? id.name() : "");
     }
 
     /** Builds a {@link ControlConfig}. */
@@ -90,7 +90,7 @@
         }
 
         /** Lets control instances join by themselves; the name of each is its address. */
-        public Builder open(boolean open) {
+        public Builder autoJoin(boolean open) {
             mOpen = open;
             return this;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
@@ -28,7 +28,7 @@
 
     ControlPeers(ControlConfig config, Consumer<String> onForgotten) {
         mSelf = config.name();
-        mOpen = config.open();
+        mOpen = config.autoJoin();
         mAddresses = config.addresses();
         mNamed.addAll(config.addresses().keySet());
         mNamed.remove(mSelf);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -71,7 +71,7 @@
         mLoads = new LoadSharing(config, mMembership);
         mExchanges = new Exchanges(mMembership, mReplica, mRouters, mCrashes, mLoads, mNotes);
         mQueries = new Queries(mMembership, mReplica, mRouters, mCrashes, mLoads, presences);
-        mRepair = new ReplicaRepair(mReplica, presences, config.open());
+        mRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
         mDirect = new DirectSessions(mMembership, this::mayBeService);
         mSharing =
                 new PeerSharing(
