--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -14,7 +14,7 @@
  * @param addresses every control instance by name, this one included, host:port
  * @param exchangeInterval how often sidecars and routers exchange
  * @param shareInterval how often control instances tell each other what they hear
- * @param freshFor how long contact with the leader shows that nothing newer was accepted
+ * @param staleAfter how long contact with the leader shows that nothing newer was accepted
  * @param consensus times and bounds of the replicated log
  * @param membership times and bounds of the membership
  * @param limits how much the state machine keeps
@@ -27,7 +27,7 @@
         Map<String, String> addresses,
         Duration exchangeInterval,
         Duration shareInterval,
-        Duration freshFor,
+        Duration staleAfter,
         ConsensusConfig consensus,
         MembershipConfig membership,
         ControlState.Limits limits,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -49,7 +49,7 @@
         mCodec = codec;
         mState = new ControlState(config.limits());
         mAgreement = new ConsensusReducer(config.replica(), config.consensus(), seed);
-        mFreshness = new Freshness(mAgreement, config.freshFor());
+        mFreshness = new Freshness(mAgreement, config.staleAfter());
         mNotes = notes;
     }
 
