--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -54,7 +54,7 @@
         ControlConfig config = ControlConfig.builder(self, Samples.RUN, addresses).build();
         mControl = new ControlReducer(config, new CommandCodec(), 1);
         step(
-                new ControlEvent.Replica(
+                new ControlEvent.ReplicaEvent(
                         new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
         fill(backends);
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -91,7 +91,7 @@
         try {
             byte[] state = mCodec.encode(s.snapshot());
             sLogger.atInfo().log("snapshot at %d taken: %d B", s.index(), state.length);
-            mEvents.accept(new ControlEvent.Replica(new SnapshotTaken(s.index(), state)));
+            mEvents.accept(new ControlEvent.ReplicaEvent(new SnapshotTaken(s.index(), state)));
         } catch (RuntimeException | Error e) {
             Program.fail("the state can't be encoded", e);
         }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -212,7 +212,7 @@
                         mEffects,
                         Program::halt);
         // First of all events: before it the replica knows neither its vote nor its log.
-        loop.offer(new ControlEvent.Replica(recovered));
+        loop.offer(new ControlEvent.ReplicaEvent(recovered));
         mLog.start();
         loop.start();
         mLoop.complete(loop);
@@ -270,7 +270,7 @@
     }
 
     private void persisted(long sequence) {
-        offer(new ControlEvent.Replica(new Persisted(sequence)));
+        offer(new ControlEvent.ReplicaEvent(new Persisted(sequence)));
     }
 
     /** While the server still runs: the successor's votes and the last answers pass through it. */
@@ -278,7 +278,7 @@
         if (!mLoop.isDone()) {
             return;
         }
-        offer(new ControlEvent.Replica(new ConsensusEvent.LeadershipTransferRequested()));
+        offer(new ControlEvent.ReplicaEvent(new ConsensusEvent.LeadershipTransferRequested()));
         // Whatever happens, the instance stops; the others then elect after their timeout.
         mEffects.handedOver()
                 .completeOnTimeout(null, HAND_OVER.toMillis(), TimeUnit.MILLISECONDS)
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -57,7 +57,7 @@
         }
         mNodes.forEach(Node::start);
         Membership first = Membership.ofVoters(ids);
-        mNodes.get(0).offer(new ControlEvent.Replica(new ConsensusEvent.Bootstrapped(first)));
+        mNodes.get(0).offer(new ControlEvent.ReplicaEvent(new ConsensusEvent.Bootstrapped(first)));
     }
 
     long now() {
@@ -148,7 +148,7 @@
             List<LogEntry> entries =
                     new ArrayList<>(mLog.tailMap(mSnapshot.index(), false).values());
             offer(
-                    new ControlEvent.Replica(
+                    new ControlEvent.ReplicaEvent(
                             new ConsensusEvent.Recovered(
                                     mHardState, mSnapshot, entries, mDiskCommitted)));
             tick(mRun);
@@ -195,7 +195,7 @@
                 byte[] state = new CommandCodec().encode(s.snapshot());
                 offerLater(
                         5,
-                        new ControlEvent.Replica(
+                        new ControlEvent.ReplicaEvent(
                                 new ConsensusEvent.SnapshotTaken(s.index(), state)));
             }
         }
@@ -222,7 +222,7 @@
             Node to = node(s.to().name());
             if (!mCutOff && !to.mCutOff && to.mId.equals(s.to())) {
                 to.offer(
-                        new ControlEvent.Replica(
+                        new ControlEvent.ReplicaEvent(
                                 new ConsensusEvent.MessageReceived(mId, s.message())));
             }
         }
@@ -236,7 +236,7 @@
                         if (run == mRun && mReducer != null) {
                             write(p);
                             offer(
-                                    new ControlEvent.Replica(
+                                    new ControlEvent.ReplicaEvent(
                                             new ConsensusEvent.Persisted(p.sequence())));
                         }
                     });
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
@@ -64,10 +64,10 @@
                         .build();
         mReducer = new ControlReducer(config, new CommandCodec(), 1);
         step(
-                new ControlEvent.Replica(
+                new ControlEvent.ReplicaEvent(
                         new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of())));
         step(
-                new ControlEvent.Replica(
+                new ControlEvent.ReplicaEvent(
                         new ConsensusEvent.Bootstrapped(Membership.ofVoters(List.of(self)))));
     }
 
@@ -171,7 +171,7 @@
         while (mPersisted != 0) {
             long sequence = mPersisted;
             mPersisted = 0;
-            ControlEvent synced = new ControlEvent.Replica(new ConsensusEvent.Persisted(sequence));
+            ControlEvent synced = new ControlEvent.ReplicaEvent(new ConsensusEvent.Persisted(sequence));
             mReducer.step(mNow, synced, this::take);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -27,7 +27,7 @@
     record Tick() implements ControlEvent {}
 
     /** Something happened to the replica of the log. */
-    record Replica(ConsensusEvent event) implements ControlEvent {}
+    record ReplicaEvent(ConsensusEvent event) implements ControlEvent {}
 
     /** A sidecar reports and asks for what is new. */
     record SidecarExchanged(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -91,7 +91,7 @@
         mEffects = effects;
         if (event instanceof ControlEvent.Tick) {
             tick();
-        } else if (event instanceof ControlEvent.Replica e) {
+        } else if (event instanceof ControlEvent.ReplicaEvent e) {
             mReplica.step(now, e.event(), effects);
         } else if (event instanceof SidecarExchanged e) {
             mExchanges.answer(now, e, effects);
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -99,7 +99,7 @@
                     ControlConfig.builder(new ReplicaId(mName, 1), mStarts, mAddresses).build();
             mReducer = new ControlReducer(config, null, mTime.random().nextLong());
             offer(
-                    new ControlEvent.Replica(
+                    new ControlEvent.ReplicaEvent(
                             new ConsensusEvent.Recovered(
                                     HardState.INITIAL, Snapshot.NONE, List.of(), 0)));
         }
