--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstSettings.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstSettings.java
@@ -58,7 +58,7 @@
     /** Tries until settings are in force, from this file or otherwise. */
     public void begin() {
         mEvents.accept(
-                new ControlEvent.SettingsRead(mCalls.open(this::onSettings), null, false, 0));
+                new ControlEvent.SettingsRequested(mCalls.open(this::onSettings), null, false, 0));
     }
 
     private void onSettings(Answer answer) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlGateway.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlGateway.java
@@ -73,6 +73,6 @@
      * @param answer an AnswerSource, or a Refuse that says which instance to ask
      */
     public void readSource(Consumer<Answer> answer) {
-        mEvents.accept(new ControlEvent.SourceRead(mCalls.open(answer)));
+        mEvents.accept(new ControlEvent.SourceRequested(mCalls.open(answer)));
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
@@ -223,7 +223,7 @@
             return;
         }
         mEvents.accept(
-                new ControlEvent.SettingsRead(
+                new ControlEvent.SettingsRequested(
                         mCalls.open(out, Replies::settings),
                         path,
                         r.getLinearizable(),
@@ -243,7 +243,7 @@
         }
         int limit = r.getLimit() == 0 ? MOST_HISTORY : Math.min(r.getLimit(), MOST_HISTORY);
         mEvents.accept(
-                new ControlEvent.HistoryRead(mCalls.open(out, Replies::history), path, limit));
+                new ControlEvent.HistoryRequested(mCalls.open(out, Replies::history), path, limit));
     }
 
     private static NodePath path(String text) {
@@ -252,13 +252,13 @@
 
     @Override
     public void status(StatusRequest r, StreamObserver<StatusReply> out) {
-        mEvents.accept(new ControlEvent.StatusRead(mCalls.open(out, StatusReplies::status)));
+        mEvents.accept(new ControlEvent.StatusRequested(mCalls.open(out, StatusReplies::status)));
     }
 
     @Override
     public void release(ReleaseRequest r, StreamObserver<ReleaseReply> out) {
         mEvents.accept(
-                new ControlEvent.ReleaseOrdered(
+                new ControlEvent.ReleaseRequested(
                         mCalls.open(out, Replies::release),
                         new RequestKey(r.getAccount(), r.getFingerprint()),
                         r.getAuthor()));
@@ -283,6 +283,6 @@
                             .build());
             return;
         }
-        mEvents.accept(new ControlEvent.MembersChanged(mCalls.open(out, Replies::members), change));
+        mEvents.accept(new ControlEvent.MembershipChangeRequested(mCalls.open(out, Replies::members), change));
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
@@ -125,7 +125,7 @@
         ElapsedClock.Mark now = mClock.mark();
         mAsked = now;
         mEvents.accept(
-                new ControlEvent.SettingsRead(
+                new ControlEvent.SettingsRequested(
                         mCalls.open(a -> onLocal(now, a)), NodePath.DEPLOYMENT, true, 0));
     }
 
@@ -173,7 +173,7 @@
     /** What the leader has accepted counts here once it has been applied here. */
     private void checkApplied(ElapsedClock.Mark asked, long position) {
         mEvents.accept(
-                new ControlEvent.SettingsRead(
+                new ControlEvent.SettingsRequested(
                         mCalls.open(a -> onApplied(asked, position, a)),
                         NodePath.DEPLOYMENT,
                         false,
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
@@ -10,7 +10,7 @@
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
 import org.laurelweir.coordination.ControlEffect.AnswerExchange;
 import org.laurelweir.coordination.ControlEffect.AnswerHistory;
-import org.laurelweir.coordination.ControlEffect.AnswerMembers;
+import org.laurelweir.coordination.ControlEffect.AnswerMembership;
 import org.laurelweir.coordination.ControlEffect.AnswerSettings;
 import org.laurelweir.coordination.ControlEffect.Refuse;
 import org.laurelweir.settings.NodeFault;
@@ -164,7 +164,7 @@
                     .setLeader(r.leader())
                     .build();
         }
-        AnswerMembers a = (AnswerMembers) answer;
+        AnswerMembership a = (AnswerMembership) answer;
         a.members().voters().forEach(v -> reply.addVoters(ReplicaCodec.toWire(v)));
         a.members().learners().forEach(l -> reply.addLearners(ReplicaCodec.toWire(l)));
         return reply.build();
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/WholeTreeHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/WholeTreeHistoryTest.java
@@ -127,14 +127,14 @@
         controls.mNodes.forEach(
                 asked ->
                         asked.call(
-                                ControlEvent.SourceRead::new,
+                                ControlEvent.SourceRequested::new,
                                 a -> {
                                     if (a instanceof AnswerSource s) {
                                         source.set(s);
                                     }
                                 }));
         n.call(
-                call -> new ControlEvent.SettingsRead(call, null, false, 0),
+                call -> new ControlEvent.SettingsRequested(call, null, false, 0),
                 a -> nodes.set(((AnswerSettings) a).nodes()));
         controls.run(1_000);
         long revision = source.get().revision();
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -102,7 +102,7 @@
     record AnswerReleased(long call) implements Answer {}
 
     /** Answer a change of the replicas that was carried out. */
-    record AnswerMembers(long call, Membership members) implements Answer {}
+    record AnswerMembership(long call, Membership members) implements Answer {}
 
     /** Answer a peer. */
     record AnswerPeer(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -64,7 +64,7 @@
     record BackendWithdrawn(long call, BackendRef backend) implements ControlEvent {}
 
     /** Someone reads the operator's own text of the settings, the newest that was accepted. */
-    record SourceRead(long call) implements ControlEvent {}
+    record SourceRequested(long call) implements ControlEvent {}
 
     /** Someone wants a command carried out; the time in it is replaced by the leader's. */
     record CommandReceived(long call, Command command) implements ControlEvent {}
@@ -76,7 +76,7 @@
      * @param linearizable whether to refuse rather than answer what may be stale
      * @param position an earlier log position, or 0 for what is in force
      */
-    record SettingsRead(long call, NodePath path, boolean linearizable, long position)
+    record SettingsRequested(long call, NodePath path, boolean linearizable, long position)
             implements ControlEvent {}
 
     /**
@@ -84,16 +84,16 @@
      *
      * @param path only those of one node, or null for all
      */
-    record HistoryRead(long call, NodePath path, int limit) implements ControlEvent {}
+    record HistoryRequested(long call, NodePath path, int limit) implements ControlEvent {}
 
     /** An operator asks how the fleet does. */
-    record StatusRead(long call) implements ControlEvent {}
+    record StatusRequested(long call) implements ControlEvent {}
 
     /** An operator wants a request sent again that is kept away from backend servers. */
-    record ReleaseOrdered(long call, RequestKey key, String author) implements ControlEvent {}
+    record ReleaseRequested(long call, RequestKey key, String author) implements ControlEvent {}
 
     /** An operator wants the replicas changed by one step. */
-    record MembersChanged(long call, MembershipChange change) implements ControlEvent {}
+    record MembershipChangeRequested(long call, MembershipChange change) implements ControlEvent {}
 
     /**
      * A peer asks for what is heard here.
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -9,17 +9,17 @@
 import org.laurelweir.coordination.ControlEvent.BackendAnnounced;
 import org.laurelweir.coordination.ControlEvent.BackendWithdrawn;
 import org.laurelweir.coordination.ControlEvent.CommandReceived;
-import org.laurelweir.coordination.ControlEvent.HistoryRead;
-import org.laurelweir.coordination.ControlEvent.MembersChanged;
+import org.laurelweir.coordination.ControlEvent.HistoryRequested;
+import org.laurelweir.coordination.ControlEvent.MembershipChangeRequested;
 import org.laurelweir.coordination.ControlEvent.PeerAnnounced;
 import org.laurelweir.coordination.ControlEvent.PeerAnswered;
 import org.laurelweir.coordination.ControlEvent.PeerAsked;
-import org.laurelweir.coordination.ControlEvent.ReleaseOrdered;
+import org.laurelweir.coordination.ControlEvent.ReleaseRequested;
 import org.laurelweir.coordination.ControlEvent.RouterExchanged;
-import org.laurelweir.coordination.ControlEvent.SettingsRead;
+import org.laurelweir.coordination.ControlEvent.SettingsRequested;
 import org.laurelweir.coordination.ControlEvent.SidecarExchanged;
-import org.laurelweir.coordination.ControlEvent.SourceRead;
-import org.laurelweir.coordination.ControlEvent.StatusRead;
+import org.laurelweir.coordination.ControlEvent.SourceRequested;
+import org.laurelweir.coordination.ControlEvent.StatusRequested;
 import org.laurelweir.lib.Reducer;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.membership.Backend;
@@ -119,17 +119,17 @@
             mMembership.mergeEarly(mNow, e.announcements());
             mCrashes.announced(mNow, e.crashes());
             mLoads.toldByPeer(mNow, e.loads());
-        } else if (event instanceof SettingsRead e) {
+        } else if (event instanceof SettingsRequested e) {
             mQueries.answer(mNow, e, mEffects);
-        } else if (event instanceof SourceRead e) {
+        } else if (event instanceof SourceRequested e) {
             mQueries.answer(mNow, e, mEffects);
-        } else if (event instanceof HistoryRead e) {
+        } else if (event instanceof HistoryRequested e) {
             mQueries.answer(e, mEffects);
-        } else if (event instanceof StatusRead e) {
+        } else if (event instanceof StatusRequested e) {
             mQueries.answer(mNow, e, mEffects);
-        } else if (event instanceof ReleaseOrdered e) {
+        } else if (event instanceof ReleaseRequested e) {
             onReleaseOrdered(e);
-        } else if (event instanceof MembersChanged e) {
+        } else if (event instanceof MembershipChangeRequested e) {
             mReplica.change(mNow, e.call(), e.change(), mEffects);
         }
     }
@@ -186,7 +186,7 @@
         mReplica.propose(mNow, e.call(), e.command(), mEffects);
     }
 
-    private void onReleaseOrdered(ReleaseOrdered e) {
+    private void onReleaseOrdered(ReleaseRequested e) {
         if (mCrashes.release(mNow, e.key())) {
             mNotes.released(mNow, e.key(), e.author(), mEffects);
             mEffects.accept(new ControlEffect.AnswerReleased(e.call()));
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -17,7 +17,7 @@
 import org.laurelweir.agreement.Role;
 import org.laurelweir.agreement.Snapshot;
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
-import org.laurelweir.coordination.ControlEffect.AnswerMembers;
+import org.laurelweir.coordination.ControlEffect.AnswerMembership;
 import org.laurelweir.coordination.ControlEffect.EncodeSnapshot;
 import org.laurelweir.coordination.ControlEffect.Refuse;
 import org.laurelweir.lib.ResultCode;
@@ -187,7 +187,7 @@
 
     private void accepted(long call) {
         if (mMemberChanges.remove(call)) {
-            mEffects.accept(new AnswerMembers(call, mAgreement.membership()));
+            mEffects.accept(new AnswerMembership(call, mAgreement.membership()));
             return;
         }
         if (isOvertaken(mCommands.get(call))) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
@@ -10,10 +10,10 @@
 import org.laurelweir.coordination.ControlEffect.AnswerSource;
 import org.laurelweir.coordination.ControlEffect.AnswerStatus;
 import org.laurelweir.coordination.ControlEffect.Refuse;
-import org.laurelweir.coordination.ControlEvent.HistoryRead;
-import org.laurelweir.coordination.ControlEvent.SettingsRead;
-import org.laurelweir.coordination.ControlEvent.SourceRead;
-import org.laurelweir.coordination.ControlEvent.StatusRead;
+import org.laurelweir.coordination.ControlEvent.HistoryRequested;
+import org.laurelweir.coordination.ControlEvent.SettingsRequested;
+import org.laurelweir.coordination.ControlEvent.SourceRequested;
+import org.laurelweir.coordination.ControlEvent.StatusRequested;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.membership.SharedMembership;
 import org.laurelweir.settings.NodePath;
@@ -45,7 +45,7 @@
         mPeers = peers;
     }
 
-    void answer(Instant now, SettingsRead e, Consumer<? super ControlEffect> effects) {
+    void answer(Instant now, SettingsRequested e, Consumer<? super ControlEffect> effects) {
         if (e.linearizable()) {
             mReplica.read(now, e.call(), () -> answerNow(e, effects), effects);
         } else {
@@ -53,7 +53,7 @@
         }
     }
 
-    private void answerNow(SettingsRead e, Consumer<? super ControlEffect> effects) {
+    private void answerNow(SettingsRequested e, Consumer<? super ControlEffect> effects) {
         SettingsTree tree = mReplica.state().settings().tree();
         if (e.position() > 0) {
             Optional<SettingsTree> earlier = mReplica.state().settings().treeAt(e.position());
@@ -71,7 +71,7 @@
         return path == null ? tree.nodes() : tree.node(path).map(List::of).orElse(List.of());
     }
 
-    void answer(Instant now, SourceRead e, Consumer<? super ControlEffect> effects) {
+    void answer(Instant now, SourceRequested e, Consumer<? super ControlEffect> effects) {
         Runnable answer =
                 () -> {
                     SettingsStore settings = mReplica.state().settings();
@@ -81,7 +81,7 @@
         mReplica.read(now, e.call(), answer, effects);
     }
 
-    void answer(HistoryRead e, Consumer<? super ControlEffect> effects) {
+    void answer(HistoryRequested e, Consumer<? super ControlEffect> effects) {
         effects.accept(
                 new AnswerHistory(
                         e.call(),
@@ -104,7 +104,7 @@
                 peers);
     }
 
-    void answer(Instant now, StatusRead e, Consumer<? super ControlEffect> effects) {
+    void answer(Instant now, StatusRequested e, Consumer<? super ControlEffect> effects) {
         List<ControlInstanceStatus> controls = new ArrayList<>();
         controls.add(mReplica.presence(now));
         controls.addAll(mPeers.all());
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
@@ -189,7 +189,7 @@
         RequestKey key = RoutedFleet.keyOf(SAFE, FleetServers.CRASHING_BODY);
         ControlEffect.Answer[] told = new ControlEffect.Answer[1];
         fleet.mControls.call(
-                0, call -> new ControlEvent.ReleaseOrdered(call, key, "op"), a -> told[0] = a);
+                0, call -> new ControlEvent.ReleaseRequested(call, key, "op"), a -> told[0] = a);
         fleet.mTime.run(KNOWN_AFTER_MILLIS);
         assertThat(told[0]).isInstanceOf(ControlEffect.AnswerReleased.class);
         sendOthers(fleet, SAFE);
