--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -150,9 +150,9 @@
     private void share() {
         mPeerVersion++;
         for (int i = 2; i <= INSTANCES; i++) {
-            step(new ControlEvent.PeerAsked(1, "peer", mCursor, 0, false));
+            step(new ControlEvent.PeerUpdateRequested(1, "peer", mCursor, 0, false));
             step(
-                    new ControlEvent.PeerAnswered(
+                    new ControlEvent.PeerUpdateReceived(
                             name(i), peerShare(name(i)), CrashDelta.NONE, List.of(), peer(i)));
         }
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -67,7 +67,7 @@
             mLog.markCommitted(m.index());
         } else if (e instanceof ControlEffect.SendToReplica s) {
             mPeers.send(s.send());
-        } else if (e instanceof ControlEffect.AskPeer a) {
+        } else if (e instanceof ControlEffect.RequestPeerUpdate a) {
             mPeers.ask(a);
         } else if (e instanceof ControlEffect.AnnounceToPeers a) {
             mPeers.announce(a);
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -16,7 +16,7 @@
 import org.laurelweir.agreement.ConsensusEffect;
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.coordination.ControlEffect.AnnounceToPeers;
-import org.laurelweir.coordination.ControlEffect.AskPeer;
+import org.laurelweir.coordination.ControlEffect.RequestPeerUpdate;
 import org.laurelweir.coordination.ControlEvent;
 import org.laurelweir.runtime.rpc.Channels;
 import org.laurelweir.wire.CrashCodec;
@@ -115,7 +115,7 @@
     }
 
     /** Asks a peer what it hears, unless it still owes an answer. */
-    public void ask(AskPeer ask) {
+    public void ask(RequestPeerUpdate ask) {
         String address = addressOf(ask.peer());
         if (address == null || !mAsked.add(ask.peer())) {
             return;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerRpc.java
@@ -32,7 +32,7 @@
     public void shareMembership(
             ShareMembershipRequest r, StreamObserver<ShareMembershipReply> out) {
         mEvents.accept(
-                new ControlEvent.PeerAsked(
+                new ControlEvent.PeerUpdateRequested(
                         mCalls.open(out, StatusReplies::share),
                         r.getControl(),
                         MembershipCodec.toCore(r.getCursor()),
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -7,9 +7,9 @@
 import org.laurelweir.agreement.ReplicaId;
 import org.laurelweir.coordination.BackendServerStatus;
 import org.laurelweir.coordination.ControlEffect.Answer;
-import org.laurelweir.coordination.ControlEffect.AnswerPeer;
+import org.laurelweir.coordination.ControlEffect.AnswerPeerUpdate;
 import org.laurelweir.coordination.ControlEffect.AnswerStatus;
-import org.laurelweir.coordination.ControlEvent.PeerAnswered;
+import org.laurelweir.coordination.ControlEvent.PeerUpdateReceived;
 import org.laurelweir.coordination.ControlInstanceStatus;
 import org.laurelweir.coordination.FleetStatus;
 import org.laurelweir.coordination.RouterInstanceStatus;
@@ -42,7 +42,7 @@
     }
 
     static ShareMembershipReply share(Answer answer) {
-        AnswerPeer a = (AnswerPeer) answer;
+        AnswerPeerUpdate a = (AnswerPeerUpdate) answer;
         ShareMembershipReply.Builder reply =
                 ShareMembershipReply.newBuilder()
                         .setCursor(MembershipCodec.toWire(a.share().cursor()))
@@ -55,9 +55,9 @@
         return reply.build();
     }
 
-    static PeerAnswered toCore(String peer, ShareMembershipReply m) {
+    static PeerUpdateReceived toCore(String peer, ShareMembershipReply m) {
         List<ServiceSum> sums = m.getSumsList().stream().map(StatusReplies::toCore).toList();
-        return new PeerAnswered(
+        return new PeerUpdateReceived(
                 peer,
                 new PeerShare(
                         MembershipCodec.toCore(m.getCursor()),
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
@@ -11,7 +11,7 @@
 import org.laurelweir.control.history.SimulatedControls.Node;
 import org.laurelweir.coordination.Command;
 import org.laurelweir.coordination.ControlEffect.AnswerExchange;
-import org.laurelweir.coordination.ControlEffect.AnswerPeer;
+import org.laurelweir.coordination.ControlEffect.AnswerPeerUpdate;
 import org.laurelweir.coordination.ControlEvent;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.load.LoadReport;
@@ -119,14 +119,14 @@
     }
 
     private void share(Node from, Node to) {
-        List<AnswerPeer> answers = new ArrayList<>();
+        List<AnswerPeerUpdate> answers = new ArrayList<>();
         from.call(
-                call -> new ControlEvent.PeerAsked(call, "peer", MembershipCursor.NONE, 0, true),
-                a -> answers.add((AnswerPeer) a));
+                call -> new ControlEvent.PeerUpdateRequested(call, "peer", MembershipCursor.NONE, 0, true),
+                a -> answers.add((AnswerPeerUpdate) a));
         mControls.run(10);
-        AnswerPeer told = answers.get(0);
+        AnswerPeerUpdate told = answers.get(0);
         to.offer(
-                new ControlEvent.PeerAnswered(
+                new ControlEvent.PeerUpdateReceived(
                         from.mId.name(),
                         told.share(),
                         told.crashes(),
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -105,7 +105,7 @@
     record AnswerMembership(long call, Membership members) implements Answer {}
 
     /** Answer a peer. */
-    record AnswerPeer(
+    record AnswerPeerUpdate(
             long call,
             PeerShare share,
             CrashDelta crashes,
@@ -118,7 +118,7 @@
      *
      * @param crashesSeen how far its records of crashes are known here
      */
-    record AskPeer(String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
+    record RequestPeerUpdate(String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
             implements ControlEffect {}
 
     /** Tell peers at once what changed here; it may be lost. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -100,12 +100,12 @@
      *
      * @param crashesSeen how far it has this instance's records of crashes
      */
-    record PeerAsked(
+    record PeerUpdateRequested(
             long call, String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
             implements ControlEvent {}
 
     /** A peer answered what it hears. */
-    record PeerAnswered(
+    record PeerUpdateReceived(
             String peer,
             PeerShare share,
             CrashDelta crashes,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -12,8 +12,8 @@
 import org.laurelweir.coordination.ControlEvent.HistoryRequested;
 import org.laurelweir.coordination.ControlEvent.MembershipChangeRequested;
 import org.laurelweir.coordination.ControlEvent.PeerAnnounced;
-import org.laurelweir.coordination.ControlEvent.PeerAnswered;
-import org.laurelweir.coordination.ControlEvent.PeerAsked;
+import org.laurelweir.coordination.ControlEvent.PeerUpdateReceived;
+import org.laurelweir.coordination.ControlEvent.PeerUpdateRequested;
 import org.laurelweir.coordination.ControlEvent.ReleaseRequested;
 import org.laurelweir.coordination.ControlEvent.RouterExchanged;
 import org.laurelweir.coordination.ControlEvent.SettingsRequested;
@@ -111,9 +111,9 @@
     }
 
     private void takeRest(ControlEvent event) {
-        if (event instanceof PeerAsked e) {
+        if (event instanceof PeerUpdateRequested e) {
             mSharing.answer(mNow, e, mEffects);
-        } else if (event instanceof PeerAnswered e) {
+        } else if (event instanceof PeerUpdateReceived e) {
             mSharing.take(mNow, e);
         } else if (event instanceof PeerAnnounced e) {
             mMembership.mergeEarly(mNow, e.announcements());
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.laurelweir.coordination.ControlEffect.AnnounceToPeers;
-import org.laurelweir.coordination.ControlEffect.AnswerPeer;
-import org.laurelweir.coordination.ControlEffect.AskPeer;
-import org.laurelweir.coordination.ControlEvent.PeerAnswered;
-import org.laurelweir.coordination.ControlEvent.PeerAsked;
+import org.laurelweir.coordination.ControlEffect.AnswerPeerUpdate;
+import org.laurelweir.coordination.ControlEffect.RequestPeerUpdate;
+import org.laurelweir.coordination.ControlEvent.PeerUpdateReceived;
+import org.laurelweir.coordination.ControlEvent.PeerUpdateRequested;
 import org.laurelweir.load.PeerLoads;
 import org.laurelweir.membership.Announcement;
 import org.laurelweir.membership.Backend;
@@ -81,15 +81,15 @@
         mPeers.forget(now);
         for (String peer : mPeers.all()) {
             effects.accept(
-                    new AskPeer(
+                    new RequestPeerUpdate(
                             peer, mMembership.cursorOf(peer), mCrashes.seenOf(peer), withRouters));
         }
     }
 
-    void answer(Instant now, PeerAsked e, Consumer<? super ControlEffect> effects) {
+    void answer(Instant now, PeerUpdateRequested e, Consumer<? super ControlEffect> effects) {
         mPeers.learn(now, e.peer());
         effects.accept(
-                new AnswerPeer(
+                new AnswerPeerUpdate(
                         e.call(),
                         mMembership.shareSince(e.cursor()),
                         mCrashes.answer(now, e.cursor(), e.crashesSeen()),
@@ -97,7 +97,7 @@
                         mReplica.presence(now)));
     }
 
-    void take(Instant now, PeerAnswered e) {
+    void take(Instant now, PeerUpdateReceived e) {
         mMembership.merge(now, e.peer(), e.share());
         mCrashes.answered(now, e.peer(), e.crashes());
         mRouters.told(e.routers());
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -120,7 +120,7 @@
             if (effect instanceof ControlEffect.Answer a) {
                 Consumer<ControlEffect.Answer> taker = mCalls.remove(a.call());
                 transit(() -> taker.accept(a));
-            } else if (effect instanceof ControlEffect.AskPeer e) {
+            } else if (effect instanceof ControlEffect.RequestPeerUpdate e) {
                 ask(e);
             } else if (effect instanceof ControlEffect.AnnounceToPeers e) {
                 ControlEvent event =
@@ -129,18 +129,18 @@
             }
         }
 
-        private void ask(ControlEffect.AskPeer e) {
+        private void ask(ControlEffect.RequestPeerUpdate e) {
             LongFunction<ControlEvent> question =
                     call ->
-                            new ControlEvent.PeerAsked(
+                            new ControlEvent.PeerUpdateRequested(
                                     call, mName, e.cursor(), e.crashesSeen(), e.withRouters());
             transit(() -> node(e.peer()).call(question, a -> answered(e.peer(), a)));
         }
 
         private void answered(String peer, ControlEffect.Answer answer) {
-            ControlEffect.AnswerPeer a = (ControlEffect.AnswerPeer) answer;
+            ControlEffect.AnswerPeerUpdate a = (ControlEffect.AnswerPeerUpdate) answer;
             offer(
-                    new ControlEvent.PeerAnswered(
+                    new ControlEvent.PeerUpdateReceived(
                             peer, a.share(), a.crashes(), a.routers(), a.status()));
         }
     }
