--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
@@ -9,7 +9,7 @@
 import org.laurelweir.coordination.ControlEffect.Answer;
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
 import org.laurelweir.coordination.ControlEffect.AnswerExchange;
-import org.laurelweir.coordination.ControlEffect.Refuse;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.coordination.ControlEffect.Reported;
 import org.laurelweir.runtime.metrics.Readiness;
 
@@ -62,7 +62,7 @@
             mExchanges.mark();
         } else if (answer instanceof AnswerCommand) {
             mCommands.mark();
-        } else if (answer instanceof Refuse) {
+        } else if (answer instanceof AnswerError) {
             mRefusals.mark();
         }
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.laurelweir.coordination.ControlEffect.Answer;
 import org.laurelweir.coordination.ControlEffect.AnswerSettings;
-import org.laurelweir.coordination.ControlEffect.Refuse;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.coordination.ControlEvent;
 import org.laurelweir.runtime.process.ElapsedClock;
 import org.laurelweir.runtime.rpc.Channels;
@@ -132,7 +132,7 @@
     private void onLocal(ElapsedClock.Mark asked, Answer answer) {
         if (answer instanceof AnswerSettings) {
             confirm(asked);
-        } else if (answer instanceof Refuse r && !r.leader().isEmpty()) {
+        } else if (answer instanceof AnswerError r && !r.leader().isEmpty()) {
             askLeader(asked, r.leader());
         } else {
             notConfirmed("no leader is known");
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
@@ -12,7 +12,7 @@
 import org.laurelweir.coordination.ControlEffect.AnswerHistory;
 import org.laurelweir.coordination.ControlEffect.AnswerMembership;
 import org.laurelweir.coordination.ControlEffect.AnswerSettings;
-import org.laurelweir.coordination.ControlEffect.Refuse;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.settings.NodeFault;
 import org.laurelweir.settings.SettingsAnswer;
 import org.laurelweir.wire.CrashCodec;
@@ -60,7 +60,7 @@
 
     static ChangeSettingsReply settingsChange(Answer answer) {
         ChangeSettingsReply.Builder reply = ChangeSettingsReply.newBuilder();
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return reply.setCode(r.code().number())
                     .setMessage(r.message())
                     .setLeader(r.leader())
@@ -77,7 +77,7 @@
 
     static ClaimReply claim(Answer answer) {
         ClaimReply.Builder reply = ClaimReply.newBuilder();
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return reply.setCode(r.code().number())
                     .setMessage(r.message())
                     .setLeader(r.leader())
@@ -94,7 +94,7 @@
     }
 
     static SettleClaimReply settleClaim(Answer answer) {
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return SettleClaimReply.newBuilder()
                     .setCode(r.code().number())
                     .setLeader(r.leader())
@@ -104,7 +104,7 @@
     }
 
     static DrainReply drain(Answer answer) {
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return DrainReply.newBuilder()
                     .setCode(r.code().number())
                     .setMessage(r.message())
@@ -115,7 +115,7 @@
     }
 
     static ReleaseReply release(Answer answer) {
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return ReleaseReply.newBuilder()
                     .setCode(r.code().number())
                     .setMessage(r.message())
@@ -125,7 +125,7 @@
     }
 
     static IssueFenceReply issueFence(Answer answer) {
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return IssueFenceReply.newBuilder()
                     .setCode(r.code().number())
                     .setLeader(r.leader())
@@ -136,7 +136,7 @@
     }
 
     static ReadSettingsReply settings(Answer answer) {
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return ReadSettingsReply.newBuilder()
                     .setCode(r.code().number())
                     .setMessage(r.message())
@@ -158,7 +158,7 @@
 
     static ChangeMembersReply members(Answer answer) {
         ChangeMembersReply.Builder reply = ChangeMembersReply.newBuilder();
-        if (answer instanceof Refuse r) {
+        if (answer instanceof AnswerError r) {
             return reply.setCode(r.code().number())
                     .setMessage(r.message())
                     .setLeader(r.leader())
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -77,7 +77,7 @@
      *     and won't be
      * @param leader the address to ask instead, or empty
      */
-    record Refuse(long call, ResultCode code, String message, String leader) implements Answer {}
+    record AnswerError(long call, ResultCode code, String message, String leader) implements Answer {}
 
     /** Answer a read of settings. */
     record AnswerSettings(long call, long position, List<SettingsNode> nodes) implements Answer {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -165,9 +165,9 @@
         }
     }
 
-    private static ControlEffect.Refuse unknownServer(long call, String id) {
+    private static ControlEffect.AnswerError unknownServer(long call, String id) {
         String message = "no backend server " + id + " has announced itself";
-        return new ControlEffect.Refuse(call, ResultCode.UNKNOWN_BACKEND_SERVER, message, "");
+        return new ControlEffect.AnswerError(call, ResultCode.UNKNOWN_BACKEND_SERVER, message, "");
     }
 
     /** Before any settings are known, backend servers of every service are heard. */
@@ -193,7 +193,7 @@
         } else {
             String message = "request " + e.key().fingerprintText() + " is not kept away";
             mEffects.accept(
-                    new ControlEffect.Refuse(e.call(), ResultCode.NOT_QUARANTINED, message, ""));
+                    new ControlEffect.AnswerError(e.call(), ResultCode.NOT_QUARANTINED, message, ""));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -19,7 +19,7 @@
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
 import org.laurelweir.coordination.ControlEffect.AnswerMembership;
 import org.laurelweir.coordination.ControlEffect.EncodeSnapshot;
-import org.laurelweir.coordination.ControlEffect.Refuse;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.lib.ResultCode;
 
 /**
@@ -215,7 +215,7 @@
     private void refuse(long call, ResultCode code, ReplicaId leader) {
         boolean leaderless = code == ResultCode.NOT_LEADER && leader == null;
         ResultCode told = leaderless ? ResultCode.NO_QUORUM : code;
-        mEffects.accept(new Refuse(call, told, message(told), mConfig.addressOf(leader)));
+        mEffects.accept(new AnswerError(call, told, message(told), mConfig.addressOf(leader)));
     }
 
     private String message(ResultCode code) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
@@ -9,7 +9,7 @@
 import org.laurelweir.coordination.ControlEffect.AnswerSettings;
 import org.laurelweir.coordination.ControlEffect.AnswerSource;
 import org.laurelweir.coordination.ControlEffect.AnswerStatus;
-import org.laurelweir.coordination.ControlEffect.Refuse;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.coordination.ControlEvent.HistoryRequested;
 import org.laurelweir.coordination.ControlEvent.SettingsRequested;
 import org.laurelweir.coordination.ControlEvent.SourceRequested;
@@ -59,7 +59,7 @@
             Optional<SettingsTree> earlier = mReplica.state().settings().treeAt(e.position());
             if (earlier.isEmpty() || e.position() > tree.position()) {
                 String message = "position " + e.position() + " is not kept here";
-                effects.accept(new Refuse(e.call(), ResultCode.BAD_REQUEST, message, ""));
+                effects.accept(new AnswerError(e.call(), ResultCode.BAD_REQUEST, message, ""));
                 return;
             }
             tree = earlier.get();
