--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -77,7 +77,7 @@
             mMetrics.reported(r);
         } else if (e instanceof ControlEffect.LeadershipTransferEnded) {
             mHandedOver.complete(null);
-        } else if (e instanceof ControlEffect.Decided d) {
+        } else if (e instanceof ControlEffect.LogDecision d) {
             DecisionLog.write(d.decision());
         }
     }
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/DirectEffects.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/DirectEffects.java
@@ -44,7 +44,7 @@
             mCallers.error(
                     new RouterEffect.AnswerError(
                             e.caller(), e.code(), e.message(), e.retryAfter()));
-        } else if (effect instanceof DirectEffect.Decided e) {
+        } else if (effect instanceof DirectEffect.LogDecision e) {
             mDecisions.accept(e.decision());
         }
     }
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/Effects.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/Effects.java
@@ -54,7 +54,7 @@
             mCallers.error(e);
         } else if (effect instanceof RouterEffect.SendExchange e) {
             mExchange.send(e);
-        } else if (effect instanceof RouterEffect.Decided e) {
+        } else if (effect instanceof RouterEffect.LogDecision e) {
             mDecisions.accept(e.decision());
         } else if (effect instanceof RouterEffect.Direct e) {
             mDirect.accept(e.effect());
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
@@ -53,7 +53,7 @@
             mParts.backend().cancel(e.attempt());
         } else if (effect instanceof SidecarEffect.ReadEngineCall e) {
             mParts.backend().setReading(e.attempt(), e.reading());
-        } else if (effect instanceof SidecarEffect.Decided e) {
+        } else if (effect instanceof SidecarEffect.LogDecision e) {
             mParts.metrics().decided(e.decision());
             mParts.ring().add(e.decision());
             DecisionLog.write(e.decision());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
@@ -29,7 +29,7 @@
             AdmissionReason reason,
             double bound) {
         step.emit(
-                new SidecarEffect.Decided(
+                new SidecarEffect.LogDecision(
                         Decision.builder(step.now(), PROGRAM)
                                 .request(request.id().toString())
                                 .chat(request.chat())
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -52,7 +52,7 @@
     record RefuseOrder(long call, ResultCode code, String message) implements SidecarEffect {}
 
     /** Log a decision and keep it for {@code explain}. */
-    record Decided(Decision decision) implements SidecarEffect {}
+    record LogDecision(Decision decision) implements SidecarEffect {}
 
     /**
      * Control knows a later incarnation of this sidecar than this one.
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -159,5 +159,5 @@
     record LeadershipTransferEnded() implements ControlEffect {}
 
     /** Log a decision. */
-    record Decided(Decision decision) implements ControlEffect {}
+    record LogDecision(Decision decision) implements ControlEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -94,6 +94,6 @@
 
     /** Writes what changed to the log. */
     void flushNotes(Instant now, Consumer<? super ControlEffect> effects) {
-        mNotes.flush(now, d -> effects.accept(new ControlEffect.Decided(d)));
+        mNotes.flush(now, d -> effects.accept(new ControlEffect.LogDecision(d)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
@@ -124,7 +124,7 @@
             String reason,
             Consumer<? super ControlEffect> effects) {
         effects.accept(
-                new ControlEffect.Decided(
+                new ControlEffect.LogDecision(
                         Decision.builder(now, PROGRAM)
                                 .request(subject.request())
                                 .account(subject.account())
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
@@ -55,5 +55,5 @@
             implements DirectEffect {}
 
     /** Log a decision and keep it for {@code explain}. */
-    record Decided(Decision decision) implements DirectEffect {}
+    record LogDecision(Decision decision) implements DirectEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
@@ -9,10 +9,10 @@
 final class Reports {
     private static final String PROGRAM = "router";
 
-    DirectEffect.Decided chose(ActiveCall r, ServerChoice.Chosen c, String fetchFrom, Instant now) {
+    DirectEffect.LogDecision chose(ActiveCall r, ServerChoice.Chosen c, String fetchFrom, Instant now) {
         String place = r.mArrivals > 1 ? "retry_" + c.reason() : c.reason();
         String reason = fetchFrom.isEmpty() ? place : place + "_fetching from " + fetchFrom;
-        return new DirectEffect.Decided(
+        return new DirectEffect.LogDecision(
                 about(r, now)
                         .candidates(c.candidates())
                         .chose(c.server().id(), reason)
@@ -21,7 +21,7 @@
                         .build());
     }
 
-    DirectEffect.Decided said(ActiveCall r, String reason, Instant now) {
+    DirectEffect.LogDecision said(ActiveCall r, String reason, Instant now) {
         return decided(r, now, List.of(), r.mBackend.id(), reason);
     }
 
@@ -30,33 +30,33 @@
      *
      * @param why what the router saw: a connection that ended, or an answer that it can't take
      */
-    DirectEffect.Decided outcomeUnknown(ActiveCall r, String why, Instant now) {
+    DirectEffect.LogDecision outcomeUnknown(ActiveCall r, String why, Instant now) {
         return said(r, "outcome_unknown of " + r.key().fingerprintText() + ": " + why, now);
     }
 
     /** The server of a spoiled answer ended; the request may be at another one by now. */
-    DirectEffect.Decided endedAfterBadHead(ActiveCall r, BackendRef server, Instant now) {
+    DirectEffect.LogDecision endedAfterBadHead(ActiveCall r, BackendRef server, Instant now) {
         String reason = "ended_after_bad_head of " + r.key().fingerprintText();
         return decided(r, now, List.of(), server.id(), reason);
     }
 
     /** The router waits no longer for this server; what becomes of it is not seen any more. */
-    DirectEffect.Decided stalled(ActiveCall r, Instant now) {
+    DirectEffect.LogDecision stalled(ActiveCall r, Instant now) {
         return said(r, "stalled of " + r.key().fingerprintText(), now);
     }
 
-    DirectEffect.Decided answered(ActiveCall r, Instant now) {
+    DirectEffect.LogDecision answered(ActiveCall r, Instant now) {
         return decided(r, now, List.of(), r.mBackend.id(), "answered_" + r.mStatus);
     }
 
-    DirectEffect.Decided gaveUp(ActiveCall r, DirectEffect.AnswerError e, Instant now) {
+    DirectEffect.LogDecision gaveUp(ActiveCall r, DirectEffect.AnswerError e, Instant now) {
         String reason = "given_up: " + e.message();
         return decided(r, now, List.copyOf(r.mTried), e.code().name(), reason);
     }
 
-    private static DirectEffect.Decided decided(
+    private static DirectEffect.LogDecision decided(
             ActiveCall r, Instant now, List<String> candidates, String choice, String reason) {
-        return new DirectEffect.Decided(
+        return new DirectEffect.LogDecision(
                 about(r, now).candidates(candidates).chose(choice, reason).build());
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Decisions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Decisions.java
@@ -54,7 +54,7 @@
             double bound) {
         CallerRequest q = r.mRequest;
         s.emit(
-                new RouterEffect.Decided(
+                new RouterEffect.LogDecision(
                         Decision.builder(s.now(), PROGRAM)
                                 .request(requestName(r.mCaller))
                                 .chat(q.chat())
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -32,7 +32,7 @@
                         ? "told by " + control.control()
                         : "not told any more by " + control.control() + ", own calls decide";
         s.emit(
-                new RouterEffect.Decided(
+                new RouterEffect.LogDecision(
                         Decision.builder(s.now(), Decisions.PROGRAM)
                                 .chose(told ? TOLD : NOT_TOLD, reason)
                                 .build()));
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
@@ -46,7 +46,7 @@
             Backend.State state,
             List<String> ids) {
         String from = source.control() + " at version " + source.version();
-        return new RouterEffect.Decided(
+        return new RouterEffect.LogDecision(
                 Decision.builder(now, Decisions.PROGRAM)
                         .service(service)
                         .candidates(ids.subList(0, Math.min(ids.size(), MAX_NAMED)))
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEffect.java
@@ -92,7 +92,7 @@
             implements RouterEffect {}
 
     /** Log a decision and keep it for {@code explain}. */
-    record Decided(Decision decision) implements RouterEffect {}
+    record LogDecision(Decision decision) implements RouterEffect {}
 
     /** Everything in flight has ended: the process may exit. */
     record Stopped() implements RouterEffect {}
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -87,7 +87,7 @@
         } else {
             onRequestEvent(s, event);
         }
-        mQuarantineNotes.flush(now, d -> s.emit(new RouterEffect.Decided(d)));
+        mQuarantineNotes.flush(now, d -> s.emit(new RouterEffect.LogDecision(d)));
         if (mStopping && mRequests.isEmpty() && mDirect.isIdle()) {
             mStopping = false;
             s.emit(new RouterEffect.Stopped());
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
@@ -11,7 +11,7 @@
 import org.laurelweir.direct.DirectEffect.AnswerError;
 import org.laurelweir.direct.DirectEffect.AnswerWhole;
 import org.laurelweir.direct.DirectEffect.CancelCall;
-import org.laurelweir.direct.DirectEffect.Decided;
+import org.laurelweir.direct.DirectEffect.LogDecision;
 import org.laurelweir.direct.DirectEvent.Failure;
 import org.laurelweir.lib.ResultCode;
 
@@ -148,7 +148,7 @@
         fail(Failure.CONNECTION_LOST);
         arrive(UNSAFE);
         mDriver.answer(mDriver.call().call(), 200, CROSSED);
-        assertThat(mDriver.all(Decided.class))
+        assertThat(mDriver.all(LogDecision.class))
                 .extracting(d -> d.decision().reason())
                 .filteredOn(reason -> reason.startsWith("outcome_unknown of "))
                 .doesNotHaveDuplicates()
@@ -160,7 +160,7 @@
     void theLogNamesTheRequestOfASilentServer() {
         arrive(SAFE);
         mDriver.pass(Duration.ofMillis(400));
-        assertThat(mDriver.all(Decided.class))
+        assertThat(mDriver.all(LogDecision.class))
                 .extracting(d -> d.decision().reason())
                 .anyMatch(reason -> reason.startsWith("stalled of "));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
@@ -28,7 +28,7 @@
         MembershipCursor cursor = new MembershipCursor("c", 1, version);
         mMemberships.apply(NOW, new MembershipDelta(cursor, full, backends));
         List<Decision> lines = new ArrayList<>();
-        Step step = new Step(NOW, e -> lines.add(((RouterEffect.Decided) e).decision()));
+        Step step = new Step(NOW, e -> lines.add(((RouterEffect.LogDecision) e).decision()));
         mNotes.flush(step, mMemberships.cursor());
         return lines;
     }
