--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -73,7 +73,7 @@
             mPeers.announce(a);
         } else if (e instanceof ControlEffect.EncodeSnapshot s) {
             mBackground.execute(() -> encode(s));
-        } else if (e instanceof ControlEffect.Reported r) {
+        } else if (e instanceof ControlEffect.ReportStatus r) {
             mMetrics.reported(r);
         } else if (e instanceof ControlEffect.LeadershipTransferEnded) {
             mHandedOver.complete(null);
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
@@ -10,7 +10,7 @@
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
 import org.laurelweir.coordination.ControlEffect.AnswerExchange;
 import org.laurelweir.coordination.ControlEffect.AnswerError;
-import org.laurelweir.coordination.ControlEffect.Reported;
+import org.laurelweir.coordination.ControlEffect.ReportStatus;
 import org.laurelweir.runtime.metrics.Readiness;
 
 /** What a control instance shows of itself. */
@@ -18,7 +18,7 @@
     private final Meter mExchanges;
     private final Meter mCommands;
     private final Meter mRefusals;
-    private volatile Reported mLast;
+    private volatile ReportStatus mLast;
 
     ControlMetrics(MetricRegistry registry) {
         mExchanges = registry.meter("control.exchanges");
@@ -28,32 +28,32 @@
         gauge(registry, "control.term", r -> r.self().term());
         gauge(registry, "control.committed", r -> r.self().commitIndex());
         gauge(registry, "control.possibly.stale", r -> r.self().possiblyStale() ? 1 : 0);
-        gauge(registry, "control.sidecars.heard", Reported::sessions);
-        gauge(registry, "control.backends", Reported::backends);
-        gauge(registry, "control.claims", Reported::claims);
-        gauge(registry, "control.requests.quarantined", Reported::quarantined);
-        gauge(registry, "control.requests.under.way", Reported::requestsUnderWay);
-        gauge(registry, "control.settings.position", Reported::settingsPosition);
-        gauge(registry, "control.log.bytes", Reported::logBytes);
-        gauge(registry, "control.snapshot.bytes", Reported::snapshotBytes);
+        gauge(registry, "control.sidecars.heard", ReportStatus::sessions);
+        gauge(registry, "control.backends", ReportStatus::backends);
+        gauge(registry, "control.claims", ReportStatus::claims);
+        gauge(registry, "control.requests.quarantined", ReportStatus::quarantined);
+        gauge(registry, "control.requests.under.way", ReportStatus::requestsUnderWay);
+        gauge(registry, "control.settings.position", ReportStatus::settingsPosition);
+        gauge(registry, "control.log.bytes", ReportStatus::logBytes);
+        gauge(registry, "control.snapshot.bytes", ReportStatus::snapshotBytes);
     }
 
-    private void gauge(MetricRegistry registry, String name, ToLongFunction<Reported> value) {
+    private void gauge(MetricRegistry registry, String name, ToLongFunction<ReportStatus> value) {
         registry.register(
                 name,
                 (Gauge<Long>)
                         () -> {
-                            Reported r = mLast;
+                            ReportStatus r = mLast;
                             return r == null ? 0 : value.applyAsLong(r);
                         });
     }
 
     /** Returns where the other control instances are reached; nothing before the first report. */
     Optional<Collection<String>> peers() {
-        return Optional.ofNullable(mLast).map(Reported::peers);
+        return Optional.ofNullable(mLast).map(ReportStatus::peers);
     }
 
-    void reported(Reported report) {
+    void reported(ReportStatus report) {
         mLast = report;
     }
 
@@ -69,7 +69,7 @@
 
     @Override
     public Optional<String> notReadyReason() {
-        Reported r = mLast;
+        ReportStatus r = mLast;
         if (r == null) {
             return Optional.of("starting");
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -142,7 +142,7 @@
      * @param snapshotBytes bytes of the last snapshot's state
      * @param peers where the other control instances are reached, host:port
      */
-    record Reported(
+    record ReportStatus(
             ControlInstanceStatus self,
             int sessions,
             int backends,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
@@ -90,8 +90,8 @@
                                 .history(Optional.ofNullable(e.path()), e.limit())));
     }
 
-    ControlEffect.Reported report(Instant now, List<String> peers) {
-        return new ControlEffect.Reported(
+    ControlEffect.ReportStatus report(Instant now, List<String> peers) {
+        return new ControlEffect.ReportStatus(
                 mReplica.presence(now),
                 mMembership.heardCount(),
                 mMembership.knownCount(),
