--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
@@ -53,7 +53,7 @@
         if (a.orders() != null) {
             reply.setDrain(a.orders().drain())
                     .setFence(a.orders().fence())
-                    .setLeastSession(a.orders().leastSession());
+                    .setLeastSession(a.orders().minSession());
         }
         return reply;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -65,7 +65,7 @@
      * @param fence the highest fencing number given for it
      * @param leastSession the least session under which it is heard
      */
-    record SidecarOrders(boolean drain, long fence, int leastSession) {}
+    record SidecarOrders(boolean drain, long fence, int minSession) {}
 
     /** Answer a command that was carried out. */
     record AnswerCommand(long call, CommandResult result) implements Answer {}
