--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
@@ -45,7 +45,7 @@
                         .setMembership(MembershipCodec.toWire(a.membership()))
                         .setSettings(settings.of(a.settings(), request))
                         .setPossiblyStale(a.possiblyStale())
-                        .setRouters(a.routers())
+                        .setRouters(a.routerCount())
                         .setCrashesVersion(a.crashes().version())
                         .addAllCrashes(CrashCodec.toWire(a.crashes().records()))
                         .setLoadDigest(LoadCodec.toWire(a.digest()));
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
@@ -113,9 +113,9 @@
             router(n, "router-of-" + n.mId.name(), 0);
             share(n, asked);
         }
-        assertThat(router(asked, "router-of-c0", 0).routers()).isEqualTo(3);
+        assertThat(router(asked, "router-of-c0", 0).routerCount()).isEqualTo(3);
         mControls.run(75_000);
-        assertThat(router(asked, "router-of-c0", 0).routers()).isEqualTo(1);
+        assertThat(router(asked, "router-of-c0", 0).routerCount()).isEqualTo(1);
     }
 
     private void share(Node from, Node to) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -55,7 +55,7 @@
             List<ServiceLoad> loads,
             boolean possiblyStale,
             SidecarOrders orders,
-            int routers)
+            int routerCount)
             implements Answer {}
 
     /**
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
@@ -141,6 +141,6 @@
 
     private static RouterEvent answered(AnswerExchange a) {
         return new RouterEvent.ExchangeAnswered(
-                a.membership(), a.crashes(), a.digest(), a.loads(), a.routers());
+                a.membership(), a.crashes(), a.digest(), a.loads(), a.routerCount());
     }
 }
