--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
@@ -90,7 +90,7 @@
             return null;
         }
         return new Command.Claim(
-                c.at(),
+                c.timestamp(),
                 c.account(),
                 c.key(),
                 c.service(),
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
@@ -71,7 +71,7 @@
         return DrainRecord.newBuilder()
                 .setBackend(d.backend())
                 .setAuthor(d.author())
-                .setAtMillis(d.at().toEpochMilli())
+                .setAtMillis(d.orderedAt().toEpochMilli())
                 .build();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
@@ -41,7 +41,7 @@
     }
 
     ClaimResult apply(Command.Claim c) {
-        expire(c.at());
+        expire(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null) {
@@ -78,7 +78,7 @@
     /** Whole seconds, so that many claims share the place that they have in the order of ends. */
     private Instant expiry(Command.Claim c) {
         boolean tooLong = c.retention().compareTo(mMaxRetention) > 0;
-        Instant end = c.at().plus(tooLong ? mMaxRetention : c.retention());
+        Instant end = c.timestamp().plus(tooLong ? mMaxRetention : c.retention());
         return end.truncatedTo(ChronoUnit.SECONDS).plusSeconds(1);
     }
 
@@ -87,7 +87,7 @@
      * whoever does not hold it changes nothing.
      */
     ResultCode apply(Command.SettleClaim c) {
-        expire(c.at());
+        expire(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null || !entry.mClaim.holder().equals(c.attempt()) || entry.mClaim.settled()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -16,16 +16,16 @@
  */
 public sealed interface Command {
     /** When the leader took the command. */
-    Instant at();
+    Instant timestamp();
 
     /** Returns the command as taken at another time. */
-    Command stamped(Instant time);
+    Command withTimestamp(Instant time);
 
     /** A change of settings nodes, all or nothing, under compare-and-set. */
-    record ChangeSettings(Instant at, String changeId, String author, List<NodeChange> changes)
+    record ChangeSettings(Instant timestamp, String changeId, String author, List<NodeChange> changes)
             implements Command {
         @Override
-        public ChangeSettings stamped(Instant time) {
+        public ChangeSettings withTimestamp(Instant time) {
             return new ChangeSettings(time, changeId, author, changes);
         }
     }
@@ -56,14 +56,14 @@
      * @param source the operator's own text, kept for reading back; may be empty
      */
     record ReplaceSettings(
-            Instant at,
+            Instant timestamp,
             long revision,
             String author,
             Map<String, Map<String, String>> nodes,
             String source)
             implements Command {
         @Override
-        public ReplaceSettings stamped(Instant time) {
+        public ReplaceSettings withTimestamp(Instant time) {
             return new ReplaceSettings(time, revision, author, nodes, source);
         }
     }
@@ -79,7 +79,7 @@
      * @param source makes the operator's own text of the one before
      */
     record PatchSettings(
-            Instant at,
+            Instant timestamp,
             long base,
             long revision,
             String author,
@@ -87,7 +87,7 @@
             TextPatch source)
             implements Command {
         @Override
-        public PatchSettings stamped(Instant time) {
+        public PatchSettings withTimestamp(Instant time) {
             return new PatchSettings(time, base, revision, author, difference, source);
         }
     }
@@ -98,7 +98,7 @@
      * @param replaces the attempt that held the claim and is proved never to have started, or null
      */
     record Claim(
-            Instant at,
+            Instant timestamp,
             String account,
             String key,
             String service,
@@ -109,33 +109,33 @@
             Duration retention)
             implements Command {
         @Override
-        public Claim stamped(Instant time) {
+        public Claim withTimestamp(Instant time) {
             return new Claim(
                     time, account, key, service, fingerprint, attempt, target, replaces, retention);
         }
     }
 
     /** The end of the attempt that holds a claim. */
-    record SettleClaim(Instant at, String account, String key, AttemptId attempt, ResultCode code)
+    record SettleClaim(Instant timestamp, String account, String key, AttemptId attempt, ResultCode code)
             implements Command {
         @Override
-        public SettleClaim stamped(Instant time) {
+        public SettleClaim withTimestamp(Instant time) {
             return new SettleClaim(time, account, key, attempt, code);
         }
     }
 
     /** An operator's wish that a backend server takes no new work, or takes it again. */
-    record Drain(Instant at, String backend, boolean drain, String author) implements Command {
+    record Drain(Instant timestamp, String backend, boolean drain, String author) implements Command {
         @Override
-        public Drain stamped(Instant time) {
+        public Drain withTimestamp(Instant time) {
             return new Drain(time, backend, drain, author);
         }
     }
 
     /** A new, higher fencing number for orders to one backend server. */
-    record IssueFence(Instant at, String backend) implements Command {
+    record IssueFence(Instant timestamp, String backend) implements Command {
         @Override
-        public IssueFence stamped(Instant time) {
+        public IssueFence withTimestamp(Instant time) {
             return new IssueFence(time, backend);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
@@ -59,8 +59,8 @@
      */
     public CommandResult apply(long index, Command command) {
         // A new leader's clock may be behind its predecessor's; the log's time never goes back.
-        mTime = mTime.isAfter(command.at()) ? mTime : command.at();
-        Command c = command.stamped(mTime);
+        mTime = mTime.isAfter(command.timestamp()) ? mTime : command.timestamp();
+        Command c = command.withTimestamp(mTime);
         if (c instanceof Command.ChangeSettings s) {
             return new SettingsResult(mSettings.apply(index, s));
         }
@@ -85,7 +85,7 @@
 
     private DrainResult drain(Command.Drain c) {
         if (c.drain()) {
-            mDrains.putIfAbsent(c.backend(), new DrainOrder(c.backend(), c.author(), c.at()));
+            mDrains.putIfAbsent(c.backend(), new DrainOrder(c.backend(), c.author(), c.timestamp()));
         } else {
             mDrains.remove(c.backend());
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DrainOrder.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DrainOrder.java
@@ -7,6 +7,6 @@
  *
  * @param backend the backend server's name
  * @param author who wants it
- * @param at since when
+ * @param orderedAt since when
  */
-public record DrainOrder(String backend, String author, Instant at) {}
+public record DrainOrder(String backend, String author, Instant orderedAt) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -107,7 +107,7 @@
     /** Takes a command to its result, unless this replica does not lead. */
     void propose(Instant now, long call, Command command, Consumer<? super ControlEffect> out) {
         // Files hold milliseconds; all replicas have to apply the same instant.
-        Command stamped = command.stamped(Instant.ofEpochMilli(now.toEpochMilli()));
+        Command stamped = command.withTimestamp(Instant.ofEpochMilli(now.toEpochMilli()));
         mCommands.put(call, stamped);
         step(now, new ConsensusEvent.Proposed(call, encode(stamped)), out);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -108,7 +108,7 @@
         if (position <= mTree.position()) {
             throw new IllegalArgumentException("position " + position + " has passed");
         }
-        mAnswers.expire(change.at());
+        mAnswers.expire(change.timestamp());
         if (change.changeId().isBlank()) {
             return refusal(ResultCode.SETTINGS_INVALID, List.of(), List.of(NO_ID));
         }
@@ -116,7 +116,7 @@
         KeptAnswer kept = mAnswers.find(change.changeId());
         if (kept == null) {
             SettingsAnswer answer = decide(position, change);
-            mAnswers.keep(new KeptAnswer(change.changeId(), change.at(), digest, answer));
+            mAnswers.keep(new KeptAnswer(change.changeId(), change.timestamp(), digest, answer));
             return answer;
         }
         return kept.digest().equals(digest)
@@ -140,7 +140,7 @@
         mHistory.add(
                 new HistoryEntry(
                         position,
-                        change.at(),
+                        change.timestamp(),
                         change.changeId(),
                         change.author(),
                         change.changes(),
@@ -161,7 +161,7 @@
             throw new IllegalArgumentException("position " + position + " has passed");
         }
         TreeDifference difference = TreeDifference.between(mTree, whole.nodes());
-        HistoryNote note = new HistoryNote(whole.at(), whole.revision(), whole.author());
+        HistoryNote note = new HistoryNote(whole.timestamp(), whole.revision(), whole.author());
         return replace(position, difference, note, whole.source());
     }
 
@@ -180,7 +180,7 @@
         if (patch.base() != mTree.position()) {
             return refusal(ResultCode.SETTINGS_CONFLICT, List.of(), List.of());
         }
-        HistoryNote note = new HistoryNote(patch.at(), patch.revision(), patch.author());
+        HistoryNote note = new HistoryNote(patch.timestamp(), patch.revision(), patch.author());
         return replace(position, patch.difference(), note, patch.source().applyTo(mSource));
     }
 
@@ -190,7 +190,7 @@
      */
     public Command.PatchSettings differenceTo(Command.ReplaceSettings whole) {
         return new Command.PatchSettings(
-                whole.at(),
+                whole.timestamp(),
                 mTree.position(),
                 whole.revision(),
                 whole.author(),
