--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import org.agrona.collections.Long2ObjectHashMap;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.Backend;
 
 /**
@@ -16,7 +16,7 @@
     private static final Duration LEAST_TIME_LEFT = Duration.ofMillis(40);
 
     private final BackendSource mSource;
-    private final BelievedLoads mLoads;
+    private final LoadEstimator mLoads;
     private final ServerChoice mChoice;
     private final FetchSource mFetches;
     private final FleetBudget mBudget;
@@ -28,7 +28,7 @@
 
     Attempts(
             BackendSource source,
-            BelievedLoads loads,
+            LoadEstimator loads,
             ServerChoice choice,
             FetchSource fetches,
             FleetBudget budget,
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -10,7 +10,7 @@
 import org.agrona.collections.Long2ObjectHashMap;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.Reducer;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.quarantine.CrashTable;
 
 /**
@@ -25,7 +25,7 @@
 
     private final BackendSource mSource;
     private final ServerTable mServers = new ServerTable();
-    private final BelievedLoads mLoads;
+    private final LoadEstimator mLoads;
     private final ServerChoice mChoice;
     private final PartHolders mHolders = new PartHolders();
     private final FleetBudget mBudget;
@@ -57,7 +57,7 @@
             IntSupplier routers,
             RetryLimits limits,
             CrashTable crashes,
-            BelievedLoads loads,
+            LoadEstimator loads,
             long seed) {
         mSource = source;
         mLoads = loads;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.SplittableRandom;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
 import org.laurelweir.placement.ServiceView;
@@ -38,11 +38,11 @@
 
     private final BackendSource mSource;
     private final ServerTable mServers;
-    private final BelievedLoads mLoads;
+    private final LoadEstimator mLoads;
     private final SplittableRandom mRandom;
     private final Map<String, Roster> mRosters = new HashMap<>();
 
-    ServerChoice(BackendSource source, ServerTable servers, BelievedLoads loads, long seed) {
+    ServerChoice(BackendSource source, ServerTable servers, LoadEstimator loads, long seed) {
         mSource = source;
         mServers = servers;
         mLoads = loads;
@@ -69,7 +69,7 @@
             double loadAgeMillis) {}
 
     /** A candidate with what is believed of its load. */
-    private record Weighed(Candidate server, BelievedLoads.Belief belief) {
+    private record Weighed(Candidate server, LoadEstimator.Belief belief) {
         double load() {
             return belief.requests();
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/SpoiledCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/SpoiledCalls.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.agrona.collections.Long2ObjectHashMap;
 import org.laurelweir.lib.BackendRef;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 
 /**
  * Calls whose answers can't be taken, until it shows what becomes of their backend servers. The
@@ -20,7 +20,7 @@
      */
     private static final Duration WATCHED = Duration.ofMillis(300);
 
-    private final BelievedLoads mLoads;
+    private final LoadEstimator mLoads;
     private final CrashGuard mGuard;
     private final Reports mReports;
     private final Long2ObjectHashMap<Spoiled> mCalls = new Long2ObjectHashMap<>();
@@ -29,7 +29,7 @@
 
     private record Spoiled(long call, ActiveCall request, BackendRef backend, Instant until) {}
 
-    SpoiledCalls(BelievedLoads loads, CrashGuard guard, Reports reports) {
+    SpoiledCalls(LoadEstimator loads, CrashGuard guard, Reports reports) {
         mLoads = loads;
         mGuard = guard;
         mReports = reports;
--- a/org.laurelweir/src/main/java/org/laurelweir/load/BelievedLoads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -14,7 +14,7 @@
  * sent it since. One of which nothing is known is taken to hold what the others do on the mean and
  * never for idle: to one of many routers nearly all would look so.
  */
-public final class BelievedLoads {
+public final class LoadEstimator {
     /** Told of a smaller share of all routers' requests, a router does not go by it. */
     private static final double LEAST_ROUTERS = 0.5;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Exchanges.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.MembershipCursor;
 
 /** Exchanges with control at an interval, one at a time. */
@@ -28,7 +28,7 @@
      * under way the older one could arrive last and take the cursor back. What other routers should
      * know soon does not wait for the interval to end.
      */
-    void onTick(Step s, MembershipCursor cursor, CrashSharing crashes, BelievedLoads loads) {
+    void onTick(Step s, MembershipCursor cursor, CrashSharing crashes, LoadEstimator loads) {
         Instant due = mAnswered && crashes.isUrgent() ? mNextUrgent : mNext;
         if (mUnderWay || s.now().isBefore(due)) {
             return;
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -1,7 +1,7 @@
 package org.laurelweir.routing;
 
 import org.laurelweir.lib.Decision;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.MembershipCursor;
 
 /** Words for the log when a router is told of loads, and when it goes by its own calls alone. */
@@ -9,10 +9,10 @@
     private static final String TOLD = "LOADS_TOLD";
     private static final String NOT_TOLD = "LOADS_NOT_TOLD";
 
-    private final BelievedLoads mLoads;
+    private final LoadEstimator mLoads;
     private boolean mTold;
 
-    LoadNotes(BelievedLoads loads) {
+    LoadNotes(LoadEstimator loads) {
         mLoads = loads;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -8,7 +8,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.Reducer;
 import org.laurelweir.lib.ResultCode;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.Backend;
 import org.laurelweir.placement.ChatKey;
 import org.laurelweir.quarantine.CrashTable;
@@ -32,7 +32,7 @@
     private final QuarantineNotes mQuarantineNotes = new QuarantineNotes(Decisions.PROGRAM);
     private final CrashTable mCrashes;
     private final CrashSharing mCrashSharing;
-    private final BelievedLoads mLoads = new BelievedLoads();
+    private final LoadEstimator mLoads = new LoadEstimator();
     private final LoadNotes mLoadNotes = new LoadNotes(mLoads);
     private int mRouters;
     private boolean mStopping;
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
@@ -11,7 +11,7 @@
 import org.laurelweir.attempt.AttemptRequest;
 import org.laurelweir.attempt.Header;
 import org.laurelweir.lib.BackendRef;
-import org.laurelweir.load.BelievedLoads;
+import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.Backend;
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ServiceView;
@@ -30,7 +30,7 @@
 
     final List<DirectEffect> mEffects = new ArrayList<>();
     final CrashTable mCrashes = new CrashTable("r", (record, quarantined) -> {});
-    final BelievedLoads mLoads = new BelievedLoads();
+    final LoadEstimator mLoads = new LoadEstimator();
     private final Map<String, Backend> mBackends = new HashMap<>();
     private final DirectRouting mRouting;
     private ServiceView mView = ServiceView.empty(SERVICE);
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -22,7 +22,7 @@
     private static final BackendRef SECOND = new BackendRef("w", 2000);
     private static final BackendRef OTHER = new BackendRef("v", 1);
 
-    private final BelievedLoads mLoads = new BelievedLoads();
+    private final LoadEstimator mLoads = new LoadEstimator();
 
     private static LoadDigest digest(int routers, double mean, BackendLoad... busy) {
         return new LoadDigest(
