--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -124,7 +124,7 @@
      * @param routers how many routers there are
      * @param serviceOf finds a backend server's service, null where it is gone
      */
-    public void told(LoadDigest digest, int routers, Function<BackendRef, String> serviceOf) {
+    public void onDigest(LoadDigest digest, int routers, Function<BackendRef, String> serviceOf) {
         mKnown.values().forEach(KnownLoad::taken);
         mParts.taken();
         if (digest.means().isEmpty() || digest.routers() < LEAST_ROUTERS * routers) {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -112,7 +112,7 @@
         mPlacements.onMeans(answer.loads());
         mLimits.onRouters(s.now(), answer.routers());
         mRouters = answer.routers();
-        mLoads.told(answer.digest(), mLimits.routers(), this::serviceOf);
+        mLoads.onDigest(answer.digest(), mLimits.routers(), this::serviceOf);
     }
 
     /** Returns the service of a backend server, null if that very run of it is not known. */
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -37,7 +37,7 @@
     }
 
     private void answer(LoadDigest digest) {
-        mLoads.told(digest, ROUTERS, ref -> SERVICE);
+        mLoads.onDigest(digest, ROUTERS, ref -> SERVICE);
     }
 
     private void exchange(Instant now, LoadDigest digest) {
