--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -71,11 +71,11 @@
 
     /** Returns the mean load of a service's backend servers; NaN where it is not known. */
     public double mean(Instant now, String service) {
-        return isTold(now) ? mMeans.getOrDefault(service, Double.NaN) : Double.NaN;
+        return hasRecentDigest(now) ? mMeans.getOrDefault(service, Double.NaN) : Double.NaN;
     }
 
     /** Returns whether control has told of loads lately. */
-    public boolean isTold(Instant now) {
+    public boolean hasRecentDigest(Instant now) {
         return KnownLoad.isBelieved(now, mMeansAt);
     }
 
@@ -91,7 +91,7 @@
 
     /** Returns how many requests of all routers are about a part, where there are several. */
     public int aboutPart(Instant now, long part) {
-        return isTold(now) ? mHotParts.getOrDefault(part, 0) : 0;
+        return hasRecentDigest(now) ? mHotParts.getOrDefault(part, 0) : 0;
     }
 
     /** Returns what control has to be told of what this router has under way. */
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -22,7 +22,7 @@
      * @param control who is asked
      */
     void onTick(Step s, MembershipCursor control) {
-        boolean told = mLoads.isTold(s.now());
+        boolean told = mLoads.hasRecentDigest(s.now());
         if (told == mTold) {
             return;
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -161,7 +161,7 @@
     void anAnswerIsAsOldAsItsReport() {
         mLoads.report(NOW);
         answer(digest(4));
-        assertThat(mLoads.isTold(TOO_LATE)).isFalse();
+        assertThat(mLoads.hasRecentDigest(TOO_LATE)).isFalse();
     }
 
     // After the clock had been set back a load was below zero.
@@ -175,7 +175,7 @@
     @Test
     void sumsOverFewRoutersAreNotUsed() {
         exchange(NOW, digest(ROUTERS / 2 - 1, 1, new BackendLoad(OTHER, 2)));
-        assertThat(mLoads.isTold(NOW)).isFalse();
+        assertThat(mLoads.hasRecentDigest(NOW)).isFalse();
         mLoads.heard(NOW, OTHER, 12);
         exchange(NOW.plusMillis(500), digest(ROUTERS / 2 - 1, 1));
         assertThat(load(NOW.plusMillis(500), OTHER)).isEqualTo(12);
@@ -188,7 +188,7 @@
     void withoutControlOnlyOwnCallsCount() {
         exchange(NOW, digest(4, new BackendLoad(OTHER, 12)));
         assertThat(mLoads.aboutPart(NOW, PART)).isEqualTo(5);
-        assertThat(mLoads.isTold(TOO_LATE)).isFalse();
+        assertThat(mLoads.hasRecentDigest(TOO_LATE)).isFalse();
         assertThat(mLoads.mean(TOO_LATE, SERVICE)).isNaN();
         assertThat(mLoads.aboutPart(TOO_LATE, PART)).isZero();
         assertThat(load(TOO_LATE, OTHER)).isZero();
