--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -114,7 +114,7 @@
     }
 
     /** Control has not answered the last report, or another run of it than the one before has. */
-    public void notTaken() {
+    public void requestFullReport() {
         mUntilWhole = 0;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -79,7 +79,7 @@
             onExchange(s, e);
         } else if (event instanceof RouterEvent.ExchangeFailed) {
             mExchanges.onEnded(false);
-            mLoads.notTaken();
+            mLoads.requestFullReport();
         } else if (event instanceof RouterEvent.Direct e) {
             stepDirect(s, e.event());
         } else if (event instanceof RouterEvent.StopRequested) {
@@ -101,7 +101,7 @@
     private void onExchange(Step s, RouterEvent.ExchangeAnswered answer) {
         mExchanges.onEnded(answer.membership().full() || mMemberships.isTold());
         if (!answer.membership().cursor().isSameRun(mMemberships.cursor())) {
-            mLoads.notTaken();
+            mLoads.requestFullReport();
         }
         mMemberships.apply(s.now(), answer.membership());
         mNotes.flush(s, mMemberships.cursor());
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -227,7 +227,7 @@
         mLoads.began(OTHER, 0);
         exchange(NOW, digest(4));
         assertThat(mLoads.report(NOW).whole()).isFalse();
-        mLoads.notTaken();
+        mLoads.requestFullReport();
         assertThat(mLoads.report(NOW)).isEqualTo(report(true, List.of(at(OTHER, 1)), List.of()));
         long whole = IntStream.range(0, 50).filter(i -> mLoads.report(NOW).whole()).count();
         assertThat(whole).isBetween(3L, 6L);
