--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/LoadCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/LoadCodec.java
@@ -15,7 +15,7 @@
     /** Returns the message of what routers have under way. */
     public static org.laurelweir.wire.v1.LoadReport toWire(LoadReport r) {
         return org.laurelweir.wire.v1.LoadReport.newBuilder()
-                .setWhole(r.whole())
+                .setWhole(r.full())
                 .addAllServers(r.servers().stream().map(LoadCodec::toWire).toList())
                 .addAllParts(r.parts().stream().map(LoadCodec::toWire).toList())
                 .build();
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -66,7 +66,7 @@
      * passed over: it tells everything next, since another run than before has answered it.
      */
     public void toldByRouter(Instant now, String router, LoadReport report) {
-        if (!report.whole() && !mRouters.containsKey(router)) {
+        if (!report.full() && !mRouters.containsKey(router)) {
             return;
         }
         mRouters.put(router, now);
@@ -74,7 +74,7 @@
         report.servers().forEach(l -> servers.put(l.server(), l.requests()));
         Map<Long, Integer> parts = new HashMap<>();
         report.parts().forEach(l -> parts.put(l.part(), l.requests()));
-        if (report.whole()) {
+        if (report.full()) {
             mServers.put(router, servers);
             mParts.put(router, parts);
         } else {
@@ -87,7 +87,7 @@
     public void toldByPeer(Instant now, PeerLoads told) {
         String peer = told.control();
         boolean known =
-                told.sums().whole() || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
+                told.sums().full() || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
         mPeers.put(peer, new Peer(known ? told.routers() : 0, now));
         told.sums().servers().forEach(l -> mServers.putOfPeer(now, peer, l.server(), l.requests()));
         told.sums().parts().forEach(l -> mParts.putOfPeer(now, peer, l.part(), l.requests()));
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -226,10 +226,10 @@
     void everythingIsToldWhereAReportWasNotTakenAndOnceInAWhile() {
         mLoads.began(OTHER, 0);
         exchange(NOW, digest(4));
-        assertThat(mLoads.report(NOW).whole()).isFalse();
+        assertThat(mLoads.report(NOW).full()).isFalse();
         mLoads.requestFullReport();
         assertThat(mLoads.report(NOW)).isEqualTo(report(true, List.of(at(OTHER, 1)), List.of()));
-        long whole = IntStream.range(0, 50).filter(i -> mLoads.report(NOW).whole()).count();
+        long whole = IntStream.range(0, 50).filter(i -> mLoads.report(NOW).full()).count();
         assertThat(whole).isBetween(3L, 6L);
     }
 
