--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/LoadCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/LoadCodecTest.java
@@ -43,7 +43,7 @@
     // With thousands of backend servers an exchange took more than a router may spend on it.
     @Test
     void aDigestFitsIntoAnExchange() {
-        LoadReport most = report(LoadDigest.MOST_BUSY, LoadDigest.MOST_HOT);
+        LoadReport most = report(LoadDigest.MAX_BUSY, LoadDigest.MAX_HOT_PARTS);
         LoadDigest digest =
                 new LoadDigest(
                         360, List.of(new MeanLoad("svc", 1.5)), most.servers(), most.parts());
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
@@ -15,17 +15,17 @@
 public record LoadDigest(
         int routers, List<MeanLoad> means, List<BackendLoad> busy, List<PartLoad> hot) {
     /** Most busy backend servers that are named, which bounds the bytes of an exchange. */
-    public static final int MOST_BUSY = 128;
+    public static final int MAX_BUSY = 128;
 
     /** Most hot parts that are named. */
-    public static final int MOST_HOT = 64;
+    public static final int MAX_HOT_PARTS = 64;
 
     /** Nothing, from a process that knows nothing. */
     public static final LoadDigest NONE = new LoadDigest(0, List.of(), List.of(), List.of());
 
     /** Returns whether no busy backend server was left out. */
     boolean namesAllBusy() {
-        return busy.size() < MOST_BUSY;
+        return busy.size() < MAX_BUSY;
     }
 
     /** Copies the lists. */
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -180,7 +180,7 @@
         return new LoadDigest(
                 routers(),
                 means,
-                most(busy, Busy::excess, LoadDigest.MOST_BUSY).stream().map(Busy::load).toList(),
+                most(busy, Busy::excess, LoadDigest.MAX_BUSY).stream().map(Busy::load).toList(),
                 hotParts());
     }
 
@@ -202,7 +202,7 @@
                         hot.add(new PartLoad(part, n));
                     }
                 });
-        return most(hot, PartLoad::requests, LoadDigest.MOST_HOT);
+        return most(hot, PartLoad::requests, LoadDigest.MAX_HOT_PARTS);
     }
 
     private static <T> List<T> most(List<T> all, ToDoubleFunction<T> measure, int limit) {
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/BelievedLoadsTest.java
@@ -149,7 +149,7 @@
     // One that was cut from the list of busy ones was taken for an ordinary one.
     @Test
     void whereNotAllAreNamedNothingFollowsFromNotBeingNamed() {
-        BackendLoad[] most = new BackendLoad[LoadDigest.MOST_BUSY];
+        BackendLoad[] most = new BackendLoad[LoadDigest.MAX_BUSY];
         Arrays.setAll(most, i -> new BackendLoad(new BackendRef("s" + i, 1), 30));
         mLoads.heard(NOW, OTHER, 25);
         exchange(NOW.plusMillis(500), digest(4, most));
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -202,8 +202,8 @@
                         loads.stream()
                                 .map(l -> backend(l.server(), Backend.State.SERVING))
                                 .toList());
-        assertThat(digest.busy()).hasSize(LoadDigest.MOST_BUSY);
-        assertThat(digest.busy()).allMatch(l -> l.requests() >= 1000 - LoadDigest.MOST_BUSY);
+        assertThat(digest.busy()).hasSize(LoadDigest.MAX_BUSY);
+        assertThat(digest.busy()).allMatch(l -> l.requests() >= 1000 - LoadDigest.MAX_BUSY);
     }
 
     // A part that every router saw once looked like any other.
