--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
@@ -35,13 +35,13 @@
 
     /** Takes what a router has at each backend server. */
     void toldByRouter(Instant now, String router, LoadReport loads) {
-        mLoads.toldByRouter(now, router, loads);
+        mLoads.onRouterReport(now, router, loads);
     }
 
     /** Takes what a peer passed on. */
     void toldByPeer(Instant now, PeerLoads loads) {
         if (!loads.isEmpty()) {
-            mLoads.toldByPeer(now, loads);
+            mLoads.onPeerLoads(now, loads);
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -65,7 +65,7 @@
      * Takes what a router has under way. One that tells changes only, of what is not known here, is
      * passed over: it tells everything next, since another run than before has answered it.
      */
-    public void toldByRouter(Instant now, String router, LoadReport report) {
+    public void onRouterReport(Instant now, String router, LoadReport report) {
         if (!report.full() && !mRouters.containsKey(router)) {
             return;
         }
@@ -84,7 +84,7 @@
     }
 
     /** Takes what a peer's routers have under way. */
-    public void toldByPeer(Instant now, PeerLoads told) {
+    public void onPeerLoads(Instant now, PeerLoads told) {
         String peer = told.control();
         boolean known =
                 told.sums().full() || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -50,15 +50,15 @@
     }
 
     private void share(Instant now) {
-        mTable.toldByPeer(now, mPeer.forPeers(now));
+        mTable.onPeerLoads(now, mPeer.forPeers(now));
     }
 
     // Each router saw its own few requests only, and nobody their sum.
     @Test
     void sumsUpOverRoutersAndPeers() {
-        mTable.toldByRouter(NOW, "r1", report(new BackendLoad(FIRST, 2)));
-        mTable.toldByRouter(NOW, "r2", report(new BackendLoad(FIRST, 1)));
-        mPeer.toldByRouter(
+        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 2)));
+        mTable.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 1)));
+        mPeer.onRouterReport(
                 NOW, "r3", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         share(NOW);
         LoadDigest digest = digest(mTable);
@@ -71,10 +71,10 @@
     // What a router had before was added to what it has now.
     @Test
     void aReportTakesThePlaceOfTheOneBefore() {
-        mPeer.toldByRouter(
+        mPeer.onRouterReport(
                 NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         share(NOW);
-        mPeer.toldByRouter(NOW, "r1", report(new BackendLoad(SECOND, 3)));
+        mPeer.onRouterReport(NOW, "r1", report(new BackendLoad(SECOND, 3)));
         share(NOW.plusMillis(100));
         assertThat(mPeer.requests()).isEqualTo(3);
         assertThat(mTable.requests()).isEqualTo(3);
@@ -84,18 +84,18 @@
     // A router told everything with each exchange, whatever had changed.
     @Test
     void changesAreAddedToWhatIsKnown() {
-        mTable.toldByRouter(
+        mTable.onRouterReport(
                 NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
-        mTable.toldByRouter(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
+        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
         assertThat(mTable.requests()).isEqualTo(7);
-        mTable.toldByRouter(NOW, "r1", changes(new BackendLoad(SECOND, 0)));
+        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(SECOND, 0)));
         assertThat(mTable.requests()).isEqualTo(6);
     }
 
     // Changes of what was not known were taken for all that a router has.
     @Test
     void changesOfARouterThatIsNotKnownAreNotTaken() {
-        mTable.toldByRouter(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
+        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
         assertThat(mTable.requests()).isZero();
         assertThat(mTable.routers()).isZero();
     }
@@ -103,8 +103,8 @@
     // A router's last requests counted for good after it had ended or gone to another instance.
     @Test
     void whoIsSilentCountsForNothing() {
-        mTable.toldByRouter(NOW, "r1", report(new BackendLoad(FIRST, 2)));
-        mPeer.toldByRouter(NOW, "r2", report(new BackendLoad(FIRST, 4)));
+        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 2)));
+        mPeer.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 4)));
         share(NOW);
         share(NOW.plusMillis(1000));
         mTable.forget(NOW.plus(ROUTER_COUNTS_FOR));
@@ -118,11 +118,11 @@
     // A lost message left two instances apart for good.
     @Test
     void aLostMessageIsMadeGoodWithinASecond() {
-        mPeer.toldByRouter(NOW, "r1", report(new BackendLoad(FIRST, 4)));
+        mPeer.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 4)));
         mPeer.forPeers(NOW);
         share(NOW.plusMillis(100));
         assertThat(mTable.requests()).isZero();
-        mPeer.toldByRouter(NOW.plusMillis(900), "r1", report(new BackendLoad(FIRST, 4)));
+        mPeer.onRouterReport(NOW.plusMillis(900), "r1", report(new BackendLoad(FIRST, 4)));
         share(NOW.plusMillis(1000));
         assertThat(mTable.requests()).isEqualTo(4);
     }
@@ -132,13 +132,13 @@
     void oneLostMessageHidesNothingMeanwhile() {
         for (int millis = 0; millis <= 10_000; millis += 20) {
             Instant now = NOW.plusMillis(millis);
-            mPeer.toldByRouter(now, "r1", report(new BackendLoad(FIRST, 24)));
+            mPeer.onRouterReport(now, "r1", report(new BackendLoad(FIRST, 24)));
             PeerLoads told = mPeer.forPeers(now);
             boolean lost = millis / 1000 % 3 == 2;
             if (!told.isEmpty() && !lost) {
-                mTable.toldByPeer(now, told);
+                mTable.onPeerLoads(now, told);
             }
-            mTable.toldByPeer(now, new PeerLoads("c1", 1, NOTHING_NEW));
+            mTable.onPeerLoads(now, new PeerLoads("c1", 1, NOTHING_NEW));
             mTable.forget(now);
             assertThat(mTable.requests()).as("after %d ms", millis).isEqualTo(24);
         }
@@ -148,30 +148,30 @@
     @Test
     void aPeersRoutersCountOnceItHasToldEverything() {
         BackendLoad load = new BackendLoad(FIRST, 4);
-        mTable.toldByPeer(NOW, new PeerLoads("c1", 20, changes(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, changes(load)));
         assertThat(digest(mTable).routers()).isZero();
-        mTable.toldByPeer(NOW, new PeerLoads("c1", 20, report(load)));
-        mTable.toldByPeer(NOW, new PeerLoads("c1", 21, changes(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, report(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 21, changes(load)));
         assertThat(digest(mTable).routers()).isEqualTo(21);
     }
 
     // What a router had just reported was not in the answer, and was taken off the load again.
     @Test
     void anAnswerHasThePresentNumbers() {
-        mTable.toldByRouter(NOW, "r1", report(new BackendLoad(FIRST, 12)));
+        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 12)));
         LoadDigest before = digest(mTable);
-        mTable.toldByRouter(NOW, "r2", report(new BackendLoad(FIRST, 10)));
+        mTable.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 10)));
         assertThat(mTable.refreshed(before).busy()).containsExactly(new BackendLoad(FIRST, 22));
     }
 
     // Peers were told the same again and again.
     @Test
     void peersAreToldWhatChanged() {
-        mPeer.toldByRouter(
+        mPeer.onRouterReport(
                 NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         mPeer.forPeers(NOW);
         Instant next = NOW.plusMillis(100);
-        mPeer.toldByRouter(next, "r1", report(new BackendLoad(FIRST, 4)));
+        mPeer.onRouterReport(next, "r1", report(new BackendLoad(FIRST, 4)));
         assertThat(mPeer.forPeers(next).sums().servers())
                 .containsExactly(new BackendLoad(SECOND, 0));
         assertThat(mPeer.forPeers(next).isEmpty()).isTrue();
@@ -180,7 +180,7 @@
     // One that leaves, and has few requests left, lowered the mean of those that stay.
     @Test
     void onlyThoseThatTakeNewWorkCount() {
-        mTable.toldByRouter(
+        mTable.onRouterReport(
                 NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         LoadDigest digest =
                 mTable.digest(
@@ -196,7 +196,7 @@
     void aDigestNamesABoundedNumber() {
         List<BackendLoad> loads =
                 IntStream.range(0, 1000).mapToObj(i -> new BackendLoad(ref(i), i)).toList();
-        mTable.toldByRouter(NOW, "r1", report(loads.toArray(new BackendLoad[0])));
+        mTable.onRouterReport(NOW, "r1", report(loads.toArray(new BackendLoad[0])));
         LoadDigest digest =
                 mTable.digest(
                         loads.stream()
@@ -209,11 +209,11 @@
     // A part that every router saw once looked like any other.
     @Test
     void aPartThatSeveralRoutersAskForIsHot() {
-        mTable.toldByRouter(NOW, "r1", about(7, 1));
-        mPeer.toldByRouter(NOW, "r2", about(7, 1));
+        mTable.onRouterReport(NOW, "r1", about(7, 1));
+        mPeer.onRouterReport(NOW, "r2", about(7, 1));
         share(NOW);
         assertThat(digest(mTable).hot()).isEmpty();
-        mTable.toldByRouter(NOW, "r3", about(7, 1));
+        mTable.onRouterReport(NOW, "r3", about(7, 1));
         assertThat(digest(mTable).hot()).containsExactly(new PartLoad(7, 3));
         mTable.forget(NOW.plus(ROUTER_COUNTS_FOR));
         assertThat(digest(mTable).hot()).isEmpty();
