--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
@@ -60,7 +60,7 @@
             return PeerLoads.NONE;
         }
         mNextForPeers = now.plus(PEER_INTERVAL);
-        return mLoads.forPeers(now);
+        return mLoads.takePeerUpdate(now);
     }
 
     /** Returns how many requests are known to be at backend servers. */
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -94,7 +94,7 @@
     }
 
     /** Returns, once, what peers are told; nothing while they know it. */
-    public PeerLoads forPeers(Instant now) {
+    public PeerLoads takePeerUpdate(Instant now) {
         boolean tellsAll = !now.isBefore(mNextTellAll) && !mRouters.isEmpty();
         if (tellsAll) {
             mNextTellAll = now.plus(TOLD_AGAIN_AFTER);
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -50,7 +50,7 @@
     }
 
     private void share(Instant now) {
-        mTable.onPeerLoads(now, mPeer.forPeers(now));
+        mTable.onPeerLoads(now, mPeer.takePeerUpdate(now));
     }
 
     // Each router saw its own few requests only, and nobody their sum.
@@ -119,7 +119,7 @@
     @Test
     void aLostMessageIsMadeGoodWithinASecond() {
         mPeer.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 4)));
-        mPeer.forPeers(NOW);
+        mPeer.takePeerUpdate(NOW);
         share(NOW.plusMillis(100));
         assertThat(mTable.requests()).isZero();
         mPeer.onRouterReport(NOW.plusMillis(900), "r1", report(new BackendLoad(FIRST, 4)));
@@ -133,7 +133,7 @@
         for (int millis = 0; millis <= 10_000; millis += 20) {
             Instant now = NOW.plusMillis(millis);
             mPeer.onRouterReport(now, "r1", report(new BackendLoad(FIRST, 24)));
-            PeerLoads told = mPeer.forPeers(now);
+            PeerLoads told = mPeer.takePeerUpdate(now);
             boolean lost = millis / 1000 % 3 == 2;
             if (!told.isEmpty() && !lost) {
                 mTable.onPeerLoads(now, told);
@@ -169,12 +169,12 @@
     void peersAreToldWhatChanged() {
         mPeer.onRouterReport(
                 NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
-        mPeer.forPeers(NOW);
+        mPeer.takePeerUpdate(NOW);
         Instant next = NOW.plusMillis(100);
         mPeer.onRouterReport(next, "r1", report(new BackendLoad(FIRST, 4)));
-        assertThat(mPeer.forPeers(next).sums().servers())
+        assertThat(mPeer.takePeerUpdate(next).sums().servers())
                 .containsExactly(new BackendLoad(SECOND, 0));
-        assertThat(mPeer.forPeers(next).isEmpty()).isTrue();
+        assertThat(mPeer.takePeerUpdate(next).isEmpty()).isTrue();
     }
 
     // One that leaves, and has few requests left, lowered the mean of those that stay.
