--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
@@ -73,6 +73,6 @@
             return;
         }
         mNextForget = now.plus(FORGET_INTERVAL);
-        mLoads.forget(now);
+        mLoads.expire(now);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -111,7 +111,7 @@
     }
 
     /** Forgets who is silent. */
-    public void forget(Instant now) {
+    public void expire(Instant now) {
         silent(mRouters, now, at -> at, mRouterCountsFor).forEach(this::forgetRouter);
         silent(mPeers, now, Peer::heardAt, PEER_COUNTS_FOR).forEach(this::forgetPeer);
         mServers.forget(now, TOLD_COUNTS_FOR);
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -107,10 +107,10 @@
         mPeer.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 4)));
         share(NOW);
         share(NOW.plusMillis(1000));
-        mTable.forget(NOW.plus(ROUTER_COUNTS_FOR));
+        mTable.expire(NOW.plus(ROUTER_COUNTS_FOR));
         assertThat(mTable.requests()).isEqualTo(4);
         assertThat(mTable.routers()).isEqualTo(1);
-        mTable.forget(NOW.plusMillis(1000).plus(LoadTable.PEER_COUNTS_FOR));
+        mTable.expire(NOW.plusMillis(1000).plus(LoadTable.PEER_COUNTS_FOR));
         assertThat(mTable.requests()).isZero();
         assertThat(mTable.routers()).isZero();
     }
@@ -139,7 +139,7 @@
                 mTable.onPeerLoads(now, told);
             }
             mTable.onPeerLoads(now, new PeerLoads("c1", 1, NOTHING_NEW));
-            mTable.forget(now);
+            mTable.expire(now);
             assertThat(mTable.requests()).as("after %d ms", millis).isEqualTo(24);
         }
     }
@@ -215,7 +215,7 @@
         assertThat(digest(mTable).hot()).isEmpty();
         mTable.onRouterReport(NOW, "r3", about(7, 1));
         assertThat(digest(mTable).hot()).containsExactly(new PartLoad(7, 3));
-        mTable.forget(NOW.plus(ROUTER_COUNTS_FOR));
+        mTable.expire(NOW.plus(ROUTER_COUNTS_FOR));
         assertThat(digest(mTable).hot()).isEmpty();
     }
 }
