--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CrashCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CrashCodecTest.java
@@ -47,7 +47,7 @@
             table.merge(Instant.EPOCH, List.of(record(i)));
         }
         List<CrashRecord> told = table.since(Instant.EPOCH, 0).records();
-        assertThat(told).hasSize(CrashTable.MOST_TOLD);
+        assertThat(told).hasSize(CrashTable.MAX_RECORDS_PER_MESSAGE);
         ExchangeReply reply =
                 ExchangeReply.newBuilder().addAllCrashes(CrashCodec.toWire(told)).build();
         assertThat(reply.getSerializedSize()).isLessThan(MOST_BYTES);
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -28,7 +28,7 @@
  */
 public final class CrashTable {
     /** Most records that one message tells; the rest follows with the next one. */
-    public static final int MOST_TOLD = 32;
+    public static final int MAX_RECORDS_PER_MESSAGE = 32;
 
     static final int MOST_REQUESTS = 1024;
 
@@ -218,7 +218,7 @@
         List<CrashRecord> records = new ArrayList<>();
         long reached = version;
         Iterator<CrashEntry> changed = mChanges.tailMap(version, false).values().iterator();
-        while (changed.hasNext() && records.size() < MOST_TOLD) {
+        while (changed.hasNext() && records.size() < MAX_RECORDS_PER_MESSAGE) {
             CrashEntry e = changed.next();
             records.add(e.record(now));
             reached = e.mVersion;
