--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -89,7 +89,7 @@
     }
 
     void forget(Instant now) {
-        mCrashes.forget(now);
+        mCrashes.expire(now);
     }
 
     /** Writes what changed to the log. */
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -227,7 +227,7 @@
     }
 
     /** Forgets, once a second, requests under which no backend server has ended for long. */
-    public void forget(Instant now) {
+    public void expire(Instant now) {
         if (mEntries.isEmpty() || now.isBefore(mNextForget)) {
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -126,7 +126,7 @@
         mNotes.flush(s, mMemberships.cursor());
         mTimers.onTick(s);
         stepDirect(s, new DirectEvent.Tick());
-        mCrashes.forget(s.now());
+        mCrashes.expire(s.now());
         mLoadNotes.onTick(s, mMemberships.cursor());
         mExchanges.onTick(s, mMemberships.cursor(), mCrashSharing, mLoads);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -161,7 +161,7 @@
         crash(1);
         crash(2);
         mNow = mNow.plus(Duration.ofMinutes(11));
-        mTable.forget(mNow);
+        mTable.expire(mNow);
         assertThat(mTable.isEmpty()).isTrue();
         crash(3);
         assertThat(mTable.isQuarantined(KEY)).isFalse();
@@ -171,10 +171,10 @@
     void aQuarantinedRequestIsRememberedForADay() {
         quarantine();
         mNow = mNow.plus(Duration.ofHours(23));
-        mTable.forget(mNow);
+        mTable.expire(mNow);
         assertThat(mTable.isQuarantined(KEY)).isTrue();
         mNow = mNow.plus(Duration.ofHours(2));
-        mTable.forget(mNow);
+        mTable.expire(mNow);
         assertThat(mTable.isEmpty()).isTrue();
         assertThat(mChanges).containsExactly(true, false);
     }
@@ -200,7 +200,7 @@
         int trials = 0;
         for (int minute = 0; minute < 12 * 60; minute++) {
             mNow = mNow.plus(Duration.ofMinutes(1));
-            mTable.forget(mNow);
+            mTable.expire(mNow);
             if (mTable.takeTrial(mNow, KEY)) {
                 trials++;
                 mTable.crashed(mNow, KEY, "svc", server(3 + trials));
