--- a/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
@@ -31,7 +31,7 @@
      */
     boolean lost(ActiveCall r, BackendRef server, Instant now) {
         boolean suspect = isSuspect(r);
-        mCrashes.crashed(now, r.key(), r.mService, server);
+        mCrashes.onCrash(now, r.key(), r.mService, server);
         return !suspect;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -102,7 +102,7 @@
     }
 
     /** Notes that a backend server ended while it had a request. */
-    public void crashed(Instant now, RequestKey key, String service, BackendRef server) {
+    public void onCrash(Instant now, RequestKey key, String service, BackendRef server) {
         Crash crash = new Crash(server, mSelf, Duration.ZERO, false);
         merge(now, new CrashRecord(key, service, List.of(crash)));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -31,7 +31,7 @@
     }
 
     private void crash(int server) {
-        mTable.crashed(mNow, KEY, "svc", server(server));
+        mTable.onCrash(mNow, KEY, "svc", server(server));
     }
 
     private void quarantine() {
@@ -121,7 +121,7 @@
     @Test
     void tellsManyInMessagesOfBoundedSize() {
         for (int i = 0; i < 150; i++) {
-            mTable.crashed(mNow, new RequestKey("a" + i, i), "svc", server(1));
+            mTable.onCrash(mNow, new RequestKey("a" + i, i), "svc", server(1));
         }
         CrashTable reader = table("c1");
         long seen = 0;
@@ -141,7 +141,7 @@
     void anAccountCantPushOutAnothers() {
         quarantine();
         for (int i = 0; i < 5 * CrashTable.MOST_REQUESTS; i++) {
-            mTable.crashed(mNow, new RequestKey("flood", i), "svc", server(i));
+            mTable.onCrash(mNow, new RequestKey("flood", i), "svc", server(i));
         }
         assertThat(mTable.isQuarantined(KEY)).isTrue();
         assertThat(mTable.isSuspect(new RequestKey("flood", 0))).isFalse();
@@ -151,7 +151,7 @@
     void manyAccountsPushOutTheLeastTelling() {
         quarantine();
         for (int i = 0; i < 2 * CrashTable.MOST_REQUESTS; i++) {
-            mTable.crashed(mNow, new RequestKey("a" + i, i), "svc", server(i));
+            mTable.onCrash(mNow, new RequestKey("a" + i, i), "svc", server(i));
         }
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
@@ -183,10 +183,10 @@
     @Test
     void onlyTheRouterThatSawTheLastEndTriesAgain() {
         CrashTable second = table("r2");
-        mTable.crashed(mNow, KEY, "svc", server(1));
-        mTable.crashed(mNow, KEY, "svc", server(2));
+        mTable.onCrash(mNow, KEY, "svc", server(1));
+        mTable.onCrash(mNow, KEY, "svc", server(2));
         tell(mNow, mTable, second);
-        second.crashed(mNow.plusMillis(5), KEY, "svc", server(3));
+        second.onCrash(mNow.plusMillis(5), KEY, "svc", server(3));
         tell(mNow.plusMillis(9), second, mTable);
         mNow = mNow.plus(FIRST_TRIAL).plusSeconds(1);
         assertThat(mTable.takeTrial(mNow, KEY)).isFalse();
@@ -203,7 +203,7 @@
             mTable.expire(mNow);
             if (mTable.takeTrial(mNow, KEY)) {
                 trials++;
-                mTable.crashed(mNow, KEY, "svc", server(3 + trials));
+                mTable.onCrash(mNow, KEY, "svc", server(3 + trials));
             }
         }
         assertThat(trials).isEqualTo(3);
@@ -235,7 +235,7 @@
                 case 0 -> t.served(now, key);
                 case 1 -> t.survived(now, server(random.nextInt(5)), now);
                 case 2 -> tell(now, t, tables.get(random.nextInt(tables.size())));
-                default -> t.crashed(now, key, "svc", server(random.nextInt(5)));
+                default -> t.onCrash(now, key, "svc", server(random.nextInt(5)));
             }
         }
         for (int round = 0; round < 2; round++) {
