--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -55,7 +55,7 @@
         if (!mCrashes.isQuarantined(key)) {
             return false;
         }
-        mCrashes.served(now, key);
+        mCrashes.excuseAll(now, key);
         mCrashes.find(now, key).ifPresent(mUrgent::add);
         return true;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
@@ -48,7 +48,7 @@
     /** Notes that a request has been served. */
     void served(ActiveCall r, Instant now) {
         if (!mCrashes.isEmpty()) {
-            mCrashes.served(now, r.key());
+            mCrashes.excuseAll(now, r.key());
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -111,7 +111,7 @@
      * Notes that a request was served, or that an operator vouches for it: none of the ends under
      * it was its doing.
      */
-    public void served(Instant now, RequestKey key) {
+    public void excuseAll(Instant now, RequestKey key) {
         CrashEntry e = mEntries.get(key);
         if (e != null) {
             boolean before = e.isQuarantined();
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -65,7 +65,7 @@
         for (int i = 1; i < 100; i++) {
             crash(i);
             crash(100 + i);
-            mTable.served(mNow, KEY);
+            mTable.excuseAll(mNow, KEY);
         }
         assertThat(mTable.isSuspect(KEY)).isFalse();
         assertThat(mChanges).isEmpty();
@@ -102,7 +102,7 @@
     void anExcuseHoldsWhateverComesLater() {
         quarantine();
         List<CrashRecord> late = mTable.since(mNow, 0).records();
-        mTable.served(mNow, KEY);
+        mTable.excuseAll(mNow, KEY);
         mTable.merge(mNow, late);
         assertThat(mTable.isSuspect(KEY)).isFalse();
     }
@@ -113,7 +113,7 @@
         long version = mTable.since(mNow, 0).version();
         assertThat(mTable.since(mNow, version).records()).isEmpty();
         assertThat(mTable.merge(mNow, mTable.since(mNow, 0).records())).isFalse();
-        mTable.served(mNow, KEY);
+        mTable.excuseAll(mNow, KEY);
         assertThat(mTable.since(mNow, version).records()).hasSize(1);
     }
 
@@ -216,7 +216,7 @@
         tell(mNow, mTable, second);
         mNow = mNow.plus(FIRST_TRIAL).plusSeconds(1);
         assertThat(mTable.takeTrial(mNow, KEY)).isTrue();
-        mTable.served(mNow, KEY);
+        mTable.excuseAll(mNow, KEY);
         tell(mNow, mTable, second);
         assertThat(second.isQuarantined(KEY)).isFalse();
     }
@@ -232,7 +232,7 @@
             CrashTable t = tables.get(random.nextInt(tables.size()));
             RequestKey key = new RequestKey("a", random.nextInt(3));
             switch (random.nextInt(6)) {
-                case 0 -> t.served(now, key);
+                case 0 -> t.excuseAll(now, key);
                 case 1 -> t.survived(now, server(random.nextInt(5)), now);
                 case 2 -> tell(now, t, tables.get(random.nextInt(tables.size())));
                 default -> t.onCrash(now, key, "svc", server(random.nextInt(5)));
