--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/AnswerReader.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/AnswerReader.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import org.laurelweir.attempt.Header;
-import org.laurelweir.direct.AnswerFacts;
+import org.laurelweir.direct.AnswerMetadata;
 import org.laurelweir.router.http.HttpDialect;
 
 /** Reads what the head of an answer says to the router. */
@@ -38,19 +38,19 @@
         return headers;
     }
 
-    AnswerFacts facts(String id, HttpResponse r) {
+    AnswerMetadata facts(String id, HttpResponse r) {
         int status = r.status().code();
         boolean other = status == MISDIRECTED;
         boolean notRun = other || r.headers().contains(mDialect.notRun());
         boolean genuine = !isOfAnother(id, r) && (status / 100 != 2 || isSealed(r.headers()));
-        return new AnswerFacts(notRun, other, genuine, load(r.headers()));
+        return new AnswerMetadata(notRun, other, genuine, load(r.headers()));
     }
 
     private boolean isSealed(HttpHeaders headers) {
         return mDialect.seal().isEmpty() || headers.contains(mDialect.seal());
     }
 
-    private Optional<AnswerFacts.ReportedLoad> load(HttpHeaders headers) {
+    private Optional<AnswerMetadata.ReportedLoad> load(HttpHeaders headers) {
         String told = headers.get(mDialect.load());
         if (told == null) {
             return Optional.empty();
@@ -61,7 +61,7 @@
         }
         try {
             return Optional.of(
-                    new AnswerFacts.ReportedLoad(
+                    new AnswerMetadata.ReportedLoad(
                             Integer.parseInt(numbers[0].strip()),
                             Integer.parseInt(numbers[1].strip()),
                             Integer.parseInt(numbers[2].strip())));
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/Exchange.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/Exchange.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpResponse;
 import java.util.function.Consumer;
-import org.laurelweir.direct.AnswerFacts;
+import org.laurelweir.direct.AnswerMetadata;
 import org.laurelweir.direct.DirectEffect;
 import org.laurelweir.direct.DirectEvent;
 import org.laurelweir.direct.DirectEvent.Failure;
@@ -46,7 +46,7 @@
 
     /** Returns whether the answer is one to this request, as far as its head tells. */
     boolean answered(HttpResponse response) {
-        AnswerFacts facts = mReader.facts(mCall.request().id(), response);
+        AnswerMetadata facts = mReader.facts(mCall.request().id(), response);
         if (!mOver) {
             mEvents.accept(
                     new DirectEvent.Answered(
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerFacts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerMetadata.java
@@ -10,7 +10,7 @@
  * @param genuine whether the answer bears the marks of an answer to this very request
  * @param load what the backend server tells of its load
  */
-public record AnswerFacts(
+public record AnswerMetadata(
         boolean notRun, boolean otherServer, boolean genuine, Optional<ReportedLoad> load) {
     /**
      * A backend server's load as it answered.
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
@@ -12,7 +12,7 @@
     record CallerGone(long caller) implements DirectEvent {}
 
     /** The head of a backend server's answer arrived. */
-    record Answered(long call, int status, List<Header> headers, AnswerFacts facts)
+    record Answered(long call, int status, List<Header> headers, AnswerMetadata facts)
             implements DirectEvent {}
 
     /** A piece of the answer's body arrived. */
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -161,7 +161,7 @@
         }
     }
 
-    private void loadTold(BackendRef backend, AnswerFacts.ReportedLoad load) {
+    private void loadTold(BackendRef backend, AnswerMetadata.ReportedLoad load) {
         mServers.slotsTold(backend, load.slots());
         mLoads.heard(mNow, backend, load.running() + load.waiting());
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
@@ -22,10 +22,10 @@
 /** Drives the routing without sidecars event by event, with one service of a few servers. */
 final class DirectDriver implements BackendSource {
     static final String SERVICE = "svc";
-    static final AnswerFacts GENUINE = new AnswerFacts(false, false, true, Optional.empty());
-    static final AnswerFacts NOT_RUN = new AnswerFacts(true, false, true, Optional.empty());
-    static final AnswerFacts OTHER_SERVER = new AnswerFacts(true, true, true, Optional.empty());
-    static final AnswerFacts CROSSED = new AnswerFacts(false, false, false, Optional.empty());
+    static final AnswerMetadata GENUINE = new AnswerMetadata(false, false, true, Optional.empty());
+    static final AnswerMetadata NOT_RUN = new AnswerMetadata(true, false, true, Optional.empty());
+    static final AnswerMetadata OTHER_SERVER = new AnswerMetadata(true, true, true, Optional.empty());
+    static final AnswerMetadata CROSSED = new AnswerMetadata(false, false, false, Optional.empty());
     static final RetryLimits LIMITS = new RetryLimits(0.2, 64, Duration.ofSeconds(10), 1, 1);
 
     final List<DirectEffect> mEffects = new ArrayList<>();
@@ -151,7 +151,7 @@
         give(new DirectEvent.Tick());
     }
 
-    void answer(long call, int status, AnswerFacts facts) {
+    void answer(long call, int status, AnswerMetadata facts) {
         give(new DirectEvent.Answered(call, status, List.of(new Header("x", "y")), facts));
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
@@ -39,8 +39,8 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static AnswerFacts telling(AnswerFacts.ReportedLoad load) {
-        return new AnswerFacts(false, false, true, Optional.of(load));
+    private static AnswerMetadata telling(AnswerMetadata.ReportedLoad load) {
+        return new AnswerMetadata(false, false, true, Optional.of(load));
     }
 
     @Test
@@ -321,7 +321,7 @@
     @Test
     void aPlainRequestIsOfferedToAServerThatWasFullOnce() {
         DirectDriver few = new DirectDriver(2);
-        AnswerFacts full = telling(new AnswerFacts.ReportedLoad(6, 1, 6));
+        AnswerMetadata full = telling(new AnswerMetadata.ReportedLoad(6, 1, 6));
         for (int caller = 1; caller <= 2; caller++) {
             few.arrive(caller, SAFE);
             few.answer(few.call().call(), 200, full);
@@ -334,7 +334,7 @@
     @Test
     void aPlainRequestIsRefusedWhereThisRouterAloneFillsEveryServer() {
         DirectDriver few = new DirectDriver(2);
-        AnswerFacts told = telling(new AnswerFacts.ReportedLoad(1, 0, 2));
+        AnswerMetadata told = telling(new AnswerMetadata.ReportedLoad(1, 0, 2));
         few.arrive(1, SAFE);
         few.arrive(2, SAFE);
         for (BeginCall call : few.all(BeginCall.class)) {
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.laurelweir.direct.AnswerFacts;
+import org.laurelweir.direct.AnswerMetadata;
 import org.laurelweir.direct.DirectEffect;
 import org.laurelweir.direct.DirectEvent;
 import org.laurelweir.direct.Prompt;
@@ -170,10 +170,10 @@
         if (!e.mHeld.contains(r)) {
             return;
         }
-        AnswerFacts.ReportedLoad load =
-                new AnswerFacts.ReportedLoad(
+        AnswerMetadata.ReportedLoad load =
+                new AnswerMetadata.ReportedLoad(
                         e.held() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
-        AnswerFacts facts = new AnswerFacts(false, false, true, Optional.of(load));
+        AnswerMetadata facts = new AnswerMetadata(false, false, true, Optional.of(load));
         r.tell(new DirectEvent.Answered(r.mCall.call(), 200, List.of(), facts));
         double token = TOKEN_MILLIS + TOKEN_MILLIS_BESIDE * e.held();
         mTime.after(
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.laurelweir.direct.AnswerFacts;
+import org.laurelweir.direct.AnswerMetadata;
 import org.laurelweir.direct.DirectEffect;
 import org.laurelweir.direct.DirectEvent;
 import org.laurelweir.fleet.FleetBackends;
@@ -36,14 +36,14 @@
     private static final int LEAST_RUN_MILLIS = 50;
     private static final int MOST_RUN_MILLIS = 800;
     private static final int MOST_TRANSIT_MILLIS = 3;
-    private static final AnswerFacts GENUINE =
-            new AnswerFacts(false, false, true, Optional.empty());
+    private static final AnswerMetadata GENUINE =
+            new AnswerMetadata(false, false, true, Optional.empty());
 
-    private static final AnswerFacts SPOILED =
-            new AnswerFacts(false, false, false, Optional.empty());
+    private static final AnswerMetadata SPOILED =
+            new AnswerMetadata(false, false, false, Optional.empty());
 
-    private static final AnswerFacts OTHER_SERVER =
-            new AnswerFacts(true, true, true, Optional.empty());
+    private static final AnswerMetadata OTHER_SERVER =
+            new AnswerMetadata(true, true, true, Optional.empty());
 
     private final VirtualTime mTime;
     private final FleetControls mControls;
@@ -52,7 +52,7 @@
     private final List<Long> mCrashingArrivals = new ArrayList<>();
     private int mStarts;
     private boolean mMended;
-    private AnswerFacts mCrashingFacts = GENUINE;
+    private AnswerMetadata mCrashingFacts = GENUINE;
     private int mSpoiledCuts;
 
     FleetServers(VirtualTime time, FleetControls controls, int count) {
@@ -145,7 +145,7 @@
         }
     }
 
-    private AnswerFacts facts(DirectEffect.BeginCall call) {
+    private AnswerMetadata facts(DirectEffect.BeginCall call) {
         if (isCrashing(call) && !mMended) {
             return mCrashingFacts;
         }
@@ -155,7 +155,7 @@
     private void answer(
             DirectEffect.BeginCall call,
             int status,
-            AnswerFacts facts,
+            AnswerMetadata facts,
             Consumer<DirectEvent> events) {
         DirectEvent head = new DirectEvent.Answered(call.call(), status, List.of(), facts);
         transit(() -> events.accept(head));
