--- a/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerMetadata.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerMetadata.java
@@ -6,12 +6,12 @@
  * What the head of an answer says beyond its status.
  *
  * @param notRun whether the backend server says that it did not run the request
- * @param otherServer whether the one that answered is not the one that was meant
+ * @param misdirected whether the one that answered is not the one that was meant
  * @param genuine whether the answer bears the marks of an answer to this very request
  * @param load what the backend server tells of its load
  */
 public record AnswerMetadata(
-        boolean notRun, boolean otherServer, boolean genuine, Optional<ReportedLoad> load) {
+        boolean notRun, boolean misdirected, boolean genuine, Optional<ReportedLoad> load) {
     /**
      * A backend server's load as it answered.
      *
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -217,14 +217,14 @@
 
     /** The server says that it did not run the request and will not. */
     private void onNotRun(ActiveCall r, DirectEvent.Answered e) {
-        if (e.facts().otherServer()) {
+        if (e.facts().misdirected()) {
             mServers.replaced(r.mBackend, mNow);
         } else {
             mServers.full(r.mBackend, mNow);
         }
         emit(mReports.said(r, "not_run_" + e.status(), mNow));
         mAttempts.cancel(r);
-        r.mMisdirected = e.facts().otherServer();
+        r.mMisdirected = e.facts().misdirected();
         if (!mAttempts.next(r)) {
             end(r, c -> mErrors.gaveUp(c, "the backend servers did not take the request"));
         }
