--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/Exchange.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/Exchange.java
@@ -49,7 +49,7 @@
         AnswerMetadata facts = mReader.facts(mCall.request().id(), response);
         if (!mOver) {
             mEvents.accept(
-                    new DirectEvent.Answered(
+                    new DirectEvent.HeadReceived(
                             mCall.call(),
                             response.status().code(),
                             mReader.headers(response),
@@ -61,7 +61,7 @@
     void received(HttpContent content) {
         if (!mOver && content.content().isReadable()) {
             mEvents.accept(
-                    new DirectEvent.Received(
+                    new DirectEvent.DataReceived(
                             mCall.call(), ByteBufUtil.getBytes(content.content())));
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
@@ -12,11 +12,11 @@
     record CallerGone(long caller) implements DirectEvent {}
 
     /** The head of a backend server's answer arrived. */
-    record Answered(long call, int status, List<Header> headers, AnswerMetadata facts)
+    record HeadReceived(long call, int status, List<Header> headers, AnswerMetadata facts)
             implements DirectEvent {}
 
     /** A piece of the answer's body arrived. */
-    record Received(long call, byte[] bytes) implements DirectEvent {}
+    record DataReceived(long call, byte[] bytes) implements DirectEvent {}
 
     /** The answer is whole, by the rules of HTTP. */
     record Finished(long call) implements DirectEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -90,9 +90,9 @@
             onArrived(e);
         } else if (event instanceof DirectEvent.CallerGone e) {
             withRequest(mByCaller.get(e.caller()), this::onCallerGone);
-        } else if (event instanceof DirectEvent.Answered e) {
+        } else if (event instanceof DirectEvent.HeadReceived e) {
             withRequest(mAttempts.byCall(e.call()), r -> onAnswered(r, e));
-        } else if (event instanceof DirectEvent.Received e) {
+        } else if (event instanceof DirectEvent.DataReceived e) {
             withRequest(mAttempts.byCall(e.call()), r -> onReceived(r, e.bytes()));
         } else if (event instanceof DirectEvent.Finished e) {
             mSpoiled.finished(e.call());
@@ -137,7 +137,7 @@
         return route.shares().get(route.shares().size() - 1).service();
     }
 
-    private void onAnswered(ActiveCall r, DirectEvent.Answered e) {
+    private void onAnswered(ActiveCall r, DirectEvent.HeadReceived e) {
         r.mHeard = mNow;
         e.facts().load().ifPresent(l -> loadTold(r.mBackend, l));
         if (e.facts().notRun()) {
@@ -216,7 +216,7 @@
     }
 
     /** The server says that it did not run the request and will not. */
-    private void onNotRun(ActiveCall r, DirectEvent.Answered e) {
+    private void onNotRun(ActiveCall r, DirectEvent.HeadReceived e) {
         if (e.facts().misdirected()) {
             mServers.replaced(r.mBackend, mNow);
         } else {
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
@@ -152,7 +152,7 @@
     }
 
     void answer(long call, int status, AnswerMetadata facts) {
-        give(new DirectEvent.Answered(call, status, List.of(new Header("x", "y")), facts));
+        give(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), facts));
     }
 
     boolean isIdle() {
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
@@ -100,7 +100,7 @@
                 ran(caller, b.call());
                 driver.answer(b.call(), 200, DirectDriver.GENUINE);
                 byte[] event = "id: 1\n\n".getBytes(StandardCharsets.UTF_8);
-                driver.give(new DirectEvent.Received(b.call(), event));
+                driver.give(new DirectEvent.DataReceived(b.call(), event));
                 driver.give(new DirectEvent.Finished(b.call()));
             }
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
@@ -48,8 +48,8 @@
         mDriver.arrive(1, UNSAFE);
         long call = mDriver.call().call();
         mDriver.answer(call, 201, GENUINE);
-        mDriver.give(new DirectEvent.Received(call, bytes("ab")));
-        mDriver.give(new DirectEvent.Received(call, bytes("c")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("ab")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("c")));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
         mDriver.give(new DirectEvent.Finished(call));
         AnswerWhole whole = mDriver.last(AnswerWhole.class);
@@ -145,7 +145,7 @@
         one.arrive(1, SAFE);
         long call = one.call().call();
         one.answer(call, 500, GENUINE);
-        one.give(new DirectEvent.Received(call, bytes("why")));
+        one.give(new DirectEvent.DataReceived(call, bytes("why")));
         one.give(new DirectEvent.Finished(call));
         assertThat(one.last(AnswerWhole.class).status()).isEqualTo(500);
         assertThat(one.last(AnswerWhole.class).body()).isEqualTo(bytes("why"));
@@ -158,7 +158,7 @@
         mDriver.arrive(1, UNSAFE);
         long call = mDriver.call().call();
         mDriver.answer(call, 200, CROSSED);
-        mDriver.give(new DirectEvent.Received(call, bytes("not yours")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("not yours")));
         mDriver.give(new DirectEvent.Finished(call));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.BACKEND_FAILED);
@@ -198,9 +198,9 @@
         long call = mDriver.call().call();
         mDriver.answer(call, 200, GENUINE);
         assertThat(mDriver.last(AnswerHead.class).status()).isEqualTo(200);
-        mDriver.give(new DirectEvent.Received(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
         assertThat(mDriver.last(AnswerData.class).bytes()).isEqualTo(bytes("id: 1\ndata: a\n\n"));
-        mDriver.give(new DirectEvent.Received(call, bytes("ta: b\n\n")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("ta: b\n\n")));
         assertThat(mDriver.last(AnswerData.class).bytes()).isEqualTo(bytes("id: 2\ndata: b\n\n"));
         mDriver.give(new DirectEvent.Finished(call));
         assertThat(mDriver.all(AnswerEnd.class)).hasSize(1);
@@ -213,12 +213,12 @@
         mDriver.arrive(1, RESUMABLE);
         long call = mDriver.call().call();
         mDriver.answer(call, 200, GENUINE);
-        mDriver.give(new DirectEvent.Received(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
         mDriver.give(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
         BeginCall next = mDriver.call();
         assertThat(next.resumeAfter()).isEqualTo("1");
         mDriver.answer(next.call(), 200, GENUINE);
-        mDriver.give(new DirectEvent.Received(next.call(), bytes("id: 2\ndata: b\n\n")));
+        mDriver.give(new DirectEvent.DataReceived(next.call(), bytes("id: 2\ndata: b\n\n")));
         mDriver.give(new DirectEvent.Finished(next.call()));
         assertThat(mDriver.all(AnswerHead.class)).hasSize(1);
         assertThat(mDriver.all(AnswerData.class).stream().map(d -> new String(d.bytes())).toList())
@@ -231,7 +231,7 @@
         mDriver.arrive(1, STREAM);
         long call = mDriver.call().call();
         mDriver.answer(call, 200, GENUINE);
-        mDriver.give(new DirectEvent.Received(call, bytes("id: 1\n\n")));
+        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\n\n")));
         mDriver.give(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
         assertThat(mDriver.calls()).isEqualTo(1);
         assertThat(mDriver.all(AnswerEnd.class)).isEmpty();
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -174,7 +174,7 @@
                 new AnswerMetadata.ReportedLoad(
                         e.held() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
         AnswerMetadata facts = new AnswerMetadata(false, false, true, Optional.of(load));
-        r.tell(new DirectEvent.Answered(r.mCall.call(), 200, List.of(), facts));
+        r.tell(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), facts));
         double token = TOKEN_MILLIS + TOKEN_MILLIS_BESIDE * e.held();
         mTime.after(
                 Math.round(token * r.mCall.request().prompt().outputTokens()), () -> finish(e, r));
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
@@ -157,7 +157,7 @@
             int status,
             AnswerMetadata facts,
             Consumer<DirectEvent> events) {
-        DirectEvent head = new DirectEvent.Answered(call.call(), status, List.of(), facts);
+        DirectEvent head = new DirectEvent.HeadReceived(call.call(), status, List.of(), facts);
         transit(() -> events.accept(head));
     }
 
