--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/EarlyCallHandler.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/EarlyCallHandler.java
@@ -93,7 +93,7 @@
             mStarted = true;
             return mCalls.takeAll();
         }
-        List<Early> overdue = mCalls.takeOverdue(mClock.instant());
+        List<Early> overdue = mCalls.takeExpired(mClock.instant());
         if (!mCalls.isEmpty()) {
             mTimer.schedule(this::check, CHECK_MILLIS, TimeUnit.MILLISECONDS);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
@@ -78,7 +78,7 @@
     }
 
     /** Removes and returns the calls that have waited long enough and have to be turned away. */
-    public List<T> takeOverdue(Instant now) {
+    public List<T> takeExpired(Instant now) {
         List<T> overdue = new ArrayList<>();
         Iterator<Waiting<T>> each = mWaiting.values().iterator();
         while (each.hasNext()) {
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
@@ -26,7 +26,7 @@
         for (int i = 0; i < 20; i++) {
             assertThat(mCalls.keep(after(15 * i), i, SHORT, "call" + i)).isTrue();
         }
-        assertThat(mCalls.takeOverdue(after(300))).isEmpty();
+        assertThat(mCalls.takeExpired(after(300))).isEmpty();
         assertThat(mCalls.takeAll()).hasSize(20).startsWith("call0", "call1");
         assertThat(mCalls.isEmpty()).isTrue();
     }
@@ -35,10 +35,10 @@
     void aCallerIsTurnedAwayWhileItHasMostOfItsTime() {
         mCalls.keep(START, 1, SHORT, "short");
         mCalls.keep(START, 2, LONG, "long");
-        assertThat(mCalls.takeOverdue(after(374))).isEmpty();
-        assertThat(mCalls.takeOverdue(after(375))).containsExactly("short");
-        assertThat(mCalls.takeOverdue(after(799))).isEmpty();
-        assertThat(mCalls.takeOverdue(after(800))).containsExactly("long");
+        assertThat(mCalls.takeExpired(after(374))).isEmpty();
+        assertThat(mCalls.takeExpired(after(375))).containsExactly("short");
+        assertThat(mCalls.takeExpired(after(799))).isEmpty();
+        assertThat(mCalls.takeExpired(after(800))).containsExactly("long");
     }
 
     @Test
