--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
@@ -199,8 +199,8 @@
                 file.retryShare(),
                 file.retryReserve(),
                 file.retryWindow(),
-                d.fewestRouters(),
-                d.usedPart());
+                d.minRouters(),
+                d.usableShare());
     }
 
     private List<String> controls() {
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FleetBudget.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FleetBudget.java
@@ -38,10 +38,10 @@
     /** Takes one repetition out of the budget, if it holds one. */
     boolean spend(String service, Instant now) {
         Window w = window(service, now);
-        int routers = Math.max(mRouters.getAsInt(), mLimits.fewestRouters());
+        int routers = Math.max(mRouters.getAsInt(), mLimits.minRouters());
         double reserve = mLimits.fleetReserve() / routers;
         double allowed = mLimits.share() * w.mRequests.size() + reserve;
-        if (w.mRepeats.size() + 1 > mLimits.usedPart() * allowed) {
+        if (w.mRepeats.size() + 1 > mLimits.usableShare() * allowed) {
             return false;
         }
         w.mRepeats.add(now);
