--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
@@ -117,7 +117,7 @@
     }
 
     private RoutedRequest request(SettingsTree tree, Route route, HttpCall call) {
-        String account = route.open() ? "" : accountOf(tree, call);
+        String account = route.isPublic() ? "" : accountOf(tree, call);
         return new RoutedRequest(
                 call.header(mDialect.requestId()),
                 route,
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Route.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Route.java
@@ -17,7 +17,7 @@
  * @param idempotent whether a request may run more than once
  * @param streamed whether answers are streams of events
  * @param resumable whether a stream may go on at another backend server
- * @param open whether requests need no key
+ * @param isPublic whether requests need no key
  * @param maxAttempts most backend servers that one request is sent to
  * @param timeout longest time for the whole answer
  * @param objective time to the first piece of an answer that counts as prompt
@@ -32,7 +32,7 @@
         boolean idempotent,
         boolean streamed,
         boolean resumable,
-        boolean open,
+        boolean isPublic,
         int maxAttempts,
         Duration timeout,
         Duration objective,
