--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
@@ -76,7 +76,7 @@
                     ResultCode.SETTINGS_UNKNOWN, "this router has no confirmed settings yet");
         }
         Optional<Route> route = routes.find(call.header("Host"), call.path());
-        if (route.isEmpty() && routes.isOnlyRoutes()) {
+        if (route.isEmpty() && routes.allServicesRouted()) {
             throw denial(ResultCode.UNKNOWN_SERVICE, "no route takes this path");
         }
         return route.map(r -> request(routes.tree(), r, call));
@@ -110,7 +110,7 @@
         RouteTable routes = mRoutes;
         SettingsTree tree = mSettings.tree();
         if (routes.tree() != tree) {
-            routes = routes.after(tree);
+            routes = routes.withTree(tree);
             mRoutes = routes;
         }
         return routes;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
@@ -44,7 +44,7 @@
      * while their nodes stay: the first request after a start, or after a change, would otherwise
      * wait until all of some thousand routes are read.
      */
-    public RouteTable after(SettingsTree tree) {
+    public RouteTable withTree(SettingsTree tree) {
         return new RouteTable(tree, mRead);
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Returns whether routes are the only way to any service. */
-    public boolean isOnlyRoutes() {
+    public boolean allServicesRouted() {
         return mOnlyRoutes;
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
@@ -24,7 +24,7 @@
 
     private final RouteTable mTable =
             RouteTable.empty()
-                    .after(
+                    .withTree(
                             SettingsTree.of(
                                     1,
                                     List.of(
@@ -53,17 +53,17 @@
                 SettingsTree.of(
                         1,
                         List.of(service("routed"), route("a", "h", "/a/"), route("b", "h", "/b/")));
-        RouteTable table = RouteTable.empty().after(before);
+        RouteTable table = RouteTable.empty().withTree(before);
         Route a = table.find("h", "/a/x").orElseThrow();
         SettingsTree after = before.with(2, List.of(route("b", "h", "/c/")));
-        RouteTable next = table.after(after);
+        RouteTable next = table.withTree(after);
         assertThat(next.find("h", "/a/x")).containsSame(a);
         assertThat(next.find("h", "/b/x")).isEmpty();
         assertThat(next.find("h", "/c/x").map(Route::name)).contains("b");
         SettingsTree moved =
                 after.with(3, List.of(SettingsNode.gone(NodePath.ofRoute("a"), 3)))
                         .with(4, List.of(route("d", "h", "/a/")));
-        assertThat(next.after(moved).find("h", "/a/x").map(Route::name)).contains("d");
+        assertThat(next.withTree(moved).find("h", "/a/x").map(Route::name)).contains("d");
     }
 
     @Test
@@ -76,8 +76,8 @@
 
     @Test
     void tellsWhetherThereIsAnyOtherWay() {
-        assertThat(mTable.isOnlyRoutes()).isTrue();
+        assertThat(mTable.allServicesRouted()).isTrue();
         SettingsTree mixed = SettingsTree.of(1, List.of(service("model")));
-        assertThat(RouteTable.empty().after(mixed).isOnlyRoutes()).isFalse();
+        assertThat(RouteTable.empty().withTree(mixed).allServicesRouted()).isFalse();
     }
 }
