--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/DecisionCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/DecisionCodec.java
@@ -9,7 +9,7 @@
     /** Returns the message of a decision. */
     public static org.laurelweir.wire.v1.Decision toWire(Decision d) {
         return org.laurelweir.wire.v1.Decision.newBuilder()
-                .setAtMillis(d.at().toEpochMilli())
+                .setAtMillis(d.time().toEpochMilli())
                 .setProgram(d.program())
                 .setRequest(d.request())
                 .setChat(d.chat())
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
@@ -6,7 +6,7 @@
 /**
  * One routing or placement decision with its inputs, as the log line and {@code explain} show it.
  *
- * @param at when it was taken
+ * @param time when it was taken
  * @param program router, sidecar or control
  * @param request the request's name
  * @param chat the chat's key, or 0
@@ -21,7 +21,7 @@
  *     is the program's own or nothing was told
  */
 public record Decision(
-        Instant at,
+        Instant time,
         String program,
         String request,
         long chat,
@@ -36,7 +36,7 @@
     /**
      * Returns a builder of a decision that concerns no request and goes by no load.
      *
-     * @param at when it was taken
+     * @param time when it was taken
      * @param program router, sidecar or control
      */
     public static Builder builder(Instant at, String program) {
@@ -45,7 +45,7 @@
 
     /** Builds a {@link Decision}. */
     public static final class Builder {
-        private final Instant mAt;
+        private final Instant mTime;
         private final String mProgram;
         private String mRequest = "";
         private long mChat;
@@ -59,7 +59,7 @@
         private double mLoadAgeMillis = Double.NaN;
 
         private Builder(Instant at, String program) {
-            mAt = at;
+            mTime = at;
             mProgram = program;
         }
 
@@ -116,7 +116,7 @@
         /** Returns the decision. */
         public Decision build() {
             return new Decision(
-                    mAt,
+                    mTime,
                     mProgram,
                     mRequest,
                     mChat,
