--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RouteResolver.java
@@ -102,7 +102,7 @@
         return Decision.builder(mClock.instant(), PROGRAM)
                 .request(call.header(mDialect.requestId()))
                 .candidates(List.of(position))
-                .chose(e.getCode().name(), "turned away: " + e.getMessage())
+                .choice(e.getCode().name(), "turned away: " + e.getMessage())
                 .build();
     }
 
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LoggingTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LoggingTest.java
@@ -27,7 +27,7 @@
                     .chat(0xabcL)
                     .account("broker-1")
                     .candidates(List.of("s-2", "s-1"))
-                    .chose("s-2", "home")
+                    .choice("s-2", "home")
                     .load(0.8, 1.25)
                     .loadAgeMillis(310)
                     .build();
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
@@ -36,7 +36,7 @@
                                 .account(request.account())
                                 .service(request.service())
                                 .candidates(mNext.candidates(request))
-                                .chose(choice, reason.text())
+                                .choice(choice, reason.text())
                                 .load(mLoad.work(), bound)
                                 .build()));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
@@ -130,7 +130,7 @@
                                 .account(subject.account())
                                 .service(subject.service())
                                 .candidates(candidates)
-                                .chose(choice, reason)
+                                .choice(choice, reason)
                                 .build()));
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
@@ -15,7 +15,7 @@
         return new DirectEffect.LogDecision(
                 about(r, now)
                         .candidates(c.candidates())
-                        .chose(c.server().id(), reason)
+                        .choice(c.server().id(), reason)
                         .load(c.load(), c.bound())
                         .loadAgeMillis(c.loadAgeMillis())
                         .build());
@@ -57,7 +57,7 @@
     private static DirectEffect.LogDecision decided(
             ActiveCall r, Instant now, List<String> candidates, String choice, String reason) {
         return new DirectEffect.LogDecision(
-                about(r, now).candidates(candidates).chose(choice, reason).build());
+                about(r, now).candidates(candidates).choice(choice, reason).build());
     }
 
     private static Decision.Builder about(ActiveCall r, Instant now) {
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
@@ -94,7 +94,7 @@
         }
 
         /** Sets what was chosen, and why. */
-        public Builder chose(String choice, String reason) {
+        public Builder choice(String choice, String reason) {
             mChoice = choice;
             mReason = reason;
             return this;
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
@@ -44,7 +44,7 @@
                 .account(r.key().account())
                 .service(r.service())
                 .candidates(ended)
-                .chose(
+                .choice(
                         n.quarantined() ? QUARANTINED : RELEASED,
                         ended.size() + " backend servers ended under request " + fingerprint)
                 .build();
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Decisions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Decisions.java
@@ -61,7 +61,7 @@
                                 .account(q.account())
                                 .service(q.service())
                                 .candidates(candidates)
-                                .chose(choice, reason)
+                                .choice(choice, reason)
                                 .load(load, bound)
                                 .build()));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -34,7 +34,7 @@
         s.emit(
                 new RouterEffect.LogDecision(
                         Decision.builder(s.now(), Decisions.PROGRAM)
-                                .chose(told ? TOLD : NOT_TOLD, reason)
+                                .choice(told ? TOLD : NOT_TOLD, reason)
                                 .build()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
@@ -50,7 +50,7 @@
                 Decision.builder(now, Decisions.PROGRAM)
                         .service(service)
                         .candidates(ids.subList(0, Math.min(ids.size(), MAX_NAMED)))
-                        .chose(state.name(), ids.size() + " changed, told by " + from)
+                        .choice(state.name(), ids.size() + " changed, told by " + from)
                         .build());
     }
 }
