--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/AttemptCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/AttemptCodec.java
@@ -39,7 +39,7 @@
                 .setOutputTokens(r.cost().outputTokens())
                 .setRedirects(r.redirects())
                 .setAccountWeight(r.accountWeight())
-                .setKeepOutputMillis(r.keepOutput().toMillis())
+                .setKeepOutputMillis(r.outputKeepTime().toMillis())
                 .build();
     }
 
@@ -63,7 +63,7 @@
                 .priority(b.getPriority())
                 .cost(new AttemptRequest.Cost(b.getPromptTokens(), b.getOutputTokens()))
                 .redirects(b.getRedirects())
-                .keepOutput(Duration.ofMillis(b.getKeepOutputMillis()))
+                .outputKeepTime(Duration.ofMillis(b.getKeepOutputMillis()))
                 .build();
     }
 
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/AttemptCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/AttemptCodecTest.java
@@ -94,7 +94,7 @@
                 .priority(-number)
                 .cost(new AttemptRequest.Cost(number, number / 2))
                 .redirects(number % 3)
-                .keepOutput(time.plusMillis(7))
+                .outputKeepTime(time.plusMillis(7))
                 .build();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
@@ -38,7 +38,7 @@
     Attempt(AttemptRequest request, Instant now, OutputTotal total) {
         mRequest = request;
         mDeadline = now.plus(request.timeLeft());
-        mOutput = new OutputBuffer(!request.keepOutput().isZero(), total);
+        mOutput = new OutputBuffer(!request.outputKeepTime().isZero(), total);
         mFollowedUntil = now;
         mLastFrame = now;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
@@ -115,7 +115,7 @@
     }
 
     private static Instant keptUntil(Attempt attempt, Duration keepTime) {
-        Duration wanted = attempt.request().keepOutput();
+        Duration wanted = attempt.request().outputKeepTime();
         return attempt.ended().plus(wanted.compareTo(keepTime) > 0 ? wanted : keepTime);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/attempt/AttemptRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/attempt/AttemptRequest.java
@@ -24,7 +24,7 @@
  * @param cost what the router expects the call to spend
  * @param redirects how many sidecars have passed the request on before
  * @param accountWeight the client account's share when accounts compete
- * @param keepOutput how long the finished output stays available to a resend
+ * @param outputKeepTime how long the finished output stays available to a resend
  */
 public record AttemptRequest(
         AttemptId id,
@@ -41,7 +41,7 @@
         Cost cost,
         int redirects,
         double accountWeight,
-        Duration keepOutput) {
+        Duration outputKeepTime) {
 
     /**
      * Returns a builder of a request that is idempotent, of no chat, and not urgent.
@@ -72,7 +72,7 @@
                 .priority(priority)
                 .cost(cost)
                 .redirects(redirects)
-                .keepOutput(keepOutput);
+                .outputKeepTime(outputKeepTime);
     }
 
     /**
@@ -127,7 +127,7 @@
         private int mPriority;
         private Cost mCost = new Cost(0, 0);
         private int mRedirects;
-        private Duration mKeepOutput = Duration.ZERO;
+        private Duration mOutputKeepTime = Duration.ZERO;
 
         private Builder(AttemptId id, BackendRef target) {
             mId = id;
@@ -197,8 +197,8 @@
         }
 
         /** Sets how long the finished output stays available to a resend. */
-        public Builder keepOutput(Duration keepOutput) {
-            mKeepOutput = keepOutput;
+        public Builder outputKeepTime(Duration keepOutput) {
+            mOutputKeepTime = keepOutput;
             return this;
         }
 
@@ -219,7 +219,7 @@
                     mCost,
                     mRedirects,
                     mAccountWeight,
-                    mKeepOutput);
+                    mOutputKeepTime);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
@@ -54,7 +54,7 @@
                 .priority(q.priority())
                 .cost(q.cost())
                 .redirects(r.mRedirects)
-                .keepOutput(r.needsClaim() ? q.policy().claimRetention() : Duration.ZERO)
+                .outputKeepTime(r.needsClaim() ? q.policy().claimRetention() : Duration.ZERO)
                 .build();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
@@ -29,7 +29,7 @@
 
     /** Returns a call that must not run twice. */
     static AttemptRequest.Builder order(long number, String key, Duration keepOutput) {
-        return request(number).idempotent(false).idempotencyKey(key).keepOutput(keepOutput);
+        return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(keepOutput);
     }
 
     static AttemptId id(long number) {
