--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -99,7 +99,7 @@
         long stream = ++mCount;
         mStreams.put(stream, request);
         AttemptRequest attempt = attempt(request, stream, to.candidate().ref());
-        node(to).step(new SidecarEvent.AttemptBegun(stream, attempt));
+        node(to).step(new SidecarEvent.AttemptRequested(stream, attempt));
     }
 
     private AttemptRequest attempt(Request request, long stream, BackendRef target) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarDriver.java
@@ -70,7 +70,7 @@
         AttemptId id = new AttemptId("router-" + mRequests % 360, Samples.RUN, mRequests, 1);
         String account = Samples.account((int) (mRequests % ACCOUNTS));
         step(
-                new SidecarEvent.AttemptBegun(
+                new SidecarEvent.AttemptRequested(
                         mRequests, Samples.request(id, mSelf, account, Samples.chat(chat))));
         if (mStarted < mRequests) {
             throw new IllegalStateException("not admitted, so nothing would be measured: " + id);
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/AttemptStreams.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/AttemptStreams.java
@@ -88,7 +88,7 @@
             if (message.hasBegin()) {
                 mAttempt = IdCodec.toCore(message.getBegin().getAttempt());
                 mEvents.accept(
-                        new SidecarEvent.AttemptBegun(
+                        new SidecarEvent.AttemptRequested(
                                 mStream, AttemptCodec.toCore(message.getBegin())));
                 return;
             }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -16,7 +16,7 @@
     record Tick() implements SidecarEvent {}
 
     /** A router wants an attempt run; frames about it go to the stream. */
-    record AttemptBegun(long stream, AttemptRequest request) implements SidecarEvent {}
+    record AttemptRequested(long stream, AttemptRequest request) implements SidecarEvent {}
 
     /** A router follows an attempt over a new stream, from a byte offset of its output on. */
     record AttemptResumed(long stream, AttemptId attempt, BackendRef target, long offset)
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -91,7 +91,7 @@
     }
 
     private boolean takeAboutAttempt(Step step, SidecarEvent event) {
-        if (event instanceof SidecarEvent.AttemptBegun e) {
+        if (event instanceof SidecarEvent.AttemptRequested e) {
             begin(step, e);
         } else if (event instanceof SidecarEvent.AttemptResumed e) {
             mArrivals.resume(step, e);
@@ -163,7 +163,7 @@
         mHomes.sendNotices(step);
     }
 
-    private void begin(Step step, SidecarEvent.AttemptBegun event) {
+    private void begin(Step step, SidecarEvent.AttemptRequested event) {
         Attempt attempt = mArrivals.begin(step, event.stream(), event.request());
         if (attempt == null) {
             return;
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
@@ -127,7 +127,7 @@
                             .cost(Requests.output(tokens));
             mWaiting.put(id, mNow);
             mBodyBytes.put(id, how % 900);
-            step(new SidecarEvent.AttemptBegun(mCount, r.build()));
+            step(new SidecarEvent.AttemptRequested(mCount, r.build()));
             checkQueue();
         }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
@@ -154,7 +154,7 @@
                 request.idempotent(false).idempotencyKey("key").outputKeepTime(Duration.ofMinutes(5));
             }
             mStreams.put(++mStreamCount, new StreamCheck(id, 0));
-            step(new SidecarEvent.AttemptBegun(mStreamCount, request.build()));
+            step(new SidecarEvent.AttemptRequested(mStreamCount, request.build()));
         }
 
         private void resume(AttemptId id, int how) {
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
@@ -102,7 +102,7 @@
     void takesOverOnceIdle() {
         mSidecar = new SidecarReducer(identity(AFTER_CLOCK_WENT_BACK));
         step(
-                new SidecarEvent.AttemptBegun(
+                new SidecarEvent.AttemptRequested(
                         1, Requests.request(Requests.id(1), identity(5).ref()).build()));
         Backend earlier = identity(BEFORE).announcement(Backend.State.LEFT, 1);
         MembershipCursor cursor = new MembershipCursor("c1", 1, 1);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
@@ -30,7 +30,7 @@
 
     /** Begins an attempt on a new stream and returns the stream. */
     long begin(AttemptRequest.Builder request) {
-        step(new SidecarEvent.AttemptBegun(++mStreams, request.build()));
+        step(new SidecarEvent.AttemptRequested(++mStreams, request.build()));
         return mStreams;
     }
 
