--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
@@ -109,7 +109,7 @@
     }
 
     void answered(AttemptId attempt) {
-        step(new SidecarEvent.EngineAnswered(attempt, 200, List.of()));
+        step(new SidecarEvent.EngineHeadReceived(attempt, 200, List.of()));
     }
 
     void finished(Request request) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarDriver.java
@@ -75,13 +75,13 @@
         if (mStarted < mRequests) {
             throw new IllegalStateException("not admitted, so nothing would be measured: " + id);
         }
-        step(new SidecarEvent.EngineAnswered(id, 200, List.of()));
+        step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
         return id;
     }
 
     /** Passes a piece of output on and has it acknowledged. */
     void output(AttemptId id, byte[] piece, long end) {
-        step(new SidecarEvent.EngineSent(id, piece));
+        step(new SidecarEvent.EngineDataReceived(id, piece));
         step(new SidecarEvent.OutputAcknowledged(id, end));
     }
 
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/AttemptListener.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/AttemptListener.java
@@ -21,12 +21,12 @@
 
     @Override
     public void answered(int status, List<Header> headers) {
-        mEvents.accept(new SidecarEvent.EngineAnswered(mId, status, headers));
+        mEvents.accept(new SidecarEvent.EngineHeadReceived(mId, status, headers));
     }
 
     @Override
     public void received(byte[] bytes) {
-        mEvents.accept(new SidecarEvent.EngineSent(mId, bytes));
+        mEvents.accept(new SidecarEvent.EngineDataReceived(mId, bytes));
     }
 
     @Override
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
@@ -40,7 +40,7 @@
         mFrames.send(step, attempt, new Frame.Accepted(0));
     }
 
-    void answered(Step step, SidecarEvent.EngineAnswered event, SidecarSettings settings) {
+    void answered(Step step, SidecarEvent.EngineHeadReceived event, SidecarSettings settings) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null) {
             return;
@@ -63,7 +63,7 @@
         return attempt.request().idempotent() && settings.refusalStatuses().contains(status);
     }
 
-    void sent(Step step, SidecarEvent.EngineSent event, SidecarSettings settings) {
+    void sent(Step step, SidecarEvent.EngineDataReceived event, SidecarSettings settings) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null || a.head() == null || event.bytes().length == 0) {
             return;
@@ -90,7 +90,7 @@
         if (a == null) {
             return;
         }
-        if (!event.sent() && a.head() == null) {
+        if (!event.possiblySent() && a.head() == null) {
             mEndings.refuse(step, a, refusal(event.message()));
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -36,11 +36,11 @@
             implements SidecarEvent {}
 
     /** The backend server began to answer. */
-    record EngineAnswered(AttemptId attempt, int status, List<Header> headers)
+    record EngineHeadReceived(AttemptId attempt, int status, List<Header> headers)
             implements SidecarEvent {}
 
     /** The backend server sent a piece of its answer's body. */
-    record EngineSent(AttemptId attempt, byte[] bytes) implements SidecarEvent {}
+    record EngineDataReceived(AttemptId attempt, byte[] bytes) implements SidecarEvent {}
 
     /** The backend server's answer is whole. */
     record EngineFinished(AttemptId attempt, Frame.Usage usage) implements SidecarEvent {}
@@ -50,7 +50,7 @@
      *
      * @param sent whether any byte of the call may have reached the backend server
      */
-    record EngineFailed(AttemptId attempt, boolean sent, String message) implements SidecarEvent {}
+    record EngineFailed(AttemptId attempt, boolean possiblySent, String message) implements SidecarEvent {}
 
     /** Whether the backend server can be reached at all. */
     record EngineReachable(boolean reachable) implements SidecarEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -110,9 +110,9 @@
     }
 
     private boolean takeFromEngine(Step step, SidecarEvent event) {
-        if (event instanceof SidecarEvent.EngineAnswered e) {
+        if (event instanceof SidecarEvent.EngineHeadReceived e) {
             mExecution.answered(step, e, mSettings);
-        } else if (event instanceof SidecarEvent.EngineSent e) {
+        } else if (event instanceof SidecarEvent.EngineDataReceived e) {
             mExecution.sent(step, e, mSettings);
         } else if (event instanceof SidecarEvent.EngineFinished e) {
             mExecution.finished(step, e);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
@@ -136,7 +136,7 @@
             if (!running.isEmpty()) {
                 AttemptId id = running.get(which % running.size());
                 mRunning.remove(id);
-                step(new SidecarEvent.EngineAnswered(id, 200, List.of()));
+                step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
                 step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
             }
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
@@ -188,8 +188,8 @@
         private void engine(AttemptId id, int how) {
             SidecarEvent event = mEngine.act(id, act(how));
             if (event != null) {
-                if (!(event instanceof SidecarEvent.EngineAnswered
-                        || event instanceof SidecarEvent.EngineSent)) {
+                if (!(event instanceof SidecarEvent.EngineHeadReceived
+                        || event instanceof SidecarEvent.EngineDataReceived)) {
                     mRunning.remove(id);
                 }
                 step(event);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
@@ -22,11 +22,11 @@
     @Test
     void engineIsReadNoFurtherWhileOutputIsNotAcknowledged() {
         mSidecar.begin(Requests.request(1));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
         byte[] half = new byte[1 << 19];
-        mSidecar.step(new SidecarEvent.EngineSent(ID, half));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, half));
         assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class)).isEmpty();
-        mSidecar.step(new SidecarEvent.EngineSent(ID, half));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, half));
         assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class))
                 .containsExactly(new SidecarEffect.ReadEngineCall(ID, false));
 
@@ -40,8 +40,8 @@
     @Test
     void droppedOutputIsNotResumed() {
         mSidecar.begin(Requests.request(1));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 200, List.of()));
-        mSidecar.step(new SidecarEvent.EngineSent(ID, new byte[10]));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[10]));
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 10));
 
         Frame.Failed gone = (Frame.Failed) mSidecar.takeLastFrame(mSidecar.resume(ID, 5));
@@ -54,8 +54,8 @@
     @Test
     void outputIsKeptUntilItIsAcknowledged() {
         mSidecar.begin(Requests.request(1));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 200, List.of()));
-        mSidecar.step(new SidecarEvent.EngineSent(ID, new byte[] {1, 2, 3, 4}));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[] {1, 2, 3, 4}));
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 2));
 
         Frame.Data rest = (Frame.Data) mSidecar.takeLastFrame(mSidecar.resume(ID, 2));
@@ -68,8 +68,8 @@
     @Test
     void acknowledgementBeyondTheEndIsIgnored() {
         mSidecar.begin(Requests.request(1));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 200, List.of()));
-        mSidecar.step(new SidecarEvent.EngineSent(ID, new byte[10]));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[10]));
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 11));
         assertThat(mSidecar.takeLastFrame(mSidecar.resume(ID, 0))).isInstanceOf(Frame.Data.class);
     }
@@ -81,7 +81,7 @@
         mSidecar.begin(Requests.request(1));
         long resumed = mSidecar.resume(ID, 0);
         long late = mSidecar.begin(Requests.request(1));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
         List<SidecarEffect> effects = mSidecar.take(SidecarEffect.class);
         assertThat(effects)
                 .contains(new SidecarEffect.CloseStream(late))
@@ -102,8 +102,8 @@
         mSidecar.begin(Requests.order(2, "b", Duration.ofHours(1)));
         mSidecar.answer(delivered, new byte[(int) limit - (1 << 19)]);
         mSidecar.begin(Requests.request(3));
-        mSidecar.step(new SidecarEvent.EngineAnswered(next, 200, List.of()));
-        mSidecar.step(new SidecarEvent.EngineSent(next, new byte[1 << 19]));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(next, 200, List.of()));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(next, new byte[1 << 19]));
 
         assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class))
                 .doesNotContain(new SidecarEffect.ReadEngineCall(next, false));
@@ -117,8 +117,8 @@
     @Test
     void keyedAnswerStaysForItsResend() {
         mSidecar.begin(Requests.order(1, "order-7", Duration.ofMinutes(5)));
-        mSidecar.step(new SidecarEvent.EngineAnswered(ID, 201, List.of()));
-        mSidecar.step(new SidecarEvent.EngineSent(ID, new byte[10]));
+        mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 201, List.of()));
+        mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[10]));
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 10));
         mSidecar.step(new SidecarEvent.EngineFinished(ID, Frame.Usage.NONE));
         mSidecar.pass(Duration.ofMinutes(4));
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
@@ -75,12 +75,12 @@
     private static SidecarEvent goOn(AttemptId id, Run run) {
         if (!run.mAnswered) {
             run.mAnswered = true;
-            return new SidecarEvent.EngineAnswered(id, 200, List.of());
+            return new SidecarEvent.EngineHeadReceived(id, 200, List.of());
         }
         if (run.mPieces < PIECES) {
             int from = PIECE * run.mPieces++;
             byte[] piece = Arrays.copyOfRange(answer(id), from, from + PIECE);
-            return new SidecarEvent.EngineSent(id, piece);
+            return new SidecarEvent.EngineDataReceived(id, piece);
         }
         run.mOver = true;
         return new SidecarEvent.EngineFinished(id, Frame.Usage.NONE);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
@@ -69,8 +69,8 @@
 
     /** Has the backend server answer an attempt wholly. */
     void answer(AttemptId id, byte[] body) {
-        step(new SidecarEvent.EngineAnswered(id, 200, List.of()));
-        step(new SidecarEvent.EngineSent(id, body));
+        step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
+        step(new SidecarEvent.EngineDataReceived(id, body));
         step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
     }
 
