--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -133,9 +133,9 @@
             }
         } else if (effect instanceof SidecarEffect.SendExchange e) {
             mFleet.later(MESSAGE_MICROS, () -> from.exchange(e.cursor()));
-        } else if (effect instanceof SidecarEffect.AskChats e) {
+        } else if (effect instanceof SidecarEffect.LocateChats e) {
             ask(from, e);
-        } else if (effect instanceof SidecarEffect.AnswerChats e) {
+        } else if (effect instanceof SidecarEffect.AnswerLocateChats e) {
             AnswerTo to = mCalls.remove(e.call());
             tell(to.asker(), new SidecarEvent.ChatsLocated(to.question(), e.locations()));
         } else if (effect instanceof SidecarEffect.HandOverChats e) {
@@ -148,10 +148,10 @@
         mFleet.later(MESSAGE_MICROS, () -> to.step(event));
     }
 
-    private void ask(ReducerNode from, SidecarEffect.AskChats ask) {
+    private void ask(ReducerNode from, SidecarEffect.LocateChats ask) {
         long call = ++mCount;
         mCalls.put(call, new AnswerTo(from, ask.question()));
-        tell(node(mFleet.engine(ask.address())), new SidecarEvent.ChatsAsked(call, ask.chats()));
+        tell(node(mFleet.engine(ask.address())), new SidecarEvent.LocateChatsRequested(call, ask.chats()));
     }
 
     private void start(ReducerNode at, AttemptId attempt) {
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
@@ -69,10 +69,10 @@
         } else if (effect instanceof SidecarEffect.SendExchange e) {
             mParts.metrics().reported(e.report());
             mParts.exchange().send(e);
-        } else if (effect instanceof SidecarEffect.AskChats e) {
+        } else if (effect instanceof SidecarEffect.LocateChats e) {
             mParts.metrics().did("ask_chats");
             mParts.peers().ask(e);
-        } else if (effect instanceof SidecarEffect.AnswerChats e) {
+        } else if (effect instanceof SidecarEffect.AnswerLocateChats e) {
             mParts.service().answer(e);
         } else if (effect instanceof SidecarEffect.HandOverChats e) {
             mParts.metrics().did("hand_over_chats");
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
@@ -46,7 +46,7 @@
     }
 
     /** Asks; a question that gets no answer counts as one that nobody could answer. */
-    public void ask(SidecarEffect.AskChats effect) {
+    public void ask(SidecarEffect.LocateChats effect) {
         LocateChatsRequest request =
                 LocateChatsRequest.newBuilder()
                         .setService(mService)
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
@@ -73,11 +73,11 @@
 
     @Override
     public void locateChats(LocateChatsRequest request, StreamObserver<LocateChatsReply> reply) {
-        mEvents.accept(new SidecarEvent.ChatsAsked(mQuestions.add(reply), request.getChatsList()));
+        mEvents.accept(new SidecarEvent.LocateChatsRequested(mQuestions.add(reply), request.getChatsList()));
     }
 
     /** Answers where chats sit. */
-    public void answer(SidecarEffect.AnswerChats effect) {
+    public void answer(SidecarEffect.AnswerLocateChats effect) {
         LocateChatsReply.Builder reply = LocateChatsReply.newBuilder();
         effect.locations().forEach((c, b) -> reply.addLocations(PeerSidecars.toMessage(c, b)));
         mQuestions.answer(effect.call(), reply.build());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
@@ -115,7 +115,7 @@
     }
 
     /** Answers where chats sit, as far as this server knows. */
-    void answer(Step step, SidecarEvent.ChatsAsked question) {
+    void answer(Step step, SidecarEvent.LocateChatsRequested question) {
         Map<Long, String> known = new HashMap<>();
         for (long chat : question.chats()) {
             String elsewhere = mDirectory.find(new ChatKey(chat));
@@ -125,7 +125,7 @@
                 known.put(chat, mSelf);
             }
         }
-        step.emit(new SidecarEffect.AnswerChats(question.call(), known));
+        step.emit(new SidecarEffect.AnswerLocateChats(question.call(), known));
     }
 
     /** Tells homes about the chats that sit here, if it is time to. */
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatQuestions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatQuestions.java
@@ -49,7 +49,7 @@
                 mQuestions.put(++mCount, question);
                 question.mUnanswered++;
                 List<Long> chats = List.of(attempt.request().chat());
-                step.emit(new SidecarEffect.AskChats(mCount, address, chats));
+                step.emit(new SidecarEffect.LocateChats(mCount, address, chats));
             }
         }
         return question.mUnanswered > 0;
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -36,10 +36,10 @@
     record SendExchange(SidecarReport report, MembershipCursor cursor) implements SidecarEffect {}
 
     /** Ask another sidecar where chats sit. */
-    record AskChats(long question, String address, List<Long> chats) implements SidecarEffect {}
+    record LocateChats(long question, String address, List<Long> chats) implements SidecarEffect {}
 
     /** Answer another sidecar that asked where chats sit. */
-    record AnswerChats(long call, Map<Long, String> locations) implements SidecarEffect {}
+    record AnswerLocateChats(long call, Map<Long, String> locations) implements SidecarEffect {}
 
     /** Hand directory entries over to another sidecar. */
     record HandOverChats(String address, Map<Long, String> locations) implements SidecarEffect {}
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -77,7 +77,7 @@
     record ChatsLocated(long question, Map<Long, String> locations) implements SidecarEvent {}
 
     /** Another sidecar asks where chats sit. */
-    record ChatsAsked(long call, List<Long> chats) implements SidecarEvent {}
+    record LocateChatsRequested(long call, List<Long> chats) implements SidecarEvent {}
 
     /** A sidecar that leaves hands over entries of chats whose home this one now is. */
     record ChatsHandedOver(String from, Map<Long, String> locations) implements SidecarEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -144,7 +144,7 @@
             mHomes.setCacheTokens(mSettings.cacheTokens());
         } else if (event instanceof SidecarEvent.ChatsLocated e) {
             mSeating.answered(step, e);
-        } else if (event instanceof SidecarEvent.ChatsAsked e) {
+        } else if (event instanceof SidecarEvent.LocateChatsRequested e) {
             mHomes.answer(step, e);
         } else if (event instanceof SidecarEvent.ChatsHandedOver e) {
             e.locations().forEach(mHomes::located);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/ChatHomesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/ChatHomesTest.java
@@ -89,7 +89,7 @@
         long chat = chatAt("engine-1");
         AttemptRequest.Builder returning = Requests.request(1).chat(chat, true);
         long stream = mSidecar.begin(returning);
-        SidecarEffect.AskChats asked = mSidecar.take(SidecarEffect.AskChats.class).get(0);
+        SidecarEffect.LocateChats asked = mSidecar.take(SidecarEffect.LocateChats.class).get(0);
         assertThat(asked.chats()).containsExactly(chat);
 
         mSidecar.step(new SidecarEvent.ChatsLocated(asked.question(), Map.of(chat, "engine-3")));
@@ -115,7 +115,7 @@
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         long chat = chatAt("engine-1");
         mSidecar.begin(Requests.request(1).chat(chat, true));
-        long question = mSidecar.take(SidecarEffect.AskChats.class).get(0).question();
+        long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).question();
         mSidecar.step(new SidecarEvent.AttemptRevoked(1, ID, new BackendRef("engine-1", 1)));
         mSidecar.step(new SidecarEvent.ChatsLocated(question, Map.of()));
         mSidecar.pass(Duration.ofSeconds(1));
