--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
@@ -51,7 +51,7 @@
         } else if (effect instanceof SidecarEffect.CancelEngineCall e) {
             mParts.metrics().did("cancel");
             mParts.backend().cancel(e.attempt());
-        } else if (effect instanceof SidecarEffect.ReadEngineCall e) {
+        } else if (effect instanceof SidecarEffect.SetEngineCallReading e) {
             mParts.backend().setReading(e.attempt(), e.reading());
         } else if (effect instanceof SidecarEffect.LogDecision e) {
             mParts.metrics().decided(e.decision());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputControl.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputControl.java
@@ -41,14 +41,14 @@
             // Half of the bound, so that reading does not start and stop with every piece.
             if (a.output().unacknowledgedBytes() <= limits.attemptBytes() / 2) {
                 paused.remove();
-                step.emit(new SidecarEffect.ReadEngineCall(a.id(), true));
+                step.emit(new SidecarEffect.SetEngineCallReading(a.id(), true));
             }
         }
     }
 
     private void pause(Step step, Attempt attempt) {
         if (mPaused.add(attempt)) {
-            step.emit(new SidecarEffect.ReadEngineCall(attempt.id(), false));
+            step.emit(new SidecarEffect.SetEngineCallReading(attempt.id(), false));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -30,7 +30,7 @@
     record CancelEngineCall(AttemptId attempt) implements SidecarEffect {}
 
     /** Read the backend server's answer on, or read no further until told. */
-    record ReadEngineCall(AttemptId attempt, boolean reading) implements SidecarEffect {}
+    record SetEngineCallReading(AttemptId attempt, boolean reading) implements SidecarEffect {}
 
     /** Exchange with a control instance. */
     record SendExchange(SidecarReport report, MembershipCursor cursor) implements SidecarEffect {}
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
@@ -25,14 +25,14 @@
         mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
         byte[] half = new byte[1 << 19];
         mSidecar.step(new SidecarEvent.EngineDataReceived(ID, half));
-        assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class)).isEmpty();
+        assertThat(mSidecar.take(SidecarEffect.SetEngineCallReading.class)).isEmpty();
         mSidecar.step(new SidecarEvent.EngineDataReceived(ID, half));
-        assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class))
-                .containsExactly(new SidecarEffect.ReadEngineCall(ID, false));
+        assertThat(mSidecar.take(SidecarEffect.SetEngineCallReading.class))
+                .containsExactly(new SidecarEffect.SetEngineCallReading(ID, false));
 
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 1 << 19));
-        assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class))
-                .containsExactly(new SidecarEffect.ReadEngineCall(ID, true));
+        assertThat(mSidecar.take(SidecarEffect.SetEngineCallReading.class))
+                .containsExactly(new SidecarEffect.SetEngineCallReading(ID, true));
     }
 
     // The router's connection went silent after it had acknowledged ten bytes, and these were
@@ -105,8 +105,8 @@
         mSidecar.step(new SidecarEvent.EngineHeadReceived(next, 200, List.of()));
         mSidecar.step(new SidecarEvent.EngineDataReceived(next, new byte[1 << 19]));
 
-        assertThat(mSidecar.take(SidecarEffect.ReadEngineCall.class))
-                .doesNotContain(new SidecarEffect.ReadEngineCall(next, false));
+        assertThat(mSidecar.take(SidecarEffect.SetEngineCallReading.class))
+                .doesNotContain(new SidecarEffect.SetEngineCallReading(next, false));
         Frame.Failed gone = (Frame.Failed) mSidecar.takeLastFrame(mSidecar.resume(delivered, 0));
         assertThat(gone.code()).isEqualTo(ResultCode.OUTPUT_NOT_KEPT);
         assertThat(mSidecar.takeLastFrame(mSidecar.resume(ID, 0))).isInstanceOf(Frame.End.class);
