--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -75,7 +75,7 @@
     }
 
     private void transit(Runnable arrival) {
-        mTime.between(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
     }
 
     private Node node(String name) {
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/VirtualTime.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/VirtualTime.java
@@ -33,7 +33,7 @@
     }
 
     /** Runs an action after a time from {@code least} to {@code most} milliseconds. */
-    public void between(int least, int most, Runnable action) {
+    public void afterRandomDelay(int least, int most, Runnable action) {
         after(least + mRandom.nextInt(most - least + 1), action);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Lets time pass. */
-    public void run(long millis) {
+    public void advance(long millis) {
         long end = mNow + millis;
         while (!mQueue.isEmpty() && mQueue.peek().at() <= end) {
             Scheduled s = mQueue.poll();
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -127,7 +127,7 @@
     }
 
     private void transit(Runnable arrival) {
-        mTime.between(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
     }
 
     private void arrive(Engine e, Run r) {
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
@@ -20,7 +20,7 @@
     private static LoadedFleet fleet(long seed, int routers) {
         LoadedFleet fleet = new LoadedFleet(seed, routers, ENGINES);
         fleet.load(REQUESTS_A_SECOND);
-        fleet.mTime.run(WARM_UP_MILLIS);
+        fleet.mTime.advance(WARM_UP_MILLIS);
         return fleet;
     }
 
@@ -35,7 +35,7 @@
     void anEngineThatFinishesNothingIsNotFilled(long seed) {
         LoadedFleet fleet = fleet(seed, MANY_ROUTERS);
         fleet.mTime.every(STALL_EVERY_MILLIS, () -> fleet.mEngines.stall(STALL_MILLIS));
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
 
@@ -45,7 +45,7 @@
     void aPartInDemandDoesNotFillItsHome(long seed) {
         LoadedFleet fleet = fleet(seed, MANY_ROUTERS);
         fleet.heat(HOT_SHARE);
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
 
@@ -55,7 +55,7 @@
     void aPartInDemandDoesNotFillItsHomeWithFewRouters(long seed) {
         LoadedFleet fleet = fleet(seed, FEW_ROUTERS);
         fleet.heat(HOT_SHARE);
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
@@ -75,7 +75,7 @@
         for (int i = 0; i < routers; i++) {
             mRouters.add(new FleetRouter(mTime, mControls, mEngines, i));
         }
-        mTime.run(START_MILLIS);
+        mTime.advance(START_MILLIS);
     }
 
     /** Callers ask from now on, several at the same moment. */
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
@@ -67,7 +67,7 @@
             RoutedFleet fleet = new RoutedFleet(seed);
             sendCrashing(fleet, route);
             sendOthers(fleet, route);
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(lateSends(fleet)).as("%s", route).isLessThanOrEqualTo(MOST_TRIALS);
         }
     }
@@ -81,7 +81,7 @@
             fleet.mServers.spoilCrashingAnswers();
             sendCrashing(fleet, route);
             sendOthers(fleet, route);
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(lateSends(fleet)).as("%s", route).isLessThanOrEqualTo(MOST_TRIALS);
         }
     }
@@ -93,7 +93,7 @@
         for (Route route : ROUTES) {
             RoutedFleet fleet = new RoutedFleet(seed);
             fleet.mTime.every(BUSY_EVERY_MILLIS, () -> askSpoiled(fleet, route));
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(mOthers).as("%s", route).doesNotContain(ResultCode.REQUEST_QUARANTINED);
         }
     }
@@ -107,7 +107,7 @@
             fleet.mServers.cutSpoiledAnswers(50);
             fleet.mTime.every(CRASHING_EVERY_MILLIS, () -> askSpoiled(fleet, route));
             sendOthers(fleet, route);
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(mOthers).as("%s", route).doesNotContain(ResultCode.REQUEST_QUARANTINED);
         }
     }
@@ -121,7 +121,7 @@
             sendCrashing(fleet, route);
             sendOthers(fleet, route);
             fleet.mTime.every(BUSY_EVERY_MILLIS, () -> fleet.ask(route, "busy", mOthers::add));
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(mOthers).as("%s", route).doesNotContain(ResultCode.REQUEST_QUARANTINED);
         }
     }
@@ -135,7 +135,7 @@
             fleet.mTime.every(900, fleet.mServers::crashOne);
             fleet.mTime.every(BUSY_EVERY_MILLIS, () -> fleet.ask(route, "busy", mOthers::add));
             sendOthers(fleet, route);
-            fleet.mTime.run(RUN_MILLIS);
+            fleet.mTime.advance(RUN_MILLIS);
             assertThat(mOthers).as("%s", route).doesNotContain(ResultCode.REQUEST_QUARANTINED);
         }
     }
@@ -147,17 +147,17 @@
         RoutedFleet fleet = new RoutedFleet(seed);
         sendCrashing(fleet, SAFE);
         sendOthers(fleet, SAFE);
-        fleet.mTime.run(10_000);
+        fleet.mTime.advance(10_000);
         for (int i = 0; i < RoutedFleet.CONTROLS; i++) {
             fleet.mControls.stop(i);
         }
-        fleet.mTime.run(300);
+        fleet.mTime.advance(300);
         for (int i = 0; i < RoutedFleet.CONTROLS; i++) {
             fleet.mControls.start(i);
         }
-        fleet.mTime.run(5_000);
+        fleet.mTime.advance(5_000);
         fleet.mRouters.forEach(FleetRouter::start);
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertThat(lateSends(fleet)).isZero();
     }
 
@@ -174,7 +174,7 @@
                         fleet.mRouters
                                 .get(fleet.mTime.random().nextInt(RoutedFleet.ROUTERS))
                                 .start());
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertThat(lateSends(fleet)).isZero();
     }
 
@@ -184,17 +184,17 @@
     void anOperatorsReleaseHoldsOnEveryRouter(long seed) {
         RoutedFleet fleet = new RoutedFleet(seed);
         sendCrashing(fleet, SAFE);
-        fleet.mTime.run(10_000);
+        fleet.mTime.advance(10_000);
         fleet.mServers.mend();
         RequestKey key = RoutedFleet.keyOf(SAFE, FleetServers.CRASHING_BODY);
         ControlEffect.Answer[] told = new ControlEffect.Answer[1];
         fleet.mControls.call(
                 0, call -> new ControlEvent.ReleaseRequested(call, key, "op"), a -> told[0] = a);
-        fleet.mTime.run(KNOWN_AFTER_MILLIS);
+        fleet.mTime.advance(KNOWN_AFTER_MILLIS);
         assertThat(told[0]).isInstanceOf(ControlEffect.AnswerReleased.class);
         sendOthers(fleet, SAFE);
         int before = fleet.mServers.crashingArrivals().size();
-        fleet.mTime.run(10_000);
+        fleet.mTime.advance(10_000);
         assertThat(fleet.mServers.crashingArrivals().size() - before)
                 .isGreaterThanOrEqualTo(10_000 / CRASHING_EVERY_MILLIS - 1);
     }
@@ -207,7 +207,7 @@
         fleet.mControls.stop((int) (seed % RoutedFleet.CONTROLS));
         sendCrashing(fleet, STREAM);
         sendOthers(fleet, STREAM);
-        fleet.mTime.run(RUN_MILLIS);
+        fleet.mTime.advance(RUN_MILLIS);
         assertThat(lateSends(fleet)).isZero();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
@@ -108,7 +108,7 @@
     }
 
     private void transit(Runnable arrival) {
-        mTime.between(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
     }
 
     private void start(String address) {
@@ -168,11 +168,11 @@
             mCrashingArrivals.add(mTime.millis());
         }
         if (crashing && !mMended) {
-            mTime.between(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> crash(s, id));
+            mTime.afterRandomDelay(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> crash(s, id));
         } else if (hasBody(call, SPOILED_BODY) && mTime.random().nextInt(100) < mSpoiledCuts) {
-            mTime.between(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> cut(s, id));
+            mTime.afterRandomDelay(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> cut(s, id));
         } else {
-            mTime.between(LEAST_RUN_MILLIS, MOST_RUN_MILLIS, () -> finish(s, id));
+            mTime.afterRandomDelay(LEAST_RUN_MILLIS, MOST_RUN_MILLIS, () -> finish(s, id));
         }
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
@@ -39,7 +39,7 @@
         for (int i = 0; i < ROUTERS; i++) {
             mRouters.add(new FleetRouter(mTime, mControls, mServers, i));
         }
-        mTime.run(START_MILLIS);
+        mTime.advance(START_MILLIS);
     }
 
     /** A route with two attempts. */
@@ -87,7 +87,7 @@
                 code -> {
                     answer.accept(code);
                     if (code != ResultCode.OK) {
-                        mTime.between(
+                        mTime.afterRandomDelay(
                                 LEAST_RETURN_MILLIS,
                                 MOST_RETURN_MILLIS,
                                 () -> ask(route, body, answer));
