--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
@@ -67,7 +67,7 @@
     }
 
     /** Takes a caller's request; the caller is told OK, or why it got no whole answer. */
-    public void ask(RoutedRequest request, Consumer<ResultCode> caller) {
+    public void submit(RoutedRequest request, Consumer<ResultCode> caller) {
         mCallers.put(++mLastCaller, caller);
         give(new RouterEvent.Direct(new DirectEvent.Arrived(mLastCaller, request)));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
@@ -121,7 +121,7 @@
         AttemptRequest.Call call = new AttemptRequest.Call("POST", "/x/1", List.of(), body, true);
         RoutedRequest request =
                 new RoutedRequest("q" + mAsked, ROUTE, "acme", 5, TIMEOUT, call, prompt);
-        mRouters.get(random().nextInt(mRouters.size())).ask(request, code -> {});
+        mRouters.get(random().nextInt(mRouters.size())).submit(request, code -> {});
     }
 
     private int part(Kind k) {
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
@@ -75,7 +75,7 @@
         RoutedRequest request =
                 new RoutedRequest(
                         "q" + ++mAsked, route, ACCOUNT, 5, TIMEOUT, call(route, body), Prompt.NONE);
-        mRouters.get(mTime.random().nextInt(ROUTERS)).ask(request, answer);
+        mRouters.get(mTime.random().nextInt(ROUTERS)).submit(request, answer);
     }
 
     /** A caller asks with a body that nobody else sends, and comes again once if it fails. */
