--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -25,8 +25,8 @@
 import org.laurelweir.placement.FirstToken;
 import org.laurelweir.placement.PlacementPolicy;
 import org.laurelweir.placement.RedirectPolicy;
-import org.laurelweir.placement.Seat;
-import org.laurelweir.placement.SeatQuery;
+import org.laurelweir.placement.ChatLocation;
+import org.laurelweir.placement.ChatLocationQuery;
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.WorkEstimate;
 
@@ -130,11 +130,11 @@
     /** Takes a request at a sidecar. */
     private void deliver(Request request, Sidecar at, boolean firstStop) {
         request.visited().add(at.engine());
-        Seat seat = findSeat(request, at, firstStop);
-        if (seat instanceof Seat.Ask ask) {
+        ChatLocation seat = findSeat(request, at, firstStop);
+        if (seat instanceof ChatLocation.AskPeers ask) {
             seat = ask(request, at, ask);
         }
-        if (seat instanceof Seat.Elsewhere elsewhere) {
+        if (seat instanceof ChatLocation.Remote elsewhere) {
             Engine to = mFleet.engine(elsewhere.server());
             if (to.isAlive() && !request.visited().contains(to)) {
                 redirect(request, to);
@@ -144,18 +144,18 @@
         decide(request, at);
     }
 
-    private Seat findSeat(Request request, Sidecar at, boolean firstStop) {
-        SeatQuery query =
-                new SeatQuery(
+    private ChatLocation findSeat(Request request, Sidecar at, boolean firstStop) {
+        ChatLocationQuery query =
+                new ChatLocationQuery(
                         request.turn().chat().key(),
                         BoundPolicy.isAffine(request.workAt(at.engine())),
                         firstStop,
                         at.joinedLately(mFleet.now()));
-        return at.lookup().find(query, mFleet.sidecarView(at.engine()));
+        return at.lookup().locate(query, mFleet.sidecarView(at.engine()));
     }
 
     /** Asks the servers that may know the seat; one that has more of the history is the seat. */
-    private Seat ask(Request request, Sidecar at, Seat.Ask ask) {
+    private ChatLocation ask(Request request, Sidecar at, ChatLocation.AskPeers ask) {
         request.addHop();
         ChatKey chat = request.turn().chat().key();
         int most = request.workAt(at.engine()).cachedTokens();
@@ -173,7 +173,7 @@
                 most = cached;
             }
         }
-        return best == at.engine() ? Seat.HERE : new Seat.Elsewhere(best.id());
+        return best == at.engine() ? ChatLocation.LOCAL : new ChatLocation.Remote(best.id());
     }
 
     private void redirect(Request request, Engine to) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterMemory.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterMemory.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public String seat(ChatKey chat) {
+    public String lastServer(ChatKey chat) {
         return mSeats.find(chat);
     }
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Sidecar.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Sidecar.java
@@ -7,7 +7,7 @@
 import org.laurelweir.benchmarks.measure.fleet.Request;
 import org.laurelweir.placement.ChatDirectory;
 import org.laurelweir.placement.HeldChats;
-import org.laurelweir.placement.HomeLookup;
+import org.laurelweir.placement.ChatLocator;
 
 /** The state of the sidecar beside one engine. */
 final class Sidecar {
@@ -21,7 +21,7 @@
 
     private final Engine mEngine;
     private final ChatDirectory mDirectory = new ChatDirectory(DIRECTORY_CAPACITY);
-    private final HomeLookup mLookup;
+    private final ChatLocator mLookup;
     private final HeldChats mHeld;
     private final Deque<Request> mWaiting = new ArrayDeque<>();
     private List<String> mOpen = List.of();
@@ -30,7 +30,7 @@
     Sidecar(Engine engine) {
         mEngine = engine;
         mHeld = new HeldChats(engine.id(), DIRECTORY_CAPACITY);
-        mLookup = new HomeLookup(engine.id(), mDirectory, MAX_ASKED);
+        mLookup = new ChatLocator(engine.id(), mDirectory, MAX_ASKED);
     }
 
     Engine engine() {
@@ -41,7 +41,7 @@
         return mDirectory;
     }
 
-    HomeLookup lookup() {
+    ChatLocator lookup() {
         return mLookup;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
@@ -11,9 +11,9 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatDirectory;
 import org.laurelweir.placement.ChatKey;
-import org.laurelweir.placement.HomeLookup;
-import org.laurelweir.placement.Seat;
-import org.laurelweir.placement.SeatQuery;
+import org.laurelweir.placement.ChatLocator;
+import org.laurelweir.placement.ChatLocation;
+import org.laurelweir.placement.ChatLocationQuery;
 
 /**
  * Where the chats sit whose home this server is, and which ones sit here. A server that answers a
@@ -34,7 +34,7 @@
     private final Members mMembers;
     private final ChatDirectory mDirectory = new ChatDirectory(DIRECTORY_CAPACITY);
     private final CachedChats mCached = new CachedChats(CACHED_CAPACITY);
-    private final HomeLookup mLookup;
+    private final ChatLocator mLookup;
     private final Map<String, Map<Long, String>> mNotices = new HashMap<>();
     private Instant mNextNotice = Instant.MIN;
     private Instant mJoined = Instant.MAX;
@@ -42,7 +42,7 @@
     ChatHomes(String self, Members members) {
         mSelf = self;
         mMembers = members;
-        mLookup = new HomeLookup(self, mDirectory, MAX_ASKED);
+        mLookup = new ChatLocator(self, mDirectory, MAX_ASKED);
     }
 
     /** Sets how many tokens the server caches. */
@@ -65,13 +65,13 @@
     }
 
     /** Returns where a chat's history may be. */
-    Seat find(Instant now, AttemptRequest request) {
+    ChatLocation find(Instant now, AttemptRequest request) {
         boolean joinedLately =
                 request.returning()
                         && !mJoined.isAfter(now)
                         && now.isBefore(mJoined.plus(JOINED_LATELY));
-        return mLookup.find(
-                new SeatQuery(
+        return mLookup.locate(
+                new ChatLocationQuery(
                         new ChatKey(request.chat()),
                         mCached.contains(request.chat()),
                         request.redirects() == 0,
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Seating.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Seating.java
@@ -1,7 +1,7 @@
 package org.laurelweir.admission;
 
 import org.laurelweir.placement.Candidate;
-import org.laurelweir.placement.Seat;
+import org.laurelweir.placement.ChatLocation;
 
 /** Brings an attempt to where its chat's history is before its load is weighed. */
 final class Seating {
@@ -23,12 +23,12 @@
             place(step, attempt);
             return;
         }
-        Seat seat = mHomes.find(step.now(), attempt.request());
-        if (seat instanceof Seat.Elsewhere e) {
+        ChatLocation seat = mHomes.find(step.now(), attempt.request());
+        if (seat instanceof ChatLocation.Remote e) {
             sendOrPlace(step, attempt, e.server());
             return;
         }
-        if (seat instanceof Seat.Ask ask && mQuestions.ask(step, attempt, ask.candidates())) {
+        if (seat instanceof ChatLocation.AskPeers ask && mQuestions.ask(step, attempt, ask.candidates())) {
             return;
         }
         place(step, attempt);
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/AffinityPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/AffinityPolicy.java
@@ -30,7 +30,7 @@
     }
 
     private static Candidate seat(ChatKey chat, ServiceView view, PlacementHints hints) {
-        String id = hints.seat(chat);
+        String id = hints.lastServer(chat);
         Candidate seat = id == null ? null : view.candidate(id);
         return seat == null || seat.draining() ? null : seat;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Seat.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocation.java
@@ -3,34 +3,34 @@
 import java.util.List;
 
 /** Where a chat's history is, as far as the sidecar knows that got its request. */
-public sealed interface Seat {
+public sealed interface ChatLocation {
     /** The engine here has it. */
-    Seat HERE = new Here();
+    ChatLocation LOCAL = new Local();
 
     /** Nobody is known to have it: the chat is new or its history is lost. */
-    Seat UNKNOWN = new Unknown();
+    ChatLocation UNKNOWN = new Unknown();
 
     /** The engine here has it. */
-    record Here() implements Seat {}
+    record Local() implements ChatLocation {}
 
     /** Nobody is known to have it. */
-    record Unknown() implements Seat {}
+    record Unknown() implements ChatLocation {}
 
     /**
      * Another backend server has it.
      *
      * @param server its name
      */
-    record Elsewhere(String server) implements Seat {}
+    record Remote(String server) implements ChatLocation {}
 
     /**
      * This server became the chat's home and has to ask once.
      *
      * @param candidates who may know, in order; all can be asked at the same time
      */
-    record Ask(List<Candidate> candidates) implements Seat {
+    record AskPeers(List<Candidate> candidates) implements ChatLocation {
         /** Copies the list. */
-        public Ask {
+        public AskPeers {
             candidates = List.copyOf(candidates);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/HomeLookup.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
@@ -10,7 +10,7 @@
  * once, those that may know: the previous home if this server joined, the servers next in rank if
  * the previous home left without handing over.
  */
-public final class HomeLookup {
+public final class ChatLocator {
     /** How many ranks after a lost home are asked; a bound redirects at most twice. */
     static final int RANKS_ASKED = 2;
 
@@ -27,7 +27,7 @@
      * @param maxAsked how many chats it remembers to have asked for; over that it forgets them all
      *     and may ask a second time
      */
-    public HomeLookup(String self, ChatDirectory directory, int maxAsked) {
+    public ChatLocator(String self, ChatDirectory directory, int maxAsked) {
         mSelf = self;
         mDirectory = directory;
         mMaxAsked = maxAsked;
@@ -39,13 +39,13 @@
      * @param query the request
      * @param view the sidecar's view of its service
      */
-    public Seat find(SeatQuery query, ServiceView view) {
-        if (!query.firstStop()) {
+    public ChatLocation locate(ChatLocationQuery query, ServiceView view) {
+        if (!query.fromRouter()) {
             return hereOrUnknown(query);
         }
         String elsewhere = mDirectory.find(query.chat());
         if (elsewhere != null && !elsewhere.equals(mSelf) && view.candidate(elsewhere) != null) {
-            return new Seat.Elsewhere(elsewhere);
+            return new ChatLocation.Remote(elsewhere);
         }
         Candidate home = view.ranking().home(query.chat());
         if (home == null) {
@@ -53,25 +53,25 @@
         }
         if (!home.id().equals(mSelf)) {
             // The router's view is older or newer than this one, or its memory of the chat is old.
-            return query.cachedHere() ? Seat.HERE : new Seat.Elsewhere(home.id());
+            return query.cachedLocally() ? ChatLocation.LOCAL : new ChatLocation.Remote(home.id());
         }
         List<Candidate> asked = previousHolders(query, view, home);
         if (asked.isEmpty() || !remember(query.chat())) {
             return hereOrUnknown(query);
         }
-        return new Seat.Ask(asked);
+        return new ChatLocation.AskPeers(asked);
     }
 
-    private static Seat hereOrUnknown(SeatQuery query) {
-        return query.cachedHere() ? Seat.HERE : Seat.UNKNOWN;
+    private static ChatLocation hereOrUnknown(ChatLocationQuery query) {
+        return query.cachedLocally() ? ChatLocation.LOCAL : ChatLocation.UNKNOWN;
     }
 
-    private List<Candidate> previousHolders(SeatQuery query, ServiceView view, Candidate home) {
+    private List<Candidate> previousHolders(ChatLocationQuery query, ServiceView view, Candidate home) {
         List<Candidate> asked = new ArrayList<>();
-        if (query.joinedLately()) {
+        if (query.recentlyJoined()) {
             asked.addAll(view.ranking().topWithout(query.chat(), mSelf, 1));
         }
-        if (!query.cachedHere() && isHomeDeparted(query.chat(), view, home)) {
+        if (!query.cachedLocally() && isHomeDeparted(query.chat(), view, home)) {
             for (Candidate c : view.ranking().topWithout(query.chat(), mSelf, RANKS_ASKED)) {
                 if (!asked.contains(c)) {
                     asked.add(c);
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementHints.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementHints.java
@@ -29,7 +29,7 @@
      * @param chat the chat
      * @return its name, or null if this router does not know
      */
-    default String seat(ChatKey chat) {
+    default String lastServer(ChatKey chat) {
         return null;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
@@ -45,7 +45,7 @@
 
     Placements(RouterConfig config, Memberships memberships) {
         mMemberships = memberships;
-        mSeats = new ChatDirectory(config.chatSeats());
+        mSeats = new ChatDirectory(config.maxChatLocations());
     }
 
     /** One choice with what it was made from. */
@@ -217,7 +217,7 @@
         }
 
         @Override
-        public String seat(ChatKey chat) {
+        public String lastServer(ChatKey chat) {
             return mSeats.find(chat);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
@@ -10,7 +10,7 @@
  * @param incarnation rises with every start of the router
  * @param seed of the jitter
  * @param exchangeInterval how often control is asked
- * @param chatSeats how many chats the router remembers the last backend server of
+ * @param maxChatLocations how many chats the router remembers the last backend server of
  * @param retryLimits what all routers together may repeat at services without sidecars
  */
 public record RouterConfig(
@@ -18,11 +18,11 @@
         long incarnation,
         long seed,
         Duration exchangeInterval,
-        int chatSeats,
+        int maxChatLocations,
         RetryLimits retryLimits) {
     /** Creates a configuration with the usual limits of retries. */
     public RouterConfig(
-            String name, long incarnation, long seed, Duration exchangeInterval, int chatSeats) {
-        this(name, incarnation, seed, exchangeInterval, chatSeats, RetryLimits.DEFAULT);
+            String name, long incarnation, long seed, Duration exchangeInterval, int maxChatLocations) {
+        this(name, incarnation, seed, exchangeInterval, maxChatLocations, RetryLimits.DEFAULT);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
@@ -47,7 +47,7 @@
     private static PlacementHints hints(String seat, String ejected) {
         return new PlacementHints() {
             @Override
-            public String seat(ChatKey chat) {
+            public String lastServer(ChatKey chat) {
                 return seat;
             }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/HomeLookupTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/HomeLookupTest.java
@@ -13,24 +13,24 @@
     private final List<Candidate> mRanks = mView.ranking().top(CHAT, 6);
     private final ChatDirectory mDirectory = new ChatDirectory(100);
 
-    private HomeLookup lookup(Candidate self) {
-        return new HomeLookup(self.id(), mDirectory, 100);
+    private ChatLocator lookup(Candidate self) {
+        return new ChatLocator(self.id(), mDirectory, 100);
     }
 
     @Test
     void homeFollowsItsDirectory() {
         mDirectory.put(CHAT, mRanks.get(3).id());
-        assertThat(lookup(mRanks.get(0)).find(new SeatQuery(CHAT, false, true, false), mView))
-                .isEqualTo(new Seat.Elsewhere(mRanks.get(3).id()));
+        assertThat(lookup(mRanks.get(0)).locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+                .isEqualTo(new ChatLocation.Remote(mRanks.get(3).id()));
     }
 
     @Test
     void joinedHomeAsksThePreviousOneOnce() {
-        HomeLookup lookup = lookup(mRanks.get(0));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, true, true), mView))
-                .isEqualTo(new Seat.Ask(List.of(mRanks.get(1))));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, true, true), mView))
-                .isEqualTo(Seat.UNKNOWN);
+        ChatLocator lookup = lookup(mRanks.get(0));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
+                .isEqualTo(new ChatLocation.AskPeers(List.of(mRanks.get(1))));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
+                .isEqualTo(ChatLocation.UNKNOWN);
     }
 
     // The caller sees only a slower first token. The home crashes; its directory is lost with it.
@@ -39,19 +39,19 @@
     @Test
     void nextHomeAfterACrashAsksTheRanksBelow() {
         ServiceView after = mView.apply(2, List.of(new ViewChange.Leave(mRanks.get(0).id())));
-        HomeLookup lookup = lookup(mRanks.get(1));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, true, false), after))
-                .isEqualTo(new Seat.Ask(mRanks.subList(2, 4)));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, true, false), after))
-                .isEqualTo(Seat.UNKNOWN);
-        assertThat(lookup.find(new SeatQuery(CHAT, true, true, false), after)).isEqualTo(Seat.HERE);
+        ChatLocator lookup = lookup(mRanks.get(1));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), after))
+                .isEqualTo(new ChatLocation.AskPeers(mRanks.subList(2, 4)));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), after))
+                .isEqualTo(ChatLocation.UNKNOWN);
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), after)).isEqualTo(ChatLocation.LOCAL);
     }
 
     @Test
     void seatThatLeftIsNotFollowed() {
         mDirectory.put(CHAT, "gone");
-        assertThat(lookup(mRanks.get(0)).find(new SeatQuery(CHAT, false, true, false), mView))
-                .isEqualTo(Seat.UNKNOWN);
+        assertThat(lookup(mRanks.get(0)).locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+                .isEqualTo(ChatLocation.UNKNOWN);
     }
 
     // The caller sees one more hop, never two servers that send its request to and fro. A router
@@ -59,11 +59,11 @@
     // a request that was sent on once is not sent back.
     @Test
     void staleRouterIsSentToTheHomeOnce() {
-        HomeLookup lookup = lookup(mRanks.get(2));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, true, false), mView))
-                .isEqualTo(new Seat.Elsewhere(mRanks.get(0).id()));
-        assertThat(lookup.find(new SeatQuery(CHAT, false, false, false), mView))
-                .isEqualTo(Seat.UNKNOWN);
-        assertThat(lookup.find(new SeatQuery(CHAT, true, true, false), mView)).isEqualTo(Seat.HERE);
+        ChatLocator lookup = lookup(mRanks.get(2));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+                .isEqualTo(new ChatLocation.Remote(mRanks.get(0).id()));
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, false, false), mView))
+                .isEqualTo(ChatLocation.UNKNOWN);
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), mView)).isEqualTo(ChatLocation.LOCAL);
     }
 }
