--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -22,7 +22,7 @@
 import org.laurelweir.placement.BoundQuery;
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
-import org.laurelweir.placement.FirstToken;
+import org.laurelweir.placement.FirstTokenDeadline;
 import org.laurelweir.placement.PlacementPolicy;
 import org.laurelweir.placement.RedirectPolicy;
 import org.laurelweir.placement.ChatLocation;
@@ -215,7 +215,7 @@
         long own = engine.prefillMicros(work.uncachedTokens());
         long first = engine.firstTokenAt(work.uncachedTokens(), now);
         long left = request.turn().at() + request.turn().deadline() - now;
-        return FirstToken.isReachable(
+        return FirstTokenDeadline.isReachable(
                 Duration.of(first - now - own, ChronoUnit.MICROS),
                 Duration.of(own, ChronoUnit.MICROS),
                 Duration.of(left, ChronoUnit.MICROS),
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/FirstToken.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/FirstTokenDeadline.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /** Says whether waiting at a server is what makes a first token late. */
-public final class FirstToken {
-    private FirstToken() {}
+public final class FirstTokenDeadline {
+    private FirstTokenDeadline() {}
 
     /**
      * Returns whether a request may be run here for its deadline's sake. A prompt so long that it
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenTest.java
@@ -22,7 +22,7 @@
     }
 
     private static boolean isReachable(long ahead, long own, long left) {
-        return FirstToken.isReachable(
+        return FirstTokenDeadline.isReachable(
                 Duration.ofMillis(ahead), Duration.ofMillis(own), Duration.ofMillis(left), GRACE);
     }
 }
