--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -148,7 +148,7 @@
         ChatLocationQuery query =
                 new ChatLocationQuery(
                         request.turn().chat().key(),
-                        BoundPolicy.isAffine(request.workAt(at.engine())),
+                        BoundPolicy.hasCacheAffinity(request.workAt(at.engine())),
                         firstStop,
                         at.joinedLately(mFleet.now()));
         return at.lookup().locate(query, mFleet.sidecarView(at.engine()));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
@@ -152,7 +152,7 @@
                 mLoad.work(),
                 attempt.work(),
                 mLoad.mean(step.now()),
-                mSettings.bound().fullFactor(),
+                mSettings.bound().effectiveFactor(),
                 mSettings.bound().capacityFloor());
     }
 
@@ -202,7 +202,7 @@
         double bound =
                 LoadBound.bound(
                         mLoad.mean(step.now()),
-                        mSettings.bound().fullFactor(),
+                        mSettings.bound().effectiveFactor(),
                         mSettings.bound().capacityFloor());
         mReport.decided(step, attempt.request(), choice, reason, bound);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
@@ -7,7 +7,7 @@
  * @param headroom the share of {@code factor} that admission leaves unused, in 0 to 1. What was
  *     admitted stays while the mean falls, and the mean that a sidecar knows is a second or two
  *     old; without it a server is over the factor whenever the others' requests end first
- * @param openFactor the multiple up to which requests without cached history are taken; between it
+ * @param uncachedFactor the multiple up to which requests without cached history are taken; between it
  *     and {@code factor} lies the room kept for chats whose history is cached
  * @param capacityFloor the least bound, see {@link LoadBound}
  * @param prefillWeight the cost of an uncached prompt token against an output token's
@@ -16,7 +16,7 @@
 public record BoundConfig(
         double factor,
         double headroom,
-        double openFactor,
+        double uncachedFactor,
         double capacityFloor,
         double prefillWeight,
         int maxRedirects) {
@@ -24,8 +24,8 @@
 
     /** Checks the factors. */
     public BoundConfig {
-        if (factor < 1 || openFactor < 1 || openFactor > factor) {
-            throw new IllegalArgumentException("factors: " + openFactor + ", " + factor);
+        if (factor < 1 || uncachedFactor < 1 || uncachedFactor > factor) {
+            throw new IllegalArgumentException("factors: " + uncachedFactor + ", " + factor);
         }
         if (headroom < 0 || factor * (1 - headroom) < 1 - ROUNDING) {
             throw new IllegalArgumentException("headroom: " + headroom);
@@ -33,7 +33,7 @@
     }
 
     /** Returns the multiple up to which a server admits chats whose history is cached there. */
-    public double fullFactor() {
+    public double effectiveFactor() {
         return factor * (1 - headroom);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
@@ -33,8 +33,8 @@
         if (!query.deadlineReachable()) {
             return elsewhere;
         }
-        boolean stays = isAffine(query.work()) || !canRedirect;
-        double factor = stays ? mConfig.fullFactor() : openFactor();
+        boolean stays = hasCacheAffinity(query.work()) || !canRedirect;
+        double factor = stays ? mConfig.effectiveFactor() : openFactor();
         double units = query.work().units(mConfig.prefillWeight());
         if (LoadBound.admits(runningWork, units, meanWork, factor, mConfig.capacityFloor())) {
             return BoundDecision.ADMIT;
@@ -43,11 +43,11 @@
     }
 
     private double openFactor() {
-        return Math.min(mConfig.openFactor(), mConfig.fullFactor());
+        return Math.min(mConfig.uncachedFactor(), mConfig.effectiveFactor());
     }
 
     /** Returns whether enough of the prompt is cached for the chat to be kept where it is. */
-    public static boolean isAffine(WorkEstimate work) {
+    public static boolean hasCacheAffinity(WorkEstimate work) {
         return work.cachedTokens() > 0 && work.cachedTokens() >= AFFINE_SHARE * work.promptTokens();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
@@ -51,7 +51,7 @@
         return new BoundConfig(
                 factor,
                 Math.min(d.headroom(), 1 - 1 / factor),
-                Math.min(d.openFactor(), factor),
+                Math.min(d.uncachedFactor(), factor),
                 d.capacityFloor(),
                 d.prefillWeight(),
                 d.maxRedirects());
