--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
@@ -121,7 +121,7 @@
      * Returns the ranking of all backend servers, those that are leaving among them: it tells where
      * a chat was at home before the first of them began to leave. Made when it is first asked for.
      */
-    public Ranking rankingOfAll() {
+    public Ranking rankingWithDraining() {
         if (mRankingOfAll == null) {
             boolean isLeaving = mMembers.values().stream().anyMatch(Candidate::draining);
             mRankingOfAll = isLeaving ? Ranking.of(mMembers.values()) : mRanking;
