--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
@@ -11,7 +11,7 @@
      */
     void claim(Step s, ActiveRequest r) {
         r.mClaims++;
-        r.enter(ActiveRequest.Phase.CLAIMING, s.now().plus(r.policy().silence()));
+        r.enter(ActiveRequest.Phase.CLAIMING, s.now().plus(r.policy().silenceTimeout()));
         CallerRequest q = r.mRequest;
         s.emit(
                 new RouterEffect.Claim(
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
@@ -46,7 +46,7 @@
 
     /** Asks the sidecar to make sure that the attempt never starts, and what its state is. */
     void revoke(Step s, ActiveRequest r) {
-        r.enter(ActiveRequest.Phase.REVOKING, s.now().plus(r.policy().silence()));
+        r.enter(ActiveRequest.Phase.REVOKING, s.now().plus(r.policy().silenceTimeout()));
         s.emit(
                 new RouterEffect.Revoke(
                         r.mCaller, r.mTarget.address(), r.mAttempt, r.mTarget.ref()));
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RequestPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RequestPolicy.java
@@ -14,7 +14,7 @@
  * @param accountMaxRunning most requests of the account in flight in the deployment
  * @param accountRate requests a second that the account may start in the deployment
  * @param claimRetention how long past its deadline a claim on an idempotency key holds
- * @param silence longest time without a frame before the connection is taken as lost
+ * @param silenceTimeout longest time without a frame before the connection is taken as lost
  */
 public record RequestPolicy(
         double boundFactor,
@@ -26,7 +26,7 @@
         int accountMaxRunning,
         double accountRate,
         Duration claimRetention,
-        Duration silence) {
+        Duration silenceTimeout) {
     /** What holds until settings arrive. */
     public static final RequestPolicy DEFAULT =
             new RequestPolicy(
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
@@ -57,7 +57,7 @@
      * caller, and what is not read can't be heard.
      */
     private void checkSilence(Step s, ActiveRequest r) {
-        Instant limit = r.mHeard.plus(r.policy().silence());
+        Instant limit = r.mHeard.plus(r.policy().silenceTimeout());
         if (r.mTaken >= r.mOffset && !s.now().isBefore(limit)) {
             mRecovery.lost(s, r, "silent");
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/Policies.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/Policies.java
@@ -16,6 +16,6 @@
                 maxRunning,
                 rate,
                 p.claimRetention(),
-                p.silence());
+                p.silenceTimeout());
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
@@ -277,7 +277,7 @@
         frame(new Frame.Head(200, List.of()));
         frame(new Frame.Data(0, new byte[5]));
         give(new RouterEvent.CallerTook(1, 5));
-        pass(POLICY.silence());
+        pass(POLICY.silenceTimeout());
         assertThat(all(RouterEffect.DropStream.class)).hasSize(1);
         RouterEffect.ResumeAttempt resume = last(RouterEffect.ResumeAttempt.class);
         assertThat(resume.offset()).isEqualTo(5);
@@ -297,7 +297,7 @@
         arrive(1, true, "", POLICY);
         frame(new Frame.Head(200, List.of()));
         frame(new Frame.Data(0, new byte[5]));
-        pass(POLICY.silence().multipliedBy(3));
+        pass(POLICY.silenceTimeout().multipliedBy(3));
         assertThat(all(RouterEffect.DropStream.class)).isEmpty();
     }
 
