--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterDriver.java
@@ -105,7 +105,7 @@
 
     /** Lets a caller take output. */
     void taken(long caller, long offset) {
-        step(new RouterEvent.CallerTook(caller, offset));
+        step(new RouterEvent.OutputConsumed(caller, offset));
     }
 
     /** Lets time pass. */
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
@@ -130,7 +130,7 @@
             if (c.mDirect) {
                 return;
             }
-            mEvents.accept(new RouterEvent.CallerTook(caller, offset));
+            mEvents.accept(new RouterEvent.OutputConsumed(caller, offset));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEvent.java
@@ -24,7 +24,7 @@
     record CallerGone(long caller) implements RouterEvent {}
 
     /** The caller took all output up to a byte offset. */
-    record CallerTook(long caller, long offset) implements RouterEvent {}
+    record OutputConsumed(long caller, long offset) implements RouterEvent {}
 
     /** A frame arrived on a stream to a sidecar. */
     record FrameArrived(long stream, AttemptFrame frame) implements RouterEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -136,7 +136,7 @@
             onArrived(s, e.caller(), e.request());
         } else if (event instanceof RouterEvent.CallerGone e) {
             withRequest(e.caller(), r -> onCallerGone(s, r));
-        } else if (event instanceof RouterEvent.CallerTook e) {
+        } else if (event instanceof RouterEvent.OutputConsumed e) {
             withRequest(e.caller(), r -> mStreams.onTaken(s, r, e.offset()));
         } else if (event instanceof RouterEvent.RevokeAnswered e) {
             withRequest(e.caller(), r -> mRecovery.onRevokeAnswered(s, r, e.attempt(), e.state()));
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
@@ -325,7 +325,7 @@
             Caller c = mCallers.get((int) e.caller() - 1);
             c.mBytes.writeBytes(e.bytes());
             long taken = c.mBytes.size();
-            mNetwork.send(c, () -> give(router, new RouterEvent.CallerTook(e.caller(), taken)));
+            mNetwork.send(c, () -> give(router, new RouterEvent.OutputConsumed(e.caller(), taken)));
         } else if (effect instanceof RouterEffect.AnswerEnd e) {
             finish(e.caller(), ResultCode.OK);
         } else if (effect instanceof RouterEffect.AnswerError e) {
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
@@ -276,7 +276,7 @@
         arrive(1, false, "", POLICY);
         frame(new Frame.Head(200, List.of()));
         frame(new Frame.Data(0, new byte[5]));
-        give(new RouterEvent.CallerTook(1, 5));
+        give(new RouterEvent.OutputConsumed(1, 5));
         pass(POLICY.silenceTimeout());
         assertThat(all(RouterEffect.DropStream.class)).hasSize(1);
         RouterEffect.ResumeAttempt resume = last(RouterEffect.ResumeAttempt.class);
