--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -23,7 +23,7 @@
 import org.laurelweir.lib.Reducer;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.membership.Backend;
-import org.laurelweir.membership.DirectSessions;
+import org.laurelweir.membership.DirectAnnouncements;
 import org.laurelweir.membership.SharedMembership;
 import org.laurelweir.settings.SettingsTree;
 
@@ -43,7 +43,7 @@
     private final Queries mQueries;
     private final ReplicaRepair mRepair;
     private final PeerSharing mSharing;
-    private final DirectSessions mDirect;
+    private final DirectAnnouncements mDirect;
     private final PassedOverNotes mPassedOver;
     private final CrashSharing mCrashes;
     private final LoadSharing mLoads;
@@ -72,7 +72,7 @@
         mExchanges = new Exchanges(mMembership, mReplica, mRouters, mCrashes, mLoads, mNotes);
         mQueries = new Queries(mMembership, mReplica, mRouters, mCrashes, mLoads, presences);
         mRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
-        mDirect = new DirectSessions(mMembership, this::mayBeService);
+        mDirect = new DirectAnnouncements(mMembership, this::mayBeService);
         mSharing =
                 new PeerSharing(
                         config,
@@ -150,15 +150,15 @@
     }
 
     private void onAnnounced(BackendAnnounced e) {
-        DirectSessions.Outcome outcome = mDirect.hear(mNow, e.backend());
+        DirectAnnouncements.Outcome outcome = mDirect.receive(mNow, e.backend());
         mPassedOver.note(mNow, e.backend(), outcome, mEffects);
         mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
     }
 
     /** An instance that can't take a departure must not acknowledge it: another one may. */
     private void onWithdrawn(BackendWithdrawn e) {
-        DirectSessions.Outcome outcome = mDirect.withdraw(mNow, e.backend());
-        if (outcome == DirectSessions.Outcome.UNKNOWN_SERVER) {
+        DirectAnnouncements.Outcome outcome = mDirect.withdraw(mNow, e.backend());
+        if (outcome == DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
             mEffects.accept(unknownServer(e.call(), e.backend().id()));
         } else {
             mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.laurelweir.membership.Backend;
-import org.laurelweir.membership.DirectSessions.Outcome;
+import org.laurelweir.membership.DirectAnnouncements.Outcome;
 
 /**
  * Notes announcements that were passed over: each kind at most once a second, with a count. One
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/AddressHolders.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/AddressHolders.java
@@ -29,7 +29,7 @@
         if (free || holder.ref().id().equals(b.ref().id())) {
             return true;
         }
-        if (holder.ref().incarnation() != DirectSessions.START_UNTOLD) {
+        if (holder.ref().incarnation() != DirectAnnouncements.START_UNTOLD) {
             return b.ref().incarnation() > holder.ref().incarnation();
         }
         return isUnheardOf;
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/DirectSessions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
@@ -17,7 +17,7 @@
  * instance, so that one that drains is not called serving again. While nothing changes the session
  * stays, and an announcement costs its instance nothing that others have to be told of.
  */
-public final class DirectSessions {
+public final class DirectAnnouncements {
     /** The session of a run that has left; only a later start under the name comes after it. */
     private static final int LAST = Integer.MAX_VALUE;
 
@@ -52,7 +52,7 @@
      * @param membership takes what is believed
      * @param isService whether the settings in force, if there are any, have a service of that name
      */
-    public DirectSessions(SharedMembership membership, Predicate<String> isService) {
+    public DirectAnnouncements(SharedMembership membership, Predicate<String> isService) {
         mMembership = membership;
         mIsService = isService;
         mAddresses = new AddressHolders(membership);
@@ -66,7 +66,7 @@
      *     backend server started, 0 where it does not tell
      * @return what became of it; all but {@code TAKEN} change nothing
      */
-    public Outcome hear(Instant now, Backend b) {
+    public Outcome receive(Instant now, Backend b) {
         Outcome outcome = judge(b);
         if (outcome == Outcome.TAKEN) {
             take(now, b);
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
@@ -20,7 +20,7 @@
     private static final int MAX_LATE = 20;
 
     private final List<SharedMembership> mViews = new ArrayList<>();
-    private final List<DirectSessions> mSessions = new ArrayList<>();
+    private final List<DirectAnnouncements> mSessions = new ArrayList<>();
     private final List<Server> mServers = new ArrayList<>();
     private final List<Backend> mLate = new ArrayList<>();
     private final Random mRandom;
@@ -89,7 +89,7 @@
                 new SharedMembership(
                         config, peers, (b, reason, own) -> tellAtOnce(control, b, own));
         mViews.set(control, view);
-        mSessions.set(control, new DirectSessions(view, "s"::equals));
+        mSessions.set(control, new DirectAnnouncements(view, "s"::equals));
     }
 
     /** As a control instance does before it acknowledges that a server leaves. */
@@ -142,7 +142,7 @@
         if (mLate.size() < MAX_LATE) {
             mLate.add(b);
         }
-        mSessions.get(control).hear(mNow, b);
+        mSessions.get(control).receive(mNow, b);
     }
 
     private void drain(Server s, int control) {
@@ -154,8 +154,8 @@
     }
 
     private void withdraw(Server s, int control) {
-        DirectSessions.Outcome outcome = mSessions.get(control).withdraw(mNow, s.mRef);
-        if (outcome != DirectSessions.Outcome.UNKNOWN_SERVER) {
+        DirectAnnouncements.Outcome outcome = mSessions.get(control).withdraw(mNow, s.mRef);
+        if (outcome != DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
             s.mIsLeaveAcknowledged = true;
             s.mIsAlive = false;
         }
@@ -171,7 +171,7 @@
 
     private void deliverLate(int control) {
         if (!mLate.isEmpty()) {
-            mSessions.get(control).hear(mNow, mLate.remove(mRandom.nextInt(mLate.size())));
+            mSessions.get(control).receive(mNow, mLate.remove(mRandom.nextInt(mLate.size())));
         }
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
@@ -13,8 +13,8 @@
 
     private final SharedMembership mA = membership("a", "b");
     private final SharedMembership mB = membership("b", "a");
-    private final DirectSessions mAtA = new DirectSessions(mA, "s"::equals);
-    private final DirectSessions mAtB = new DirectSessions(mB, "s"::equals);
+    private final DirectAnnouncements mAtA = new DirectAnnouncements(mA, "s"::equals);
+    private final DirectAnnouncements mAtB = new DirectAnnouncements(mB, "s"::equals);
     private int mNumber;
 
     private static SharedMembership membership(String self, String peer) {
@@ -33,10 +33,10 @@
 
     @Test
     void announcementsThatSayNothingNewAreNotPassedOn() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 1));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
         MembershipCursor before = mA.shareSince(MembershipCursor.NONE).cursor();
         for (int number = 2; number < 50; number++) {
-            mAtA.hear(NOW, announced(Backend.State.SERVING, number));
+            mAtA.receive(NOW, announced(Backend.State.SERVING, number));
         }
         assertThat(mA.shareSince(before).announcements()).isEmpty();
     }
@@ -46,11 +46,11 @@
         // The server says at one instance that it drains. An earlier announcement, held up on its
         // way, reaches another instance only then. Routers that listen to the latter would send new
         // requests to a server that is about to exit.
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 4));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 4));
         share();
-        mAtA.hear(NOW, announced(Backend.State.DRAINING, 6));
+        mAtA.receive(NOW, announced(Backend.State.DRAINING, 6));
         share();
-        mAtB.hear(NOW, announced(Backend.State.SERVING, 5));
+        mAtB.receive(NOW, announced(Backend.State.SERVING, 5));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.DRAINING);
@@ -58,10 +58,10 @@
 
     @Test
     void aLateAnnouncementThatArrivesFirstIsOvertaken() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 4));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 4));
         share();
-        mAtB.hear(NOW, announced(Backend.State.SERVING, 5));
-        mAtA.hear(NOW, announced(Backend.State.DRAINING, 6));
+        mAtB.receive(NOW, announced(Backend.State.SERVING, 5));
+        mAtA.receive(NOW, announced(Backend.State.DRAINING, 6));
         share();
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
@@ -70,11 +70,11 @@
 
     @Test
     void oneThatLeftNeverComesBack() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 4));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 4));
         share();
         mAtA.withdraw(NOW, new BackendRef("w", 0));
         share();
-        mAtB.hear(NOW, announced(Backend.State.SERVING, 9));
+        mAtB.receive(NOW, announced(Backend.State.SERVING, 9));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.LEFT);
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.LEFT);
@@ -82,9 +82,9 @@
 
     @Test
     void anotherInstanceTakesOverAsSoonAsItIsAnnouncedTo() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 4));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 4));
         share();
-        mAtB.hear(NOW, announced(Backend.State.SERVING, 5));
+        mAtB.receive(NOW, announced(Backend.State.SERVING, 5));
         share();
         assertThat(mB.hears(mB.backend("w"))).isTrue();
         assertThat(mA.hears(mA.backend("w"))).isFalse();
@@ -100,11 +100,11 @@
     void aNewStartTakesTheAddressOver() {
         // A server crashes and starts again at its address under a new name. The old name would be
         // chosen until it is missed, and each request sent to it is refused by the new start.
-        mAtA.hear(NOW, at("old", "1.2.3.4:80", 7));
-        mAtA.hear(NOW, at("new", "1.2.3.4:80", 1));
+        mAtA.receive(NOW, at("old", "1.2.3.4:80", 7));
+        mAtA.receive(NOW, at("new", "1.2.3.4:80", 1));
         assertThat(mA.backend("old").state()).isEqualTo(Backend.State.LEFT);
         assertThat(mA.backend("new").state()).isEqualTo(Backend.State.SERVING);
-        mAtA.hear(NOW, at("old", "1.2.3.4:80", 8));
+        mAtA.receive(NOW, at("old", "1.2.3.4:80", 8));
         assertThat(mA.backend("old").state()).isEqualTo(Backend.State.LEFT);
         assertThat(mA.backend("new").state()).isEqualTo(Backend.State.SERVING);
     }
@@ -113,11 +113,11 @@
     // it.
     @Test
     void aServerLeavesThroughAnInstanceThatKnewAnEarlierOneAtItsAddress() {
-        mAtA.hear(NOW, at("old", "1.2.3.4:80", 7));
+        mAtA.receive(NOW, at("old", "1.2.3.4:80", 7));
         mAtA.withdraw(NOW, new BackendRef("old", 0));
-        mAtB.hear(NOW, at("w", "1.2.3.4:80", 1));
+        mAtB.receive(NOW, at("w", "1.2.3.4:80", 1));
         share();
-        mAtA.hear(NOW, announced(Backend.State.DRAINING, 2));
+        mAtA.receive(NOW, announced(Backend.State.DRAINING, 2));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.DRAINING);
@@ -126,11 +126,11 @@
     // A server that changed its instance was heard nowhere, and given up a minute later.
     @Test
     void aServerIsHeardByAnInstanceThatKnewAnEarlierOneAtItsAddress() {
-        mAtA.hear(NOW, at("old", "1.2.3.4:80", 7));
+        mAtA.receive(NOW, at("old", "1.2.3.4:80", 7));
         mAtA.withdraw(NOW, new BackendRef("old", 0));
-        mAtB.hear(NOW, at("w", "1.2.3.4:80", 1));
+        mAtB.receive(NOW, at("w", "1.2.3.4:80", 1));
         share();
-        mAtA.hear(NOW, at("w", "1.2.3.4:80", 2));
+        mAtA.receive(NOW, at("w", "1.2.3.4:80", 2));
         assertThat(mA.hears(mA.backend("w"))).isTrue();
     }
 
@@ -138,20 +138,20 @@
     // missed.
     @Test
     void aServerLeavesWhileAnEarlierOneAtItsAddressIsNotMissedYet() {
-        mAtA.hear(NOW, at("old", "1.2.3.4:80", 7));
-        mAtB.hear(NOW, at("w", "1.2.3.4:80", 1));
+        mAtA.receive(NOW, at("old", "1.2.3.4:80", 7));
+        mAtB.receive(NOW, at("w", "1.2.3.4:80", 1));
         share();
-        mAtA.hear(NOW, announced(Backend.State.DRAINING, 2));
+        mAtA.receive(NOW, announced(Backend.State.DRAINING, 2));
         share();
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.DRAINING);
     }
 
     @Test
     void oneThatLeavesPushesNobodyOutOfItsAddress() {
-        mAtA.hear(NOW, at("w", "1.2.3.4:80", 1));
-        mAtB.hear(NOW, at("new", "1.2.3.4:80", 1));
+        mAtA.receive(NOW, at("w", "1.2.3.4:80", 1));
+        mAtB.receive(NOW, at("new", "1.2.3.4:80", 1));
         share();
-        mAtB.hear(NOW, announced(Backend.State.DRAINING, 2));
+        mAtB.receive(NOW, announced(Backend.State.DRAINING, 2));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
         assertThat(mA.backend("new").state()).isEqualTo(Backend.State.SERVING);
@@ -160,30 +160,30 @@
     // An instance that had just started acknowledged a departure that it could not pass on.
     @Test
     void aDepartureOfAnUnknownServerIsNotTaken() {
-        mAtB.hear(NOW, at("w", "1.2.3.4:80", 1));
+        mAtB.receive(NOW, at("w", "1.2.3.4:80", 1));
         assertThat(mAtA.withdraw(NOW, new BackendRef("w", 0)))
-                .isEqualTo(DirectSessions.Outcome.UNKNOWN_SERVER);
+                .isEqualTo(DirectAnnouncements.Outcome.UNKNOWN_SERVER);
         assertThat(mAtB.withdraw(NOW, new BackendRef("w", 0)))
-                .isEqualTo(DirectSessions.Outcome.TAKEN);
+                .isEqualTo(DirectAnnouncements.Outcome.TAKEN);
     }
 
     // The departure of a start that had been announced to another instance only was dropped.
     @Test
     void aDepartureOfALaterStartThanIsKnownIsTaken() {
-        mAtA.hear(NOW, started(1000, Backend.State.SERVING, 40));
-        mAtB.hear(NOW, started(9000, Backend.State.SERVING, 1));
+        mAtA.receive(NOW, started(1000, Backend.State.SERVING, 40));
+        mAtB.receive(NOW, started(9000, Backend.State.SERVING, 1));
         assertThat(mAtA.withdraw(NOW, new BackendRef("w", 9000)))
-                .isEqualTo(DirectSessions.Outcome.TAKEN);
+                .isEqualTo(DirectAnnouncements.Outcome.TAKEN);
         assertEverywhere(9000, Backend.State.LEFT);
     }
 
     // An instance whose settings lag dropped the departure of a server that the others send to.
     @Test
     void aServerLeavesThroughAnInstanceThatHasNoSettingsOfItsServiceYet() {
-        DirectSessions lagging = new DirectSessions(mB, s -> false);
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 1));
+        DirectAnnouncements lagging = new DirectAnnouncements(mB, s -> false);
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
         share();
-        lagging.hear(NOW, announced(Backend.State.DRAINING, 2));
+        lagging.receive(NOW, announced(Backend.State.DRAINING, 2));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
     }
@@ -191,24 +191,24 @@
     // Another writer's announcement under a server's name must not take that server out of use.
     @Test
     void aKnownNameWithAServiceThatNobodyHasChangesNothing() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 1));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
         Backend other =
                 startedAt("w", 0, "unheard-of", "1.2.3.4:80")
                         .withState(Backend.State.DRAINING)
                         .withSession(2);
-        assertThat(mAtA.hear(NOW, other)).isEqualTo(DirectSessions.Outcome.UNKNOWN_SERVICE);
+        assertThat(mAtA.receive(NOW, other)).isEqualTo(DirectAnnouncements.Outcome.UNKNOWN_SERVICE);
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.SERVING);
     }
 
     // After a partition a server that others had given up stayed out of use for seconds.
     @Test
     void aServerThatOthersGaveUpComesBackWithItsNextAnnouncement() {
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 1));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
         share();
         Backend gone = mB.backend("w").withState(Backend.State.LEFT);
         mA.mergeEarly(NOW, List.of(new Announcement(gone, "b")));
         mB.mergeEarly(NOW, List.of(new Announcement(gone, "b")));
-        mAtA.hear(NOW, announced(Backend.State.SERVING, 2));
+        mAtA.receive(NOW, announced(Backend.State.SERVING, 2));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.SERVING);
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.SERVING);
@@ -232,10 +232,10 @@
     void oneThatStartsAgainUnderItsNameIsAnotherRun() {
         // A server crashes and starts again under its name, so that its numbers begin anew. Passed
         // over as late, it would be missed, taken for gone and get no request for ever.
-        mAtA.hear(NOW, started(1000, Backend.State.SERVING, 40));
-        mAtA.hear(NOW, started(9000, Backend.State.SERVING, 1));
+        mAtA.receive(NOW, started(1000, Backend.State.SERVING, 40));
+        mAtA.receive(NOW, started(9000, Backend.State.SERVING, 1));
         assertEverywhere(9000, Backend.State.SERVING);
-        mAtB.hear(NOW, started(9000, Backend.State.DRAINING, 2));
+        mAtB.receive(NOW, started(9000, Backend.State.DRAINING, 2));
         assertEverywhere(9000, Backend.State.DRAINING);
     }
 
@@ -244,25 +244,25 @@
         // The server announces its new start on one side of a cut. Words of the run before wait on
         // the other side: that it serves, that it drains, that it leaves. Once the cut heals, none
         // of them may stand before the new start.
-        mAtA.hear(NOW, started(1000, Backend.State.SERVING, 40));
+        mAtA.receive(NOW, started(1000, Backend.State.SERVING, 40));
         share();
-        mAtA.hear(NOW, started(9000, Backend.State.SERVING, 1));
-        mAtB.hear(NOW, started(1000, Backend.State.DRAINING, 41));
+        mAtA.receive(NOW, started(9000, Backend.State.SERVING, 1));
+        mAtB.receive(NOW, started(1000, Backend.State.DRAINING, 41));
         mAtB.withdraw(NOW, new BackendRef("w", 1000));
         assertEverywhere(9000, Backend.State.SERVING);
         mAtB.withdraw(NOW, new BackendRef("w", 1000));
-        mAtB.hear(NOW, started(1000, Backend.State.SERVING, 42));
+        mAtB.receive(NOW, started(1000, Backend.State.SERVING, 42));
         assertEverywhere(9000, Backend.State.SERVING);
     }
 
     @Test
     void oneThatLeftComesBackWithALaterStart() {
-        mAtA.hear(NOW, started(1000, Backend.State.SERVING, 4));
+        mAtA.receive(NOW, started(1000, Backend.State.SERVING, 4));
         mAtA.withdraw(NOW, new BackendRef("w", 1000));
         assertEverywhere(1000, Backend.State.LEFT);
-        assertThat(mAtB.hear(NOW, started(1000, Backend.State.SERVING, 9)))
-                .isEqualTo(DirectSessions.Outcome.OVERTAKEN);
-        mAtB.hear(NOW, started(2000, Backend.State.SERVING, 1));
+        assertThat(mAtB.receive(NOW, started(1000, Backend.State.SERVING, 9)))
+                .isEqualTo(DirectAnnouncements.Outcome.OVERTAKEN);
+        mAtB.receive(NOW, started(2000, Backend.State.SERVING, 1));
         assertEverywhere(2000, Backend.State.SERVING);
     }
 
@@ -273,11 +273,11 @@
 
     @Test
     void theLaterStartIsAtAnAddress() {
-        mAtA.hear(NOW, startedAt("old", 1000, "s", "1.2.3.4:80"));
-        mAtA.hear(NOW, startedAt("new", 5000, "s", "1.2.3.4:80"));
+        mAtA.receive(NOW, startedAt("old", 1000, "s", "1.2.3.4:80"));
+        mAtA.receive(NOW, startedAt("new", 5000, "s", "1.2.3.4:80"));
         assertThat(mA.backend("old").state()).isEqualTo(Backend.State.LEFT);
-        assertThat(mAtA.hear(NOW, startedAt("older", 900, "s", "1.2.3.4:80")))
-                .isEqualTo(DirectSessions.Outcome.ADDRESS_TAKEN);
+        assertThat(mAtA.receive(NOW, startedAt("older", 900, "s", "1.2.3.4:80")))
+                .isEqualTo(DirectAnnouncements.Outcome.ADDRESS_TAKEN);
         assertThat(mA.backend("new").state()).isEqualTo(Backend.State.SERVING);
     }
 
@@ -286,11 +286,11 @@
         // Something announces a service that the settings don't have, or tells no start, at the
         // address of a server that serves. Believed, it would push that server out, and callers
         // would be refused for want of it.
-        mAtA.hear(NOW, startedAt("w", 1000, "s", "1.2.3.4:80"));
-        assertThat(mAtA.hear(NOW, startedAt("x", 9000, "unheard-of", "1.2.3.4:80")))
-                .isEqualTo(DirectSessions.Outcome.UNKNOWN_SERVICE);
-        assertThat(mAtA.hear(NOW, startedAt("x", 0, "s", "1.2.3.4:80")))
-                .isEqualTo(DirectSessions.Outcome.START_MISSING);
+        mAtA.receive(NOW, startedAt("w", 1000, "s", "1.2.3.4:80"));
+        assertThat(mAtA.receive(NOW, startedAt("x", 9000, "unheard-of", "1.2.3.4:80")))
+                .isEqualTo(DirectAnnouncements.Outcome.UNKNOWN_SERVICE);
+        assertThat(mAtA.receive(NOW, startedAt("x", 0, "s", "1.2.3.4:80")))
+                .isEqualTo(DirectAnnouncements.Outcome.START_MISSING);
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.SERVING);
         assertThat(mA.knows("x")).isFalse();
     }
@@ -298,7 +298,7 @@
     private Instant pass(Instant start, int seconds) {
         for (int i = 1; i <= 2 * seconds; i++) {
             for (int other = 0; other < 10; other++) {
-                mAtA.hear(start, at("other" + other, "1.2.4." + other + ":80", ++mNumber));
+                mAtA.receive(start, at("other" + other, "1.2.4." + other + ":80", ++mNumber));
             }
             mA.tick(start.plusMillis(500L * i));
         }
@@ -308,7 +308,7 @@
     private Instant flapAtA(Instant start) {
         Instant now = start;
         for (int i = 0; i < 4; i++) {
-            mAtA.hear(now, announced(Backend.State.SERVING, ++mNumber));
+            mAtA.receive(now, announced(Backend.State.SERVING, ++mNumber));
             now = pass(now, 4);
         }
         return now;
@@ -318,8 +318,8 @@
     @Test
     void aServerThatIsHeldBackLeavesThoughAnotherInstanceHasHeardIt() {
         Instant now = flapAtA(NOW);
-        mAtB.hear(now, announced(Backend.State.SERVING, ++mNumber));
-        mAtA.hear(now, announced(Backend.State.DRAINING, ++mNumber));
+        mAtB.receive(now, announced(Backend.State.SERVING, ++mNumber));
+        mAtA.receive(now, announced(Backend.State.DRAINING, ++mNumber));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.DRAINING);
         assertThat(mB.backend("w").state()).isEqualTo(Backend.State.DRAINING);
@@ -329,8 +329,8 @@
     @Test
     void aServerThatIsHeldBackAlreadyLeavesThoughAnotherInstanceHasHeardIt() {
         Instant now = flapAtA(NOW);
-        mAtA.hear(now, announced(Backend.State.SERVING, ++mNumber));
-        mAtB.hear(now, announced(Backend.State.SERVING, ++mNumber));
+        mAtA.receive(now, announced(Backend.State.SERVING, ++mNumber));
+        mAtB.receive(now, announced(Backend.State.SERVING, ++mNumber));
         mAtA.withdraw(now, new BackendRef("w", 0));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.LEFT);
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/ForgottenDeparturesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/ForgottenDeparturesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.membership.Backend;
-import org.laurelweir.membership.DirectSessions;
+import org.laurelweir.membership.DirectAnnouncements;
 import org.laurelweir.membership.MembershipConfig;
 import org.laurelweir.membership.SharedMembership;
 import org.laurelweir.placement.Candidate;
@@ -36,7 +36,7 @@
 
     private final Memberships mRouter = new Memberships(b -> {});
     private SharedMembership mView;
-    private DirectSessions mControl;
+    private DirectAnnouncements mControl;
     private boolean mIsControlUp;
     private boolean mHasLeft;
     private Instant mNow = Instant.EPOCH;
@@ -47,7 +47,7 @@
         mRun++;
         MembershipConfig config = MembershipConfig.builder("c", mRun).build();
         mView = new SharedMembership(config, List.of(), (b, reason, here) -> {});
-        mControl = new DirectSessions(mView, "s"::equals);
+        mControl = new DirectAnnouncements(mView, "s"::equals);
         mIsControlUp = true;
     }
 
@@ -83,12 +83,12 @@
         BackendRef ref = new BackendRef("w" + server, 0);
         String address = "1.2.3." + server + ":80";
         Backend.State state = Backend.State.SERVING;
-        mControl.hear(mNow, new Backend(ref, "s", "dc", "", address, state, 6, mNumber));
+        mControl.receive(mNow, new Backend(ref, "s", "dc", "", address, state, 6, mNumber));
     }
 
     private void leave() {
         mHasLeft = true;
-        assertThat(mControl.withdraw(mNow, LEAVING)).isEqualTo(DirectSessions.Outcome.TAKEN);
+        assertThat(mControl.withdraw(mNow, LEAVING)).isEqualTo(DirectAnnouncements.Outcome.TAKEN);
     }
 
     private void restartControl() {
