--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -21,7 +21,7 @@
 import org.laurelweir.membership.Announcement;
 import org.laurelweir.membership.Backend;
 import org.laurelweir.membership.MembershipCursor;
-import org.laurelweir.membership.PeerShare;
+import org.laurelweir.membership.PeerUpdate;
 import org.laurelweir.membership.ServiceSum;
 import org.laurelweir.quarantine.CrashDelta;
 import org.laurelweir.quarantine.CrashReport;
@@ -157,13 +157,13 @@
         }
     }
 
-    private PeerShare peerShare(String peer) {
+    private PeerUpdate peerShare(String peer) {
         List<ServiceSum> sums = new ArrayList<>();
         for (int i = 0; i < Samples.SERVICES; i++) {
             sums.add(new ServiceSum(Samples.service(i), 1e6, 15, 15));
         }
         MembershipCursor cursor = new MembershipCursor(peer, Samples.RUN, mPeerVersion);
-        return new PeerShare(cursor, List.of(), sums);
+        return new PeerUpdate(cursor, List.of(), sums);
     }
 
     private static ControlInstanceStatus peer(int instance) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -13,7 +13,7 @@
 import org.laurelweir.coordination.ControlInstanceStatus;
 import org.laurelweir.coordination.FleetStatus;
 import org.laurelweir.coordination.RouterInstanceStatus;
-import org.laurelweir.membership.PeerShare;
+import org.laurelweir.membership.PeerUpdate;
 import org.laurelweir.membership.ServiceSum;
 import org.laurelweir.quarantine.CrashDelta;
 import org.laurelweir.wire.CrashCodec;
@@ -59,7 +59,7 @@
         List<ServiceSum> sums = m.getSumsList().stream().map(StatusReplies::toCore).toList();
         return new PeerUpdateReceived(
                 peer,
-                new PeerShare(
+                new PeerUpdate(
                         MembershipCodec.toCore(m.getCursor()),
                         m.getAnnouncementsList().stream().map(MembershipCodec::toCore).toList(),
                         sums),
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -10,7 +10,7 @@
 import org.laurelweir.membership.Announcement;
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.membership.MembershipDelta;
-import org.laurelweir.membership.PeerShare;
+import org.laurelweir.membership.PeerUpdate;
 import org.laurelweir.membership.ServiceLoad;
 import org.laurelweir.quarantine.CrashDelta;
 import org.laurelweir.quarantine.CrashRecord;
@@ -107,7 +107,7 @@
     /** Answer a peer. */
     record AnswerPeerUpdate(
             long call,
-            PeerShare share,
+            PeerUpdate share,
             CrashDelta crashes,
             List<RouterInstanceStatus> routers,
             ControlInstanceStatus status)
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -9,7 +9,7 @@
 import org.laurelweir.membership.Announcement;
 import org.laurelweir.membership.Backend;
 import org.laurelweir.membership.MembershipCursor;
-import org.laurelweir.membership.PeerShare;
+import org.laurelweir.membership.PeerUpdate;
 import org.laurelweir.membership.RouterReport;
 import org.laurelweir.membership.SidecarReport;
 import org.laurelweir.quarantine.CrashDelta;
@@ -107,7 +107,7 @@
     /** A peer answered what it hears. */
     record PeerUpdateReceived(
             String peer,
-            PeerShare share,
+            PeerUpdate share,
             CrashDelta crashes,
             List<RouterInstanceStatus> routers,
             ControlInstanceStatus status)
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -91,7 +91,7 @@
         effects.accept(
                 new AnswerPeerUpdate(
                         e.call(),
-                        mMembership.shareSince(e.cursor()),
+                        mMembership.updateSince(e.cursor()),
                         mCrashes.answer(now, e.cursor(), e.crashesSeen()),
                         e.withRouters() ? mRouters.own() : List.of(),
                         mReplica.presence(now)));
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
@@ -25,7 +25,7 @@
         return p == null ? MembershipCursor.NONE : p.mCursor;
     }
 
-    void answered(String peer, PeerShare share) {
+    void answered(String peer, PeerUpdate share) {
         Peer p = mPeers.computeIfAbsent(peer, n -> new Peer());
         p.mCursor = share.cursor();
         p.mAnswered = mTime.seen();
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PeerShare.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PeerUpdate.java
@@ -9,5 +9,5 @@
  * @param announcements what changed since the peer's cursor
  * @param sums running work per service beside the sidecars that the instance hears itself
  */
-public record PeerShare(
+public record PeerUpdate(
         MembershipCursor cursor, List<Announcement> announcements, List<ServiceSum> sums) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -215,7 +215,7 @@
      * @param peer the peer's name
      * @param share what it knows
      */
-    public void merge(Instant now, String peer, PeerShare share) {
+    public void merge(Instant now, String peer, PeerUpdate share) {
         mPeers.answered(peer, share);
         share.announcements().forEach(a -> mergeOne(now, a));
     }
@@ -276,8 +276,8 @@
      *
      * @param cursor where the peer stands in this instance's changes
      */
-    public PeerShare shareSince(MembershipCursor cursor) {
-        return new PeerShare(
+    public PeerUpdate updateSince(MembershipCursor cursor) {
+        return new PeerUpdate(
                 mLog.cursor(),
                 List.copyOf(mLog.since(cursor)),
                 List.copyOf(mSessions.sums().all()));
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
@@ -192,7 +192,7 @@
                 if (to != from) {
                     SharedMembership view = mViews.get(to);
                     String name = "c" + from;
-                    view.merge(mNow, name, mViews.get(from).shareSince(view.cursorOf(name)));
+                    view.merge(mNow, name, mViews.get(from).updateSince(view.cursorOf(name)));
                 }
             }
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
@@ -27,18 +27,18 @@
     }
 
     private void share() {
-        mB.merge(NOW, "a", mA.shareSince(mB.cursorOf("a")));
-        mA.merge(NOW, "b", mB.shareSince(mA.cursorOf("b")));
+        mB.merge(NOW, "a", mA.updateSince(mB.cursorOf("a")));
+        mA.merge(NOW, "b", mB.updateSince(mA.cursorOf("b")));
     }
 
     @Test
     void announcementsThatSayNothingNewAreNotPassedOn() {
         mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
-        MembershipCursor before = mA.shareSince(MembershipCursor.NONE).cursor();
+        MembershipCursor before = mA.updateSince(MembershipCursor.NONE).cursor();
         for (int number = 2; number < 50; number++) {
             mAtA.receive(NOW, announced(Backend.State.SERVING, number));
         }
-        assertThat(mA.shareSince(before).announcements()).isEmpty();
+        assertThat(mA.updateSince(before).announcements()).isEmpty();
     }
 
     @Test
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
@@ -68,7 +68,7 @@
     void share(int from, int to) {
         if (from != to) {
             MembershipCursor cursor = mControls.get(to).cursorOf(name(from));
-            mControls.get(to).merge(mNow, name(from), mControls.get(from).shareSince(cursor));
+            mControls.get(to).merge(mNow, name(from), mControls.get(from).updateSince(cursor));
         }
     }
 
