--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/FakeControl.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/FakeControl.java
@@ -51,7 +51,7 @@
 
     /** Takes what a sidecar of an earlier time announced. */
     synchronized void hear(Backend backend) {
-        mMembership.hear(mClock.instant(), new SidecarReport(backend, 0, 0, 0));
+        mMembership.receiveReport(mClock.instant(), new SidecarReport(backend, 0, 0, 0));
     }
 
     synchronized List<Backend> backends() {
@@ -63,7 +63,7 @@
             ExchangeRequest request, StreamObserver<ExchangeReply> reply) {
         SidecarReport report = MembershipCodec.toCore(request.getSidecar());
         mMembership.tick(mClock.instant());
-        int session = mMembership.hear(mClock.instant(), report);
+        int session = mMembership.receiveReport(mClock.instant(), report);
         mExchanges.merge(report.backend().ref().id(), 1, Integer::sum);
         notifyAll();
         MembershipDelta delta =
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -116,7 +116,7 @@
         } else if (event instanceof PeerUpdateReceived e) {
             mSharing.take(mNow, e);
         } else if (event instanceof PeerAnnounced e) {
-            mMembership.mergeEarly(mNow, e.announcements());
+            mMembership.mergeAnnouncements(mNow, e.announcements());
             mCrashes.announced(mNow, e.crashes());
             mLoads.toldByPeer(mNow, e.loads());
         } else if (event instanceof SettingsRequested e) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
@@ -43,7 +43,7 @@
 
     void answer(Instant now, SidecarExchanged e, Consumer<? super ControlEffect> effects) {
         Backend b = e.report().backend();
-        int leastSession = mMembership.hear(now, e.report());
+        int leastSession = mMembership.receiveReport(now, e.report());
         String id = b.ref().id();
         SidecarOrders orders =
                 new SidecarOrders(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
@@ -93,8 +93,8 @@
     ControlEffect.ReportStatus report(Instant now, List<String> peers) {
         return new ControlEffect.ReportStatus(
                 mReplica.presence(now),
-                mMembership.heardCount(),
-                mMembership.knownCount(),
+                mMembership.sessionCount(),
+                mMembership.backendCount(),
                 mReplica.state().claimCount(),
                 mCrashes.quarantined(now).size(),
                 mLoads.requests(),
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
@@ -120,7 +120,7 @@
     }
 
     private int passOn(Instant now, Backend b) {
-        return mMembership.hear(now, new SidecarReport(b, 0, 0, 0));
+        return mMembership.receiveReport(now, new SidecarReport(b, 0, 0, 0));
     }
 
     private void occupyAddress(Instant now, Backend b) {
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -59,7 +59,7 @@
      * @return the least session under which the sidecar is heard; not above its own in the usual
      *     case
      */
-    public int hear(Instant now, SidecarReport report) {
+    public int receiveReport(Instant now, SidecarReport report) {
         Backend b = report.backend();
         if (mFlaps.refresh(report)) {
             return b.session();
@@ -226,7 +226,7 @@
      * @param now when
      * @param announcements what changed there
      */
-    public void mergeEarly(Instant now, List<Announcement> announcements) {
+    public void mergeAnnouncements(Instant now, List<Announcement> announcements) {
         announcements.forEach(a -> mergeOne(now, a));
     }
 
@@ -329,12 +329,12 @@
     }
 
     /** Returns how many backend servers are known, those that left lately included. */
-    public int knownCount() {
+    public int backendCount() {
         return mLog.all().size();
     }
 
     /** Returns how many sidecars are heard here. */
-    public int heardCount() {
+    public int sessionCount() {
         return mSessions.size();
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
@@ -32,7 +32,7 @@
     }
 
     private void hear(Backend.State state) {
-        mControl.hear(mNow, new SidecarReport(identity(BEFORE).announcement(state, 1), 0, 0, 0));
+        mControl.receiveReport(mNow, new SidecarReport(identity(BEFORE).announcement(state, 1), 0, 0, 0));
     }
 
     private List<SidecarEffect> step(SidecarEvent event) {
@@ -55,7 +55,7 @@
         if (!(effect instanceof SidecarEffect.SendExchange e)) {
             return;
         }
-        mControl.hear(mNow, e.report());
+        mControl.receiveReport(mNow, e.report());
         step(answer(mControl.deltaSince(e.cursor(), Requests.SERVICE))).forEach(this::takeOver);
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
@@ -99,7 +99,7 @@
         }
         for (int c = 0; c < CONTROLS; c++) {
             if (c != control) {
-                mViews.get(c).mergeEarly(mNow, List.of(new Announcement(b, "c" + control)));
+                mViews.get(c).mergeAnnouncements(mNow, List.of(new Announcement(b, "c" + control)));
             }
         }
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
@@ -206,8 +206,8 @@
         mAtA.receive(NOW, announced(Backend.State.SERVING, 1));
         share();
         Backend gone = mB.backend("w").withState(Backend.State.LEFT);
-        mA.mergeEarly(NOW, List.of(new Announcement(gone, "b")));
-        mB.mergeEarly(NOW, List.of(new Announcement(gone, "b")));
+        mA.mergeAnnouncements(NOW, List.of(new Announcement(gone, "b")));
+        mB.mergeAnnouncements(NOW, List.of(new Announcement(gone, "b")));
         mAtA.receive(NOW, announced(Backend.State.SERVING, 2));
         share();
         assertThat(mA.backend("w").state()).isEqualTo(Backend.State.SERVING);
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
@@ -117,7 +117,7 @@
 
         void report() {
             SidecarReport report = new SidecarReport(backend(), 1, 1, 0);
-            int least = mControls.get(mControl).hear(mNow, report);
+            int least = mControls.get(mControl).receiveReport(mNow, report);
             mSession = Math.max(mSession, least);
         }
 
