--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -230,7 +230,7 @@
                                 .build())
                 .membership(
                         MembershipConfig.builder(mFile.name(), incarnation)
-                                .leaving(mFile.vanishAfter(), defaults.keepLeft())
+                                .departureTimes(mFile.vanishAfter(), defaults.departedRetention())
                                 .build())
                 .build();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipConfig.java
@@ -8,7 +8,7 @@
  * @param control the instance's name
  * @param incarnation the instance's run
  * @param vanishAfter without an exchange for this time a sidecar counts as gone
- * @param keepLeft how long backend servers that left are remembered
+ * @param departedRetention how long backend servers that left are remembered
  * @param peerSilence without an answer for this time a peer's load sums are left out
  * @param orphanAfter how long announcements of a peer that is gone stay in force
  * @param flapWindow how far back departures count
@@ -21,7 +21,7 @@
         String control,
         long incarnation,
         Duration vanishAfter,
-        Duration keepLeft,
+        Duration departedRetention,
         Duration peerSilence,
         Duration orphanAfter,
         Duration flapWindow,
@@ -30,7 +30,7 @@
         Duration holdMax,
         double heldShare) {
     /** How long backend servers that left are remembered where nothing else is set. */
-    public static final Duration DEFAULT_KEEP_LEFT = Duration.ofMinutes(10);
+    public static final Duration DEFAULT_DEPARTED_RETENTION = Duration.ofMinutes(10);
 
     /** Returns a builder with the defaults for one exchange a second. */
     public static Builder builder(String control, long incarnation) {
@@ -42,7 +42,7 @@
         private final String mControl;
         private final long mIncarnation;
         private Duration mVanishAfter = Duration.ofSeconds(3);
-        private Duration mKeepLeft = DEFAULT_KEEP_LEFT;
+        private Duration mKeepLeft = DEFAULT_DEPARTED_RETENTION;
         private Duration mPeerSilence = Duration.ofSeconds(5);
         private Duration mOrphanAfter = Duration.ofSeconds(60);
         private Duration mFlapWindow = Duration.ofMinutes(10);
@@ -57,7 +57,7 @@
         }
 
         /** Sets after which silence a sidecar counts as gone, and how long that is remembered. */
-        public Builder leaving(Duration vanishAfter, Duration keepLeft) {
+        public Builder departureTimes(Duration vanishAfter, Duration keepLeft) {
             mVanishAfter = vanishAfter;
             mKeepLeft = keepLeft;
             return this;
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
@@ -81,7 +81,7 @@
         String name = "c" + control;
         MembershipConfig config =
                 MembershipConfig.builder(name, incarnation)
-                        .leaving(Duration.ofSeconds(3), Duration.ofMinutes(10))
+                        .departureTimes(Duration.ofSeconds(3), Duration.ofMinutes(10))
                         .build();
         List<String> peers = new ArrayList<>(List.of("c0", "c1", "c2"));
         peers.remove(name);
