--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
@@ -7,7 +7,7 @@
 import org.laurelweir.coordination.DrainOrder;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.HistoryEntry;
-import org.laurelweir.settings.KeptAnswer;
+import org.laurelweir.settings.RecordedAnswer;
 import org.laurelweir.settings.NodeFault;
 import org.laurelweir.settings.SettingsAnswer;
 import org.laurelweir.settings.SettingsState;
@@ -125,7 +125,7 @@
                 SettingsCodec.nodesToCore(m.getBeforeList()));
     }
 
-    private static SettingsAnswerRecord toWire(KeptAnswer a) {
+    private static SettingsAnswerRecord toWire(RecordedAnswer a) {
         SettingsAnswerRecord.Builder message =
                 SettingsAnswerRecord.newBuilder()
                         .setChangeId(a.changeId())
@@ -138,14 +138,14 @@
         return message.build();
     }
 
-    private static KeptAnswer toCore(SettingsAnswerRecord m) {
+    private static RecordedAnswer toCore(SettingsAnswerRecord m) {
         SettingsAnswer answer =
                 new SettingsAnswer(
                         ResultCode.of(m.getCode()),
                         m.getPosition(),
                         SettingsCodec.nodesToCore(m.getNodesList()),
                         m.getFaultsList().stream().map(SnapshotCodec::toCore).toList());
-        return new KeptAnswer(
+        return new RecordedAnswer(
                 m.getChangeId(), Instant.ofEpochMilli(m.getAtMillis()), m.getDigest(), answer);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/AnswerLog.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/AnswerLog.java
@@ -12,38 +12,38 @@
  * does no harm: the change's expected versions have passed and it is refused.
  */
 final class AnswerLog {
-    private final Map<String, KeptAnswer> mAnswers = new LinkedHashMap<>();
+    private final Map<String, RecordedAnswer> mAnswers = new LinkedHashMap<>();
     private final SettingsStore.Limits mLimits;
     private long mBytes;
 
-    AnswerLog(Collection<KeptAnswer> answers, SettingsStore.Limits limits) {
+    AnswerLog(Collection<RecordedAnswer> answers, SettingsStore.Limits limits) {
         mLimits = limits;
         answers.forEach(this::put);
     }
 
-    KeptAnswer find(String changeId) {
+    RecordedAnswer find(String changeId) {
         return mAnswers.get(changeId);
     }
 
     /** Keeps an answer under an id that has none, and forgets the oldest beyond the limit. */
-    void keep(KeptAnswer answer) {
+    void keep(RecordedAnswer answer) {
         put(answer);
         while (mBytes > mLimits.answerBytes() && mAnswers.size() > 1) {
             forgetOldest();
         }
     }
 
-    private void put(KeptAnswer answer) {
+    private void put(RecordedAnswer answer) {
         mAnswers.put(answer.changeId(), answer);
         mBytes += answer.bytes();
     }
 
-    private KeptAnswer oldest() {
+    private RecordedAnswer oldest() {
         return mAnswers.values().iterator().next();
     }
 
     private void forgetOldest() {
-        KeptAnswer forgotten = mAnswers.remove(oldest().changeId());
+        RecordedAnswer forgotten = mAnswers.remove(oldest().changeId());
         mBytes -= forgotten.bytes();
     }
 
@@ -55,11 +55,11 @@
         }
     }
 
-    private boolean isDue(KeptAnswer oldest, Instant earliest) {
+    private boolean isDue(RecordedAnswer oldest, Instant earliest) {
         return oldest.at().isBefore(earliest) || mAnswers.size() > mLimits.answers();
     }
 
-    List<KeptAnswer> all() {
+    List<RecordedAnswer> all() {
         return List.copyOf(mAnswers.values());
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/KeptAnswer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswer.java
@@ -10,7 +10,7 @@
  * @param digest of what the change asked for, to know another change under the same id
  * @param answer the answer
  */
-public record KeptAnswer(String changeId, Instant at, String digest, SettingsAnswer answer) {
+public record RecordedAnswer(String changeId, Instant at, String digest, SettingsAnswer answer) {
     /** Returns what the answer takes, about: the same on every replica. */
     long bytes() {
         long bytes = SettingsNode.FIXED_BYTES;
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
@@ -18,7 +18,7 @@
         List<SettingsNode> nodes,
         long forgotten,
         List<HistoryEntry> history,
-        List<KeptAnswer> answers,
+        List<RecordedAnswer> answers,
         long revision,
         String source) {
     /** The state before any change. */
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -113,10 +113,10 @@
             return refusal(ResultCode.SETTINGS_INVALID, List.of(), List.of(NO_ID));
         }
         String digest = ChangeDigest.of(change.changes());
-        KeptAnswer kept = mAnswers.find(change.changeId());
+        RecordedAnswer kept = mAnswers.find(change.changeId());
         if (kept == null) {
             SettingsAnswer answer = decide(position, change);
-            mAnswers.keep(new KeptAnswer(change.changeId(), change.timestamp(), digest, answer));
+            mAnswers.keep(new RecordedAnswer(change.changeId(), change.timestamp(), digest, answer));
             return answer;
         }
         return kept.digest().equals(digest)
