--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
@@ -11,7 +11,7 @@
 import org.laurelweir.settings.SettingsDelta;
 import org.laurelweir.settings.SettingsNode;
 import org.laurelweir.settings.TextPatch;
-import org.laurelweir.settings.TreeDifference;
+import org.laurelweir.settings.TreePatch;
 import org.laurelweir.wire.v1.ChangeSettingsRequest;
 import org.laurelweir.wire.v1.NodeValues;
 import org.laurelweir.wire.v1.PatchSettings;
@@ -193,7 +193,7 @@
                 m.getBase(),
                 m.getRevision(),
                 m.getAuthor(),
-                new TreeDifference(valuesToCore(m.getChangedList()), m.getRemovedList()),
+                new TreePatch(valuesToCore(m.getChangedList()), m.getRemovedList()),
                 new TextPatch(pieces));
     }
 
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CommandCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CommandCodecTest.java
@@ -15,7 +15,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.TextPatch;
-import org.laurelweir.settings.TreeDifference;
+import org.laurelweir.settings.TreePatch;
 
 /** What stands in the log is read back as it was written. */
 class CommandCodecTest {
@@ -61,7 +61,7 @@
                             0,
                             3,
                             "operator",
-                            new TreeDifference(Map.of("/", Map.of()), List.of()),
+                            new TreePatch(Map.of("/", Map.of()), List.of()),
                             new TextPatch(List.of(new TextPatch.Piece(0, 0, "text")))));
 
     private final CommandCodec mCodec = new CommandCodec();
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -8,7 +8,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.TextPatch;
-import org.laurelweir.settings.TreeDifference;
+import org.laurelweir.settings.TreePatch;
 
 /**
  * One entry of the replicated log. The leader stamps it with its time, so that every replica
@@ -83,7 +83,7 @@
             long base,
             long revision,
             String author,
-            TreeDifference difference,
+            TreePatch difference,
             TextPatch source)
             implements Command {
         @Override
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -119,7 +119,7 @@
         if (!fits || !leads() || !(command instanceof Command.ReplaceSettings whole)) {
             return encoded;
         }
-        byte[] patch = mCodec.encode(mState.settings().differenceTo(whole));
+        byte[] patch = mCodec.encode(mState.settings().patchTo(whole));
         return patch.length < encoded.length ? patch : encoded;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -160,7 +160,7 @@
         if (position <= mTree.position()) {
             throw new IllegalArgumentException("position " + position + " has passed");
         }
-        TreeDifference difference = TreeDifference.between(mTree, whole.nodes());
+        TreePatch difference = TreePatch.between(mTree, whole.nodes());
         HistoryNote note = new HistoryNote(whole.timestamp(), whole.revision(), whole.author());
         return replace(position, difference, note, whole.source());
     }
@@ -188,18 +188,18 @@
      * Returns a whole tree as what it has other than the one in force: a log of whole trees would
      * send megabytes to each replica for a change of one value.
      */
-    public Command.PatchSettings differenceTo(Command.ReplaceSettings whole) {
+    public Command.PatchSettings patchTo(Command.ReplaceSettings whole) {
         return new Command.PatchSettings(
                 whole.timestamp(),
                 mTree.position(),
                 whole.revision(),
                 whole.author(),
-                TreeDifference.between(mTree, whole.nodes()),
+                TreePatch.between(mTree, whole.nodes()),
                 TextPatch.between(mSource, whole.source()));
     }
 
     private SettingsAnswer replace(
-            long position, TreeDifference difference, HistoryNote note, String source) {
+            long position, TreePatch difference, HistoryNote note, String source) {
         TreeReplacement replacement = TreeReplacement.of(mTree, position, difference);
         if (!replacement.faults().isEmpty()) {
             return refusal(ResultCode.SETTINGS_INVALID, List.of(), replacement.faults());
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeDifference.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreePatch.java
@@ -10,9 +10,9 @@
  * @param changed the values of each node that is new or has other ones, by its path
  * @param removed the paths of nodes that go
  */
-public record TreeDifference(Map<String, Map<String, String>> changed, List<String> removed) {
+public record TreePatch(Map<String, Map<String, String>> changed, List<String> removed) {
     /** Copies the list. */
-    public TreeDifference {
+    public TreePatch {
         removed = List.copyOf(removed);
     }
 
@@ -22,7 +22,7 @@
      * @param now the tree in force
      * @param nodes the values of every node of the whole tree by its path
      */
-    static TreeDifference between(SettingsTree now, Map<String, Map<String, String>> nodes) {
+    static TreePatch between(SettingsTree now, Map<String, Map<String, String>> nodes) {
         Map<String, Map<String, String>> changed = new TreeMap<>();
         nodes.forEach(
                 (path, values) -> {
@@ -32,6 +32,6 @@
                 });
         List<String> removed =
                 now.nodesOutside(nodes.keySet()).stream().map(n -> n.path().toString()).toList();
-        return new TreeDifference(changed, removed);
+        return new TreePatch(changed, removed);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
@@ -30,7 +30,7 @@
      * @param position where the new tree will be in force
      * @param difference what the new tree has other than the one in force
      */
-    static TreeReplacement of(SettingsTree now, long position, TreeDifference difference) {
+    static TreeReplacement of(SettingsTree now, long position, TreePatch difference) {
         List<NodeChange> wanted = new ArrayList<>();
         int size = now.size() - difference.removed().size();
         for (Map.Entry<String, Map<String, String>> e : difference.changed().entrySet()) {
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
@@ -136,7 +136,7 @@
             ReplaceSettings whole =
                     new ReplaceSettings(
                             Instant.EPOCH, revision, "op", randomTree(random), "text " + revision);
-            SettingsAnswer byDifference = told.patch(revision, told.differenceTo(whole));
+            SettingsAnswer byDifference = told.patch(revision, told.patchTo(whole));
             assertThat(byDifference).isEqualTo(mStore.replace(revision, whole));
         }
         assertThat(told.state()).isEqualTo(mStore.state());
@@ -148,7 +148,7 @@
         replace(5, tree("x"));
         ReplaceSettings whole =
                 new ReplaceSettings(Instant.EPOCH, 7, "op", tree("x", "y"), "text 7");
-        PatchSettings late = mStore.differenceTo(whole);
+        PatchSettings late = mStore.patchTo(whole);
         replace(6, tree("z"));
         SettingsState before = mStore.state();
         assertThat(mStore.patch(++mPosition, late).code()).isEqualTo(ResultCode.SETTINGS_CONFLICT);
