--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlSteps.java
@@ -111,7 +111,7 @@
 
     private static Runnable tree(int accounts) {
         ControlState state = accounts(accounts);
-        return () -> state.settings().changesAfter(0);
+        return () -> state.settings().deltaSince(0);
     }
 
     private static ControlState changed(int changes) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
@@ -85,7 +85,7 @@
     }
 
     private SettingsDelta settings(long position) {
-        return mReplica.state().settings().changesAfter(position);
+        return mReplica.state().settings().deltaSince(position);
     }
 
     /** A reader that is ahead shows that newer settings were accepted, whatever the leader said. */
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -246,7 +246,7 @@
      * @return the nodes changed since, or the whole tree if changes since have been forgotten;
      *     empty, at the tree's position, for a reader that is at it or ahead of it
      */
-    public SettingsDelta changesAfter(long position) {
+    public SettingsDelta deltaSince(long position) {
         if (position == 0 || position < mHistory.forgotten()) {
             return whole();
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
@@ -151,7 +151,7 @@
         }
         assertThat(restored.state()).isEqualTo(store.state());
         for (long p = 0; p <= trees.size(); p++) {
-            assertThat(restored.changesAfter(p)).isEqualTo(store.changesAfter(p));
+            assertThat(restored.deltaSince(p)).isEqualTo(store.deltaSince(p));
         }
     }
 
@@ -183,12 +183,12 @@
             long asked = positions.get(Math.max(0, positions.size() - 1 - m.asked()));
             long before = reader.position();
             int at = Math.max(0, trees.size() - 1 - m.lag());
-            reader.apply(replicaAt(at, ops).changesAfter(asked));
+            reader.apply(replicaAt(at, ops).deltaSince(asked));
             assertThat(reader.position()).isGreaterThanOrEqualTo(before);
             assertThat(reader.tree().nodes()).isEqualTo(trees.get((int) reader.position()).nodes());
             positions.add(reader.position());
         }
-        reader.apply(store.changesAfter(reader.position()));
+        reader.apply(store.deltaSince(reader.position()));
         assertThat(reader.tree().nodes()).isEqualTo(store.tree().nodes());
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
@@ -176,8 +176,8 @@
         assertThat(mStore.history(Optional.of(NodePath.ofService("s")), 2))
                 .extracting(HistoryEntry::changeId)
                 .containsExactly("b", "a");
-        assertThat(mStore.changesAfter(5).nodes()).hasSize(2);
-        assertThat(mStore.changesAfter(8).isEmpty()).isTrue();
+        assertThat(mStore.deltaSince(5).nodes()).hasSize(2);
+        assertThat(mStore.deltaSince(8).isEmpty()).isTrue();
     }
 
     @Test
@@ -189,8 +189,8 @@
         store.apply(2, change("2", set("/", 1)));
         store.apply(3, change("3", set("/", 2)));
 
-        assertThat(store.changesAfter(0).full()).isTrue();
-        assertThat(store.changesAfter(1).full()).isFalse();
+        assertThat(store.deltaSince(0).full()).isTrue();
+        assertThat(store.deltaSince(1).full()).isFalse();
         assertThat(store.treeAt(0)).isEmpty();
         assertThat(store.apply(4, first).code()).isEqualTo(ResultCode.OK);
         Instant later = Instant.EPOCH.plus(Duration.ofHours(2));
@@ -216,8 +216,8 @@
         assertThat(state.nodes()).hasSize(150);
         assertThat(state.history()).hasSizeBetween(1, 5);
         assertThat(state.answers()).hasSizeBetween(1, 5);
-        assertThat(store.changesAfter(1).full()).isTrue();
-        assertThat(store.changesAfter(29).full()).isFalse();
+        assertThat(store.deltaSince(1).full()).isTrue();
+        assertThat(store.deltaSince(29).full()).isFalse();
         SettingsStore restored = new SettingsStore(state, limits);
         restored.apply(31, change("large 31", accounts(31)));
         store.apply(31, change("large 31", accounts(31)));
