--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
@@ -85,7 +85,7 @@
                 SettingsSnapshot.newBuilder()
                         .setPosition(s.position())
                         .addAllNodes(SettingsCodec.nodesToWire(s.nodes()))
-                        .setForgotten(s.forgotten())
+                        .setForgotten(s.lastEvictedPosition())
                         .setRevision(s.revision())
                         .setSource(s.source());
         s.history().forEach(e -> message.addHistory(toWire(e)));
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
@@ -7,7 +7,7 @@
  *
  * @param position the position of the last accepted change
  * @param nodes every node, sorted by path
- * @param forgotten the position of the newest accepted change that the history no longer has
+ * @param lastEvictedPosition the position of the newest accepted change that the history no longer has
  * @param history accepted changes that are kept, the oldest first
  * @param answers answers that are kept, the oldest first
  * @param revision the operator's number of the tree that was replaced last, 0 if none was
@@ -16,7 +16,7 @@
 public record SettingsState(
         long position,
         List<SettingsNode> nodes,
-        long forgotten,
+        long lastEvictedPosition,
         List<HistoryEntry> history,
         List<RecordedAnswer> answers,
         long revision,
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -72,7 +72,7 @@
     public SettingsStore(SettingsState state, Limits limits) {
         mLimits = limits;
         mTree = SettingsTree.of(state.position(), state.nodes());
-        mHistory = new SettingsHistory(state.history(), state.forgotten(), limits);
+        mHistory = new SettingsHistory(state.history(), state.lastEvictedPosition(), limits);
         mAnswers = new AnswerLog(state.answers(), limits);
         mRevision = state.revision();
         mSource = state.source();
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
@@ -161,7 +161,7 @@
         List<SettingsTree> trees = run(store, ops);
         for (int p = 0; p < trees.size(); p++) {
             Optional<SettingsTree> earlier = store.treeAt(p);
-            if (p >= store.state().forgotten()) {
+            if (p >= store.state().lastEvictedPosition()) {
                 assertThat(earlier.orElseThrow().nodes()).isEqualTo(trees.get(p).nodes());
             } else {
                 assertThat(earlier).isEmpty();
