--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/PackedNodesTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/PackedNodesTest.java
@@ -35,7 +35,7 @@
         Arbitrary<SettingsNode> gone =
                 Arbitraries.integers()
                         .between(0, 50)
-                        .map(i -> SettingsNode.gone(NodePath.ofRoute("r" + i), i));
+                        .map(i -> SettingsNode.tombstone(NodePath.ofRoute("r" + i), i));
         return Arbitraries.oneOf(set, gone).list().ofMaxSize(30);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ChangePlan.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ChangePlan.java
@@ -79,7 +79,7 @@
             fault(path, "", "stands twice in the change", "each node once");
             return;
         }
-        SettingsNode before = mTree.node(path).orElse(SettingsNode.gone(path, 0));
+        SettingsNode before = mTree.node(path).orElse(SettingsNode.tombstone(path, 0));
         if (before.version() != c.expectedVersion()) {
             mConflicts.add(before);
             return;
@@ -95,7 +95,7 @@
         if (!c.set().isEmpty() || !c.remove().isEmpty()) {
             fault(before.path(), "", "is deleted and edited at once", "one of the two");
         }
-        return SettingsNode.gone(before.path(), mPosition);
+        return SettingsNode.tombstone(before.path(), mPosition);
     }
 
     private SettingsNode edited(SettingsNode before, NodeChange c) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsNode.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsNode.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns the sign that a node is gone. */
-    public static SettingsNode gone(NodePath path, long version) {
+    public static SettingsNode tombstone(NodePath path, long version) {
         return new SettingsNode(path, version, Map.of(), true);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -252,7 +252,7 @@
         }
         List<SettingsNode> nodes = new ArrayList<>();
         mHistory.touchedAfter(position)
-                .forEach((p, at) -> nodes.add(mTree.node(p).orElse(SettingsNode.gone(p, at))));
+                .forEach((p, at) -> nodes.add(mTree.node(p).orElse(SettingsNode.tombstone(p, at))));
         return new SettingsDelta(mTree.position(), false, nodes);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
@@ -56,7 +56,7 @@
     }
 
     private void edit(SettingsNode before, SettingsNode after) {
-        SettingsNode old = before == null ? SettingsNode.gone(after.path(), 0) : before;
+        SettingsNode old = before == null ? SettingsNode.tombstone(after.path(), 0) : before;
         List<String> removed = new ArrayList<>(old.values().keySet());
         removed.removeAll(after.values().keySet());
         String path = after.path().toString();
@@ -67,7 +67,7 @@
 
     private void delete(SettingsNode old) {
         mBefore.add(old);
-        mAfter.add(SettingsNode.gone(old.path(), mPosition));
+        mAfter.add(SettingsNode.tombstone(old.path(), mPosition));
         mChanges.add(
                 new NodeChange(old.path().toString(), old.version(), Map.of(), List.of(), true));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
@@ -61,7 +61,7 @@
         assertThat(next.find("h", "/b/x")).isEmpty();
         assertThat(next.find("h", "/c/x").map(Route::name)).contains("b");
         SettingsTree moved =
-                after.with(3, List.of(SettingsNode.gone(NodePath.ofRoute("a"), 3)))
+                after.with(3, List.of(SettingsNode.tombstone(NodePath.ofRoute("a"), 3)))
                         .with(4, List.of(route("d", "h", "/a/")));
         assertThat(next.withTree(moved).find("h", "/a/x").map(Route::name)).contains("d");
     }
