--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/LogSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/LogSteps.java
@@ -68,10 +68,10 @@
     private static Runnable lookup(int accounts, boolean changed) {
         SettingsReader reader = reader(accounts);
         SettingsLookup lookup = new SettingsLookup("region-0", "data-centre-0");
-        lookup.use(reader.tree());
+        lookup.setTree(reader.tree());
         return () -> {
             if (changed) {
-                lookup.use(reader.tree());
+                lookup.setTree(reader.tree());
             }
             lookup.effective(Samples.service(0), Samples.account(accounts / 2));
         };
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlExchange.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlExchange.java
@@ -116,7 +116,7 @@
     private synchronized void takeSettings(ElapsedClock.Mark asked, ExchangeAnswer answer) {
         SettingsDelta delta = answer.settings();
         if (mReader.apply(delta)) {
-            mSettings.use(mReader.tree());
+            mSettings.setTree(mReader.tree());
             sLogger.atInfo().log(
                     "settings at %d in force: %d nodes from %s, asked for %d ms ago, confirmed: %s",
                     delta.position(),
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsLookup.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsLookup.java
@@ -26,11 +26,11 @@
      */
     public SettingsLookup(String region, String dataCentre) {
         mProcess = SettingsContext.of(region, dataCentre);
-        use(SettingsTree.EMPTY);
+        setTree(SettingsTree.EMPTY);
     }
 
     /** Puts a tree in force; all that was resolved before is dropped. */
-    public void use(SettingsTree tree) {
+    public void setTree(SettingsTree tree) {
         mResolved = new Resolved(tree, new ConcurrentHashMap<>());
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
@@ -300,7 +300,7 @@
                                 "retry.max-attempts",
                                 "1")));
         SettingsLookup lookup = new SettingsLookup("vestkyst", "bergen");
-        lookup.use(mStore.tree());
+        lookup.setTree(mStore.tree());
         EffectiveSettings s = lookup.effective("s", "x");
 
         EffectiveSettings both =
