--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/TreeFile.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/TreeFile.java
@@ -37,7 +37,7 @@
     public static Map<String, Map<String, String>> read(Path path) {
         TreeFile file = new TreeFile(new FaultList(path.toString()));
         file.parse(SettingsFile.parse(path, file.mFaults));
-        file.report(SettingsCheck.ofNodes(file.changes()));
+        file.report(SettingsCheck.nodeFaults(file.changes()));
         file.mFaults.throwIfAny();
         return file.mNodes;
     }
@@ -51,7 +51,7 @@
     public static List<SettingsFault> check(Path path) {
         TreeFile file = new TreeFile(new FaultList(path.toString()));
         file.parse(SettingsFile.parse(path, file.mFaults));
-        file.report(SettingsCheck.ofTree(file.changes()));
+        file.report(SettingsCheck.treeFaults(file.changes()));
         return file.mFaults.inOrder();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsCheck.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsCheck.java
@@ -14,7 +14,7 @@
      *
      * @param nodes the nodes, as changes that expect version 0
      */
-    public static List<NodeFault> ofNodes(List<NodeChange> nodes) {
+    public static List<NodeFault> nodeFaults(List<NodeChange> nodes) {
         return ChangePlan.of(SettingsTree.EMPTY, 1, nodes).faults();
     }
 
@@ -23,7 +23,7 @@
      *
      * @param nodes the nodes, as changes that expect version 0
      */
-    public static List<NodeFault> ofTree(List<NodeChange> nodes) {
+    public static List<NodeFault> treeFaults(List<NodeChange> nodes) {
         ChangePlan plan = ChangePlan.of(SettingsTree.EMPTY, 1, nodes);
         SettingsTree tree = SettingsTree.of(1, plan.after());
         List<NodeFault> faults = new ArrayList<>(plan.faults());
