--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
@@ -6,15 +6,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.laurelweir.agreement.ConsensusConfig;
-import org.laurelweir.agreement.ConsensusEffect;
-import org.laurelweir.agreement.ConsensusEvent;
-import org.laurelweir.agreement.ConsensusReducer;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.ReplicaId;
-import org.laurelweir.agreement.Role;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusConfig;
+import org.laurelweir.consensus.ConsensusEffect;
+import org.laurelweir.consensus.ConsensusEvent;
+import org.laurelweir.consensus.ConsensusReducer;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.ReplicaId;
+import org.laurelweir.consensus.Role;
+import org.laurelweir.consensus.Snapshot;
 
 /** Replicas of a log that reach each other at once and whose disks sync at once. */
 final class ReplicaGroup {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.ConsensusEvent.SnapshotTaken;
+import org.laurelweir.consensus.ConsensusEvent.SnapshotTaken;
 import org.laurelweir.control.rpc.PeerCalls;
 import org.laurelweir.control.rpc.PendingCalls;
 import org.laurelweir.control.storage.LogWriter;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/FileLogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/FileLogStorage.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.LogEntry;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.LogEntry;
+import org.laurelweir.consensus.Snapshot;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/HardStateCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/HardStateCodec.java
@@ -2,8 +2,8 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.ReplicaId;
 
 /**
  * The content of the term and vote's file: term, storage id of the vote, its name; or just term.
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.SortedSet;
 import java.util.TreeMap;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.LogEntry;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.LogEntry;
+import org.laurelweir.consensus.Snapshot;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogStorage.java
@@ -1,8 +1,8 @@
 package org.laurelweir.control.storage;
 
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
 
 /**
  * Keeps one replica's term, vote, log and snapshot. Used by one thread at a time.
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.lib.Service;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/NoLogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/NoLogStorage.java
@@ -1,10 +1,10 @@
 package org.laurelweir.control.storage;
 
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.Snapshot;
 
 /**
  * Stands in for the storage of an instance without a disk. It keeps nothing: such a replica never
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/RecordCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/RecordCodec.java
@@ -2,7 +2,7 @@
 
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
-import org.laurelweir.agreement.LogEntry;
+import org.laurelweir.consensus.LogEntry;
 
 /**
  * One log entry in a segment: the length of the body, CRC-32C over length and body, then the body:
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Segment.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Segment.java
@@ -12,7 +12,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import org.laurelweir.agreement.LogEntry;
+import org.laurelweir.consensus.LogEntry;
 
 /** The segment that records are appended to. Its name holds its number, which rises by one. */
 final class Segment implements AutoCloseable {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SegmentScan.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SegmentScan.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.LogEntry;
+import org.laurelweir.consensus.LogEntry;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SnapshotCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SnapshotCodec.java
@@ -2,8 +2,8 @@
 
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.Snapshot;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/DamagedLogTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/DamagedLogTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.laurelweir.agreement.HardState;
+import org.laurelweir.consensus.HardState;
 
 /** What a start finds and leaves where a log does not read back. */
 class DamagedLogTest {
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
 import org.assertj.core.api.ThrowableAssert.ThrowingCallable;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FullDiskTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FullDiskTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.lifecycle.AfterTry;
 import net.jqwik.api.lifecycle.BeforeTry;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.LogEntry;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.LogEntry;
+import org.laurelweir.consensus.Snapshot;
 
 /** Keeps the log in memory; what the file storage is compared with. */
 public final class MemoryLogStorage implements LogStorage {
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/PersistSequence.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/PersistSequence.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.HardState;
-import org.laurelweir.agreement.LogEntry;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.ReplicaId;
-import org.laurelweir.agreement.Snapshot;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.HardState;
+import org.laurelweir.consensus.LogEntry;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.ReplicaId;
+import org.laurelweir.consensus.Snapshot;
 
 /** Makes effects such as a reducer may emit, from a seed. */
 final class PersistSequence {
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
@@ -1,10 +1,10 @@
 package org.laurelweir.wire;
 
 import com.google.protobuf.UnsafeByteOperations;
-import org.laurelweir.agreement.LogEntry;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.ReplicaId;
-import org.laurelweir.agreement.ReplicaMessage;
+import org.laurelweir.consensus.LogEntry;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.ReplicaId;
+import org.laurelweir.consensus.ReplicaMessage;
 import org.laurelweir.wire.v1.EntriesAnswered;
 import org.laurelweir.wire.v1.EntriesSent;
 import org.laurelweir.wire.v1.ReplicaEntry;
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/AppendReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/AppendReceiver.java
@@ -1,8 +1,8 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.util.List;
-import org.laurelweir.agreement.ReplicaMessage.AppendReply;
-import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
+import org.laurelweir.consensus.ReplicaMessage.AppendReply;
+import org.laurelweir.consensus.ReplicaMessage.AppendRequest;
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/ConsensusConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Duration;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Elections.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Elections.java
@@ -1,14 +1,14 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Duration;
 import java.time.Instant;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.laurelweir.agreement.ReplicaMessage.PreVoteReply;
-import org.laurelweir.agreement.ReplicaMessage.PreVoteRequest;
-import org.laurelweir.agreement.ReplicaMessage.VoteReply;
-import org.laurelweir.agreement.ReplicaMessage.VoteRequest;
+import org.laurelweir.consensus.ReplicaMessage.PreVoteReply;
+import org.laurelweir.consensus.ReplicaMessage.PreVoteRequest;
+import org.laurelweir.consensus.ReplicaMessage.VoteReply;
+import org.laurelweir.consensus.ReplicaMessage.VoteRequest;
 
 /** Decides when to campaign and whom to vote for. */
 final class Elections {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/HardState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/HardState.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 /**
  * What a replica must not forget besides its log.
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
@@ -1,9 +1,9 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Instant;
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
-import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
+import org.laurelweir.consensus.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
 /** One term of leading: orders proposals, counts copies, and ends when a quorum is out of reach. */
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/LeadershipTransfer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LeadershipTransfer.java
@@ -1,10 +1,10 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Instant;
 import java.util.Comparator;
 import java.util.Optional;
 import java.util.function.Predicate;
-import org.laurelweir.agreement.ReplicaMessage.TimeoutNow;
+import org.laurelweir.consensus.ReplicaMessage.TimeoutNow;
 
 /**
  * Passes a leader's place on before it stops: it takes nothing new, commits what is pending, and
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/LogBounds.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LogBounds.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 /**
  * How many bytes a replica gives to its log. A replica that bounds its log by the number of entries
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/MembershipChange.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipChange.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 /** One step from a membership to the next. Only one may be uncommitted at a time. */
 public sealed interface MembershipChange {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/MembershipRules.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipRules.java
@@ -1,8 +1,8 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.util.function.Predicate;
-import org.laurelweir.agreement.MembershipChange.AddLearner;
-import org.laurelweir.agreement.MembershipChange.Promote;
+import org.laurelweir.consensus.MembershipChange.AddLearner;
+import org.laurelweir.consensus.MembershipChange.Promote;
 import org.laurelweir.lib.ResultCode;
 
 /** Decides whether a leader may change the membership now. */
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Proposals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Proposals.java
@@ -1,8 +1,8 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.util.ArrayDeque;
-import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
-import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
+import org.laurelweir.consensus.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
 /** The proposals of one term of leading that are not yet committed. */
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Reads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Reads.java
@@ -1,9 +1,9 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect.ReadReady;
-import org.laurelweir.agreement.ConsensusEffect.ReadRejected;
+import org.laurelweir.consensus.ConsensusEffect.ReadReady;
+import org.laurelweir.consensus.ConsensusEffect.ReadRejected;
 import org.laurelweir.lib.ResultCode;
 
 /**
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Replication.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Replication.java
@@ -1,14 +1,14 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.util.Arrays;
 import java.util.List;
 import java.util.SortedMap;
 import java.util.SortedSet;
 import java.util.TreeMap;
-import org.laurelweir.agreement.ReplicaMessage.AppendReply;
-import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
-import org.laurelweir.agreement.ReplicaMessage.SnapshotChunk;
-import org.laurelweir.agreement.ReplicaMessage.SnapshotReply;
+import org.laurelweir.consensus.ReplicaMessage.AppendReply;
+import org.laurelweir.consensus.ReplicaMessage.AppendRequest;
+import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
+import org.laurelweir.consensus.ReplicaMessage.SnapshotReply;
 
 /** Sends a leader's log to the other replicas, as fast as each takes it. */
 final class Replication {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Role.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Role.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 /** What a replica is doing in its term. */
 public enum Role {
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/Snapshot.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Snapshot.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 /**
  * The state machine's state after an entry, in place of the log up to there.
--- a/org.laurelweir/src/main/java/org/laurelweir/agreement/SnapshotReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
@@ -1,7 +1,7 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
-import org.laurelweir.agreement.ReplicaMessage.SnapshotChunk;
-import org.laurelweir.agreement.ReplicaMessage.SnapshotReply;
+import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
+import org.laurelweir.consensus.ReplicaMessage.SnapshotReply;
 
 /** Puts a leader's snapshot together from its pieces and continues from it. */
 final class SnapshotReceiver {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.Map;
-import org.laurelweir.agreement.ConsensusConfig;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.ConsensusConfig;
+import org.laurelweir.consensus.ReplicaId;
 import org.laurelweir.membership.MembershipConfig;
 
 /**
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -1,8 +1,8 @@
 package org.laurelweir.coordination;
 
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEffect;
-import org.laurelweir.agreement.Membership;
+import org.laurelweir.consensus.ConsensusEffect;
+import org.laurelweir.consensus.Membership;
 import org.laurelweir.lib.Decision;
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.load.LoadDigest;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -1,8 +1,8 @@
 package org.laurelweir.coordination;
 
 import java.util.List;
-import org.laurelweir.agreement.ConsensusEvent;
-import org.laurelweir.agreement.MembershipChange;
+import org.laurelweir.consensus.ConsensusEvent;
+import org.laurelweir.consensus.MembershipChange;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.load.LoadReport;
 import org.laurelweir.load.PeerLoads;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlInstanceStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlInstanceStatus.java
@@ -1,7 +1,7 @@
 package org.laurelweir.coordination;
 
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.ReplicaId;
 
 /**
  * A control instance as it describes itself.
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.laurelweir.agreement.ConsensusEvent;
+import org.laurelweir.consensus.ConsensusEvent;
 import org.laurelweir.coordination.ControlEvent.BackendAnnounced;
 import org.laurelweir.coordination.ControlEvent.BackendWithdrawn;
 import org.laurelweir.coordination.ControlEvent.CommandReceived;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Freshness.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Freshness.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
-import org.laurelweir.agreement.ConsensusReducer;
-import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
-import org.laurelweir.agreement.Role;
+import org.laurelweir.consensus.ConsensusEvent.MessageReceived;
+import org.laurelweir.consensus.ConsensusReducer;
+import org.laurelweir.consensus.ReplicaMessage.AppendRequest;
+import org.laurelweir.consensus.Role;
 
 /**
  * Tells whether the settings applied here are the newest accepted ones as of moments ago.
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.ReplicaId;
 
 /**
  * Keeps the replicas of the log in step with the control instances that there are, one step at a
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
@@ -3,9 +3,9 @@
 import java.util.Collection;
 import java.util.Optional;
 import java.util.Set;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.MembershipChange;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.MembershipChange;
+import org.laurelweir.consensus.ReplicaId;
 
 /**
  * Decides the next step from the replicas that there are to those that there should be.
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/AgreementRulesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/AgreementRulesTest.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,20 +7,20 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
-import org.laurelweir.agreement.ConsensusEffect.Send;
-import org.laurelweir.agreement.ConsensusEvent.MembershipChangeProposed;
-import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
-import org.laurelweir.agreement.MembershipChange.AddLearner;
-import org.laurelweir.agreement.MembershipChange.Promote;
-import org.laurelweir.agreement.MembershipChange.Remove;
-import org.laurelweir.agreement.ReplicaMessage.AppendRequest;
-import org.laurelweir.agreement.ReplicaMessage.PreVoteReply;
-import org.laurelweir.agreement.ReplicaMessage.PreVoteRequest;
-import org.laurelweir.agreement.ReplicaMessage.SnapshotChunk;
-import org.laurelweir.agreement.ReplicaMessage.VoteReply;
-import org.laurelweir.agreement.ReplicaMessage.VoteRequest;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
+import org.laurelweir.consensus.ConsensusEffect.Send;
+import org.laurelweir.consensus.ConsensusEvent.MembershipChangeProposed;
+import org.laurelweir.consensus.ConsensusEvent.MessageReceived;
+import org.laurelweir.consensus.MembershipChange.AddLearner;
+import org.laurelweir.consensus.MembershipChange.Promote;
+import org.laurelweir.consensus.MembershipChange.Remove;
+import org.laurelweir.consensus.ReplicaMessage.AppendRequest;
+import org.laurelweir.consensus.ReplicaMessage.PreVoteReply;
+import org.laurelweir.consensus.ReplicaMessage.PreVoteRequest;
+import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
+import org.laurelweir.consensus.ReplicaMessage.VoteReply;
+import org.laurelweir.consensus.ReplicaMessage.VoteRequest;
 import org.laurelweir.lib.ResultCode;
 
 /** Single rules, in the one order of events that needs each. */
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/ElectionRaceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ElectionRaceTest.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,13 +12,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEffect.RoleChanged;
-import org.laurelweir.agreement.ConsensusEffect.Send;
-import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
-import org.laurelweir.agreement.ConsensusEvent.Persisted;
-import org.laurelweir.agreement.ConsensusEvent.Recovered;
-import org.laurelweir.agreement.ConsensusEvent.Tick;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.RoleChanged;
+import org.laurelweir.consensus.ConsensusEffect.Send;
+import org.laurelweir.consensus.ConsensusEvent.MessageReceived;
+import org.laurelweir.consensus.ConsensusEvent.Persisted;
+import org.laurelweir.consensus.ConsensusEvent.Recovered;
+import org.laurelweir.consensus.ConsensusEvent.Tick;
 
 /** How soon replicas that were all stopped at once have a leader again. */
 class ElectionRaceTest {
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/LogBoundsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/LogBoundsTest.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/ReplicaNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ReplicaNetwork.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -10,19 +10,19 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.laurelweir.agreement.ConsensusEffect.Apply;
-import org.laurelweir.agreement.ConsensusEffect.InstallSnapshot;
-import org.laurelweir.agreement.ConsensusEffect.MarkCommitted;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
-import org.laurelweir.agreement.ConsensusEffect.ProposalAccepted;
-import org.laurelweir.agreement.ConsensusEffect.ProposalRejected;
-import org.laurelweir.agreement.ConsensusEffect.ReadReady;
-import org.laurelweir.agreement.ConsensusEffect.RoleChanged;
-import org.laurelweir.agreement.ConsensusEffect.Send;
-import org.laurelweir.agreement.ConsensusEffect.TakeSnapshot;
-import org.laurelweir.agreement.ConsensusEvent.MembershipChangeProposed;
-import org.laurelweir.agreement.ConsensusEvent.MessageReceived;
-import org.laurelweir.agreement.ConsensusEvent.SnapshotTaken;
+import org.laurelweir.consensus.ConsensusEffect.Apply;
+import org.laurelweir.consensus.ConsensusEffect.InstallSnapshot;
+import org.laurelweir.consensus.ConsensusEffect.MarkCommitted;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.ProposalAccepted;
+import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
+import org.laurelweir.consensus.ConsensusEffect.ReadReady;
+import org.laurelweir.consensus.ConsensusEffect.RoleChanged;
+import org.laurelweir.consensus.ConsensusEffect.Send;
+import org.laurelweir.consensus.ConsensusEffect.TakeSnapshot;
+import org.laurelweir.consensus.ConsensusEvent.MembershipChangeProposed;
+import org.laurelweir.consensus.ConsensusEvent.MessageReceived;
+import org.laurelweir.consensus.ConsensusEvent.SnapshotTaken;
 
 /** Some replicas and the messages between them; every choice comes from one seed. */
 final class ReplicaNetwork {
--- a/org.laurelweir/src/test/java/org/laurelweir/agreement/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
@@ -1,4 +1,4 @@
-package org.laurelweir.agreement;
+package org.laurelweir.consensus;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import org.laurelweir.agreement.ConsensusEffect.Persist;
+import org.laurelweir.consensus.ConsensusEffect.Persist;
 
 /** A reducer with a disk that forgets what was not synced, and a list as its state machine. */
 final class TestReplica {
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.ReplicaId;
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.quarantine.Crash;
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
@@ -10,11 +10,11 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.agreement.Membership;
-import org.laurelweir.agreement.MembershipChange;
-import org.laurelweir.agreement.MembershipChange.AddLearner;
-import org.laurelweir.agreement.MembershipChange.Promote;
-import org.laurelweir.agreement.ReplicaId;
+import org.laurelweir.consensus.Membership;
+import org.laurelweir.consensus.MembershipChange;
+import org.laurelweir.consensus.MembershipChange.AddLearner;
+import org.laurelweir.consensus.MembershipChange.Promote;
+import org.laurelweir.consensus.ReplicaId;
 
 /** Who votes in the end, whatever the order in which instances are heard. */
 class VoterPlanTest {
