--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -22,11 +22,11 @@
 import org.laurelweir.placement.BoundQuery;
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
+import org.laurelweir.placement.ChatLocation;
+import org.laurelweir.placement.ChatLocationQuery;
 import org.laurelweir.placement.FirstTokenDeadline;
 import org.laurelweir.placement.PlacementPolicy;
 import org.laurelweir.placement.RedirectPolicy;
-import org.laurelweir.placement.ChatLocation;
-import org.laurelweir.placement.ChatLocationQuery;
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.WorkEstimate;
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -151,7 +151,9 @@
     private void ask(ReducerNode from, SidecarEffect.LocateChats ask) {
         long call = ++mCount;
         mCalls.put(call, new AnswerTo(from, ask.question()));
-        tell(node(mFleet.engine(ask.address())), new SidecarEvent.LocateChatsRequested(call, ask.chats()));
+        tell(
+                node(mFleet.engine(ask.address())),
+                new SidecarEvent.LocateChatsRequested(call, ask.chats()));
     }
 
     private void start(ReducerNode at, AttemptId attempt) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Sidecar.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Sidecar.java
@@ -6,8 +6,8 @@
 import org.laurelweir.benchmarks.measure.fleet.Engine;
 import org.laurelweir.benchmarks.measure.fleet.Request;
 import org.laurelweir.placement.ChatDirectory;
-import org.laurelweir.placement.HeldChats;
 import org.laurelweir.placement.ChatLocator;
+import org.laurelweir.placement.HeldChats;
 
 /** The state of the sidecar beside one engine. */
 final class Sidecar {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarSteps.java
@@ -111,6 +111,7 @@
         long[] chat = {0};
         return () ->
                 sidecar.step(
-                        new SidecarEvent.LocateChatsRequested(1, List.of(Samples.chat(chat[0]++ % chats))));
+                        new SidecarEvent.LocateChatsRequested(
+                                1, List.of(Samples.chat(chat[0]++ % chats))));
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
@@ -8,8 +8,8 @@
 import java.util.function.ToLongFunction;
 import org.laurelweir.coordination.ControlEffect.Answer;
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
-import org.laurelweir.coordination.ControlEffect.AnswerExchange;
 import org.laurelweir.coordination.ControlEffect.AnswerError;
+import org.laurelweir.coordination.ControlEffect.AnswerExchange;
 import org.laurelweir.coordination.ControlEffect.ReportStatus;
 import org.laurelweir.runtime.metrics.Readiness;
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstMembership.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstMembership.java
@@ -102,6 +102,7 @@
                     "%s has a new disk and others have not: it waits to be made a replica", mSelf);
             return;
         }
-        mEvents.accept(new ControlEvent.ReplicaEvent(new Bootstrapped(Membership.ofVoters(durable))));
+        mEvents.accept(
+                new ControlEvent.ReplicaEvent(new Bootstrapped(Membership.ofVoters(durable))));
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
@@ -283,6 +283,8 @@
                             .build());
             return;
         }
-        mEvents.accept(new ControlEvent.MembershipChangeRequested(mCalls.open(out, Replies::members), change));
+        mEvents.accept(
+                new ControlEvent.MembershipChangeRequested(
+                        mCalls.open(out, Replies::members), change));
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
@@ -39,7 +39,8 @@
         if (ReplicaCodec.toCore(e.getTo()).equals(mSelf)) {
             ReplicaId from = ReplicaCodec.toCore(e.getFrom());
             mEvents.accept(
-                    new ControlEvent.ReplicaEvent(new MessageReceived(from, ReplicaCodec.toCore(e))));
+                    new ControlEvent.ReplicaEvent(
+                            new MessageReceived(from, ReplicaCodec.toCore(e))));
         }
         PendingCalls.send(out, DeliverReply.getDefaultInstance());
     }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
@@ -121,7 +121,9 @@
     private void share(Node from, Node to) {
         List<AnswerPeerUpdate> answers = new ArrayList<>();
         from.call(
-                call -> new ControlEvent.PeerUpdateRequested(call, "peer", MembershipCursor.NONE, 0, true),
+                call ->
+                        new ControlEvent.PeerUpdateRequested(
+                                call, "peer", MembershipCursor.NONE, 0, true),
                 a -> answers.add((AnswerPeerUpdate) a));
         mControls.run(10);
         AnswerPeerUpdate told = answers.get(0);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
@@ -171,7 +171,8 @@
         while (mPersisted != 0) {
             long sequence = mPersisted;
             mPersisted = 0;
-            ControlEvent synced = new ControlEvent.ReplicaEvent(new ConsensusEvent.Persisted(sequence));
+            ControlEvent synced =
+                    new ControlEvent.ReplicaEvent(new ConsensusEvent.Persisted(sequence));
             mReducer.step(mNow, synced, this::take);
         }
     }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
@@ -73,7 +73,9 @@
 
     @Override
     public void locateChats(LocateChatsRequest request, StreamObserver<LocateChatsReply> reply) {
-        mEvents.accept(new SidecarEvent.LocateChatsRequested(mQuestions.add(reply), request.getChatsList()));
+        mEvents.accept(
+                new SidecarEvent.LocateChatsRequested(
+                        mQuestions.add(reply), request.getChatsList()));
     }
 
     /** Answers where chats sit. */
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CommandCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CommandCodec.java
@@ -19,7 +19,8 @@
 public final class CommandCodec implements LogCodec {
     @Override
     public byte[] encode(Command c) {
-        LogCommand.Builder message = LogCommand.newBuilder().setAtMillis(c.timestamp().toEpochMilli());
+        LogCommand.Builder message =
+                LogCommand.newBuilder().setAtMillis(c.timestamp().toEpochMilli());
         if (c instanceof Command.ChangeSettings s) {
             message.setChangeSettings(SettingsCodec.toWire(s));
         } else if (c instanceof Command.ReplaceSettings s) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatHomes.java
@@ -11,9 +11,9 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatDirectory;
 import org.laurelweir.placement.ChatKey;
-import org.laurelweir.placement.ChatLocator;
 import org.laurelweir.placement.ChatLocation;
 import org.laurelweir.placement.ChatLocationQuery;
+import org.laurelweir.placement.ChatLocator;
 
 /**
  * Where the chats sit whose home this server is, and which ones sit here. A server that answers a
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Seating.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Seating.java
@@ -28,7 +28,8 @@
             sendOrPlace(step, attempt, e.server());
             return;
         }
-        if (seat instanceof ChatLocation.AskPeers ask && mQuestions.ask(step, attempt, ask.candidates())) {
+        if (seat instanceof ChatLocation.AskPeers ask
+                && mQuestions.ask(step, attempt, ask.candidates())) {
             return;
         }
         place(step, attempt);
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -50,7 +50,8 @@
      *
      * @param sent whether any byte of the call may have reached the backend server
      */
-    record EngineFailed(AttemptId attempt, boolean possiblySent, String message) implements SidecarEvent {}
+    record EngineFailed(AttemptId attempt, boolean possiblySent, String message)
+            implements SidecarEvent {}
 
     /** Whether the backend server can be reached at all. */
     record EngineReachable(boolean reachable) implements SidecarEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusEvent.java
@@ -13,7 +13,8 @@
      * @param committed an index up to which entries on this disk were known to be committed; 0 if
      *     nothing is known
      */
-    record Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries, long commitIndex)
+    record Recovered(
+            HardState hardState, Snapshot snapshot, List<LogEntry> entries, long commitIndex)
             implements ConsensusEvent {
         /** Creates the event of a disk on which nothing tells what was committed. */
         public Recovered(HardState hardState, Snapshot snapshot, List<LogEntry> entries) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -22,7 +22,8 @@
     Command withTimestamp(Instant time);
 
     /** A change of settings nodes, all or nothing, under compare-and-set. */
-    record ChangeSettings(Instant timestamp, String changeId, String author, List<NodeChange> changes)
+    record ChangeSettings(
+            Instant timestamp, String changeId, String author, List<NodeChange> changes)
             implements Command {
         @Override
         public ChangeSettings withTimestamp(Instant time) {
@@ -116,7 +117,8 @@
     }
 
     /** The end of the attempt that holds a claim. */
-    record SettleClaim(Instant timestamp, String account, String key, AttemptId attempt, ResultCode code)
+    record SettleClaim(
+            Instant timestamp, String account, String key, AttemptId attempt, ResultCode code)
             implements Command {
         @Override
         public SettleClaim withTimestamp(Instant time) {
@@ -125,7 +127,8 @@
     }
 
     /** An operator's wish that a backend server takes no new work, or takes it again. */
-    record Drain(Instant timestamp, String backend, boolean drain, String author) implements Command {
+    record Drain(Instant timestamp, String backend, boolean drain, String author)
+            implements Command {
         @Override
         public Drain withTimestamp(Instant time) {
             return new Drain(time, backend, drain, author);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -18,8 +18,8 @@
  * @param consensus times and bounds of the replicated log
  * @param membership times and bounds of the membership
  * @param limits how much the state machine keeps
- * @param autoJoin whether control instances that no settings name join by themselves; the name of each
- *     is its address then
+ * @param autoJoin whether control instances that no settings name join by themselves; the name of
+ *     each is its address then
  */
 public record ControlConfig(
         ReplicaId replica,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -77,7 +77,8 @@
      *     and won't be
      * @param leader the address to ask instead, or empty
      */
-    record AnswerError(long call, ResultCode code, String message, String leader) implements Answer {}
+    record AnswerError(long call, ResultCode code, String message, String leader)
+            implements Answer {}
 
     /** Answer a read of settings. */
     record AnswerSettings(long call, long position, List<SettingsNode> nodes) implements Answer {}
@@ -118,7 +119,8 @@
      *
      * @param crashesSeen how far its records of crashes are known here
      */
-    record RequestPeerUpdate(String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
+    record RequestPeerUpdate(
+            String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
             implements ControlEffect {}
 
     /** Tell peers at once what changed here; it may be lost. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -193,7 +193,8 @@
         } else {
             String message = "request " + e.key().fingerprintText() + " is not kept away";
             mEffects.accept(
-                    new ControlEffect.AnswerError(e.call(), ResultCode.NOT_QUARANTINED, message, ""));
+                    new ControlEffect.AnswerError(
+                            e.call(), ResultCode.NOT_QUARANTINED, message, ""));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
@@ -85,7 +85,8 @@
 
     private DrainResult drain(Command.Drain c) {
         if (c.drain()) {
-            mDrains.putIfAbsent(c.backend(), new DrainOrder(c.backend(), c.author(), c.timestamp()));
+            mDrains.putIfAbsent(
+                    c.backend(), new DrainOrder(c.backend(), c.author(), c.timestamp()));
         } else {
             mDrains.remove(c.backend());
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -17,9 +17,9 @@
 import org.laurelweir.consensus.Role;
 import org.laurelweir.consensus.Snapshot;
 import org.laurelweir.coordination.ControlEffect.AnswerCommand;
+import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.coordination.ControlEffect.AnswerMembership;
 import org.laurelweir.coordination.ControlEffect.EncodeSnapshot;
-import org.laurelweir.coordination.ControlEffect.AnswerError;
 import org.laurelweir.lib.ResultCode;
 
 /**
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterInstanceStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterInstanceStatus.java
@@ -10,4 +10,5 @@
  * @param settingsPosition the log position of the settings that it has
  * @param lastExchange when it exchanged last, by that instance's clock
  */
-public record RouterInstanceStatus(RouterReport report, long settingsPosition, Instant lastExchange) {}
+public record RouterInstanceStatus(
+        RouterReport report, long settingsPosition, Instant lastExchange) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
@@ -63,7 +63,10 @@
     private List<BackendRef> inOrder(ActiveCall r, PartHolders.Holders holders) {
         List<BackendRef> order = new ArrayList<>(holders.known());
         ChatKey key = r.mRequest.prompt().key();
-        mSource.view(r.mService).rankingWithDraining().top(key, RANKED).forEach(c -> order.add(c.ref()));
+        mSource.view(r.mService)
+                .rankingWithDraining()
+                .top(key, RANKED)
+                .forEach(c -> order.add(c.ref()));
         return order;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Reports.java
@@ -9,7 +9,8 @@
 final class Reports {
     private static final String PROGRAM = "router";
 
-    DirectEffect.LogDecision chose(ActiveCall r, ServerChoice.Chosen c, String fetchFrom, Instant now) {
+    DirectEffect.LogDecision chose(
+            ActiveCall r, ServerChoice.Chosen c, String fetchFrom, Instant now) {
         String place = r.mArrivals > 1 ? "retry_" + c.reason() : c.reason();
         String reason = fetchFrom.isEmpty() ? place : place + "_fetching from " + fetchFrom;
         return new DirectEffect.LogDecision(
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -44,7 +44,9 @@
             MembershipConfig config, Collection<String> peers, MembershipListener listener) {
         mListener = listener;
         mSelf = config.control();
-        mLog = new MembershipLog(config.control(), config.incarnation(), config.departedRetention());
+        mLog =
+                new MembershipLog(
+                        config.control(), config.incarnation(), config.departedRetention());
         mSessions = new SessionTable(mTime, config.vanishAfter());
         mFlaps = new FlapGuard(mTime, config);
         mPeers = new PeerTable(mTime, config, peers);
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
@@ -7,8 +7,8 @@
  * @param headroom the share of {@code factor} that admission leaves unused, in 0 to 1. What was
  *     admitted stays while the mean falls, and the mean that a sidecar knows is a second or two
  *     old; without it a server is over the factor whenever the others' requests end first
- * @param uncachedFactor the multiple up to which requests without cached history are taken; between it
- *     and {@code factor} lies the room kept for chats whose history is cached
+ * @param uncachedFactor the multiple up to which requests without cached history are taken; between
+ *     it and {@code factor} lies the room kept for chats whose history is cached
  * @param capacityFloor the least bound, see {@link LoadBound}
  * @param prefillWeight the cost of an uncached prompt token against an output token's
  * @param maxRedirects how many times a request may be sent on
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
@@ -66,7 +66,8 @@
         return query.cachedLocally() ? ChatLocation.LOCAL : ChatLocation.UNKNOWN;
     }
 
-    private List<Candidate> previousHolders(ChatLocationQuery query, ServiceView view, Candidate home) {
+    private List<Candidate> previousHolders(
+            ChatLocationQuery query, ServiceView view, Candidate home) {
         List<Candidate> asked = new ArrayList<>();
         if (query.recentlyJoined()) {
             asked.addAll(view.ranking().topWithout(query.chat(), mSelf, 1));
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Departures.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Departures.java
@@ -37,7 +37,10 @@
     void forget(Instant now) {
         Iterator<Departure> oldest = mLeft.values().iterator();
         while (oldest.hasNext()
-                && oldest.next().at().plus(MembershipConfig.DEFAULT_DEPARTED_RETENTION).isBefore(now)) {
+                && oldest.next()
+                        .at()
+                        .plus(MembershipConfig.DEFAULT_DEPARTED_RETENTION)
+                        .isBefore(now)) {
             oldest.remove();
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
@@ -22,7 +22,11 @@
         RetryLimits retryLimits) {
     /** Creates a configuration with the usual limits of retries. */
     public RouterConfig(
-            String name, long incarnation, long seed, Duration exchangeInterval, int maxChatLocations) {
+            String name,
+            long incarnation,
+            long seed,
+            Duration exchangeInterval,
+            int maxChatLocations) {
         this(name, incarnation, seed, exchangeInterval, maxChatLocations, RetryLimits.DEFAULT);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
@@ -7,7 +7,8 @@
  *
  * @param position the position of the last accepted change
  * @param nodes every node, sorted by path
- * @param lastEvictedPosition the position of the newest accepted change that the history no longer has
+ * @param lastEvictedPosition the position of the newest accepted change that the history no longer
+ *     has
  * @param history accepted changes that are kept, the oldest first
  * @param answers answers that are kept, the oldest first
  * @param revision the operator's number of the tree that was replaced last, 0 if none was
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -116,7 +116,8 @@
         RecordedAnswer kept = mAnswers.find(change.changeId());
         if (kept == null) {
             SettingsAnswer answer = decide(position, change);
-            mAnswers.keep(new RecordedAnswer(change.changeId(), change.timestamp(), digest, answer));
+            mAnswers.keep(
+                    new RecordedAnswer(change.changeId(), change.timestamp(), digest, answer));
             return answer;
         }
         return kept.digest().equals(digest)
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
@@ -151,7 +151,9 @@
             AttemptRequest.Builder request =
                     Requests.request(id, target(id)).cost(Requests.output(5000));
             if (how % 3 == 0) {
-                request.idempotent(false).idempotencyKey("key").outputKeepTime(Duration.ofMinutes(5));
+                request.idempotent(false)
+                        .idempotencyKey("key")
+                        .outputKeepTime(Duration.ofMinutes(5));
             }
             mStreams.put(++mStreamCount, new StreamCheck(id, 0));
             step(new SidecarEvent.AttemptRequested(mStreamCount, request.build()));
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
@@ -32,7 +32,8 @@
     }
 
     private void hear(Backend.State state) {
-        mControl.receiveReport(mNow, new SidecarReport(identity(BEFORE).announcement(state, 1), 0, 0, 0));
+        mControl.receiveReport(
+                mNow, new SidecarReport(identity(BEFORE).announcement(state, 1), 0, 0, 0));
     }
 
     private List<SidecarEffect> step(SidecarEvent event) {
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
@@ -24,7 +24,8 @@
     static final String SERVICE = "svc";
     static final AnswerMetadata GENUINE = new AnswerMetadata(false, false, true, Optional.empty());
     static final AnswerMetadata NOT_RUN = new AnswerMetadata(true, false, true, Optional.empty());
-    static final AnswerMetadata OTHER_SERVER = new AnswerMetadata(true, true, true, Optional.empty());
+    static final AnswerMetadata OTHER_SERVER =
+            new AnswerMetadata(true, true, true, Optional.empty());
     static final AnswerMetadata CROSSED = new AnswerMetadata(false, false, false, Optional.empty());
     static final RetryLimits LIMITS = new RetryLimits(0.2, 64, Duration.ofSeconds(10), 1, 1);
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/HomeLookupTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/HomeLookupTest.java
@@ -20,7 +20,9 @@
     @Test
     void homeFollowsItsDirectory() {
         mDirectory.put(CHAT, mRanks.get(3).id());
-        assertThat(lookup(mRanks.get(0)).locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+        assertThat(
+                        lookup(mRanks.get(0))
+                                .locate(new ChatLocationQuery(CHAT, false, true, false), mView))
                 .isEqualTo(new ChatLocation.Remote(mRanks.get(3).id()));
     }
 
@@ -44,13 +46,16 @@
                 .isEqualTo(new ChatLocation.AskPeers(mRanks.subList(2, 4)));
         assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), after))
                 .isEqualTo(ChatLocation.UNKNOWN);
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), after)).isEqualTo(ChatLocation.LOCAL);
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), after))
+                .isEqualTo(ChatLocation.LOCAL);
     }
 
     @Test
     void seatThatLeftIsNotFollowed() {
         mDirectory.put(CHAT, "gone");
-        assertThat(lookup(mRanks.get(0)).locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+        assertThat(
+                        lookup(mRanks.get(0))
+                                .locate(new ChatLocationQuery(CHAT, false, true, false), mView))
                 .isEqualTo(ChatLocation.UNKNOWN);
     }
 
@@ -64,6 +69,7 @@
                 .isEqualTo(new ChatLocation.Remote(mRanks.get(0).id()));
         assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, false, false), mView))
                 .isEqualTo(ChatLocation.UNKNOWN);
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), mView)).isEqualTo(ChatLocation.LOCAL);
+        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), mView))
+                .isEqualTo(ChatLocation.LOCAL);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -127,7 +127,8 @@
         long seen = 0;
         while (seen < mTable.version()) {
             CrashDelta delta = mTable.since(mNow, seen);
-            assertThat(delta.records()).hasSizeLessThanOrEqualTo(CrashTable.MAX_RECORDS_PER_MESSAGE);
+            assertThat(delta.records())
+                    .hasSizeLessThanOrEqualTo(CrashTable.MAX_RECORDS_PER_MESSAGE);
             reader.merge(mNow, delta.records());
             seen = delta.version();
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
@@ -71,9 +71,7 @@
         Map<String, Map<String, String>> nodes = tree("x", "z");
         replace(6, nodes);
         Map<String, Boolean> told = new HashMap<>();
-        mStore.deltaSince(before)
-                .nodes()
-                .forEach(n -> told.put(n.path().toString(), n.deleted()));
+        mStore.deltaSince(before).nodes().forEach(n -> told.put(n.path().toString(), n.deleted()));
         assertThat(told).isEqualTo(Map.of("/route=y", true, "/route=z", false));
     }
 
