--- a/org.laurelweir/src/main/java/org/laurelweir/routing/AccountLimits.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/AccountLimits.java
@@ -10,24 +10,24 @@
  * deployment's; this router holds its share of them.
  */
 final class AccountLimits {
-    private static final Duration WHILE_FULL = Duration.ofSeconds(1);
+    private static final Duration CONCURRENCY_RETRY_AFTER = Duration.ofSeconds(1);
 
     /** For an account that may start next to nothing; it is told to look again. */
     private static final double MAX_WAIT_SECONDS = 60;
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final Map<String, Usage> mUsages = new HashMap<>();
-    private final RouterCount mRouters = new RouterCount();
+    private final RouterCount mRouterCount = new RouterCount();
 
     /** Takes note of how many routers serve. */
-    void onRouters(Instant now, int routers) {
-        mRouters.told(now, routers);
+    void onRouterCount(Instant now, int routers) {
+        mRouterCount.update(now, routers);
     }
 
     /** Returns how many routers serve; a lower number than before counts after a while only. */
-    int routers() {
-        return mRouters.count();
+    int routerCount() {
+        return mRouterCount.count();
     }
 
     /**
@@ -36,17 +36,18 @@
      * @return zero if it may, else when to come back
      */
     Duration admit(Instant now, String account, RequestPolicy policy) {
-        double rate = mRouters.share(policy.accountRate());
+        double rate = mRouterCount.share(policy.accountRate());
         Usage u = mUsages.computeIfAbsent(account, a -> new Usage(now, rate));
         u.refill(now, rate);
         // At least one each: an account with a low limit would else be shut out everywhere.
-        if (u.mRunning >= Math.ceil(mRouters.share(policy.accountMaxRunning()))) {
-            return WHILE_FULL;
+        if (u.mRunning >= Math.ceil(mRouterCount.share(policy.accountMaxRunning()))) {
+            return CONCURRENCY_RETRY_AFTER;
         }
         if (u.mTokens < 1) {
             double seconds = (1 - u.mTokens) / rate;
             // Rounded up: a wait below a nanosecond would else read as "may start", uncounted.
-            return Duration.ofNanos((long) Math.ceil(Math.min(MAX_WAIT_SECONDS, seconds) * NANOS));
+            return Duration.ofNanos(
+                    (long) Math.ceil(Math.min(MAX_WAIT_SECONDS, seconds) * NANOS_PER_SECOND));
         }
         u.mTokens--;
         u.mRunning++;
@@ -61,10 +62,10 @@
     private static final class Usage {
         private int mRunning;
         private double mTokens;
-        private Instant mRefilled;
+        private Instant mRefilledAt;
 
         Usage(Instant now, double rate) {
-            mRefilled = now;
+            mRefilledAt = now;
             mTokens = burst(rate);
         }
 
@@ -74,9 +75,10 @@
         }
 
         void refill(Instant now, double rate) {
-            double seconds = Math.max(0, Duration.between(mRefilled, now).toNanos() / NANOS);
+            double seconds =
+                    Math.max(0, Duration.between(mRefilledAt, now).toNanos() / NANOS_PER_SECOND);
             mTokens = Math.min(burst(rate), mTokens + seconds * rate);
-            mRefilled = now;
+            mRefilledAt = now;
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/ActiveRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ActiveRequest.java
@@ -31,7 +31,7 @@
     final Instant mDeadline;
 
     /** The chat's key; a request of no chat has one made up, which spreads such requests. */
-    final ChatKey mKey;
+    final ChatKey mChatKey;
 
     Phase mPhase = Phase.BACKING_OFF;
 
@@ -50,7 +50,7 @@
     boolean mResumed;
 
     /** When the last frame came, or when the caller last kept the stream from being read. */
-    Instant mHeard = Instant.MIN;
+    Instant mLastActivityAt = Instant.MIN;
 
     /** Whether the sidecar is known to have taken the attempt. */
     boolean mAccepted;
@@ -58,21 +58,21 @@
     boolean mHeadSent;
 
     /** Bytes of the answer's body passed on. */
-    long mOffset;
+    long mForwardedBytes;
 
     /** Bytes of the answer's body that the caller took. */
-    long mTaken;
+    long mConsumedBytes;
 
     /** Own attempts so far. */
-    int mAttempts;
+    int mAttemptCount;
 
-    int mRedirects;
+    int mRedirectCount;
 
     /** Own attempts beyond the first that no sidecar asked for. */
-    int mRetries;
+    int mRetryCount;
 
     /** Tries to reach the attempt again since it last showed progress. */
-    int mRecoveries;
+    int mRecoveryCount;
 
     /** Whether an answer's end has contradicted what was received. */
     boolean mEndMismatched;
@@ -87,26 +87,26 @@
     boolean mFollowing;
 
     /** The attempt that is proved never to run and gives its claim to the next, or null. */
-    AttemptId mReplaces;
+    AttemptId mReplacedAttempt;
 
     /** The attempt that holds the claim as far as this router knows, or null. */
     AttemptId mClaimHolder;
 
     /** Whether control has recorded that the claim's holder, another's attempt, ran to its end. */
-    boolean mHolderRan;
+    boolean mHolderCompleted;
 
-    int mClaims;
+    int mClaimCount;
 
     /** Why the last attempt failed; what the caller is told if none follows. */
-    Failure mFailure;
+    Failure mLastFailure;
 
-    final Set<BackendRef> mTried = new HashSet<>();
+    final Set<BackendRef> mTriedTargets = new HashSet<>();
 
     ActiveRequest(long caller, CallerRequest request, Instant now, ChatKey key) {
         mCaller = caller;
         mRequest = request;
         mDeadline = now.plus(request.deadline());
-        mKey = key;
+        mChatKey = key;
     }
 
     RequestPolicy policy() {
@@ -126,30 +126,30 @@
         return Duration.between(now, mDeadline);
     }
 
-    void enter(Phase phase, Instant wakeAt) {
+    void enterPhase(Phase phase, Instant wakeAt) {
         mPhase = phase;
         mWakeAt = wakeAt;
     }
 
     /** Turns to a new own attempt. */
-    void turnTo(AttemptId attempt, Target target) {
+    void startOwnAttempt(AttemptId attempt, Target target) {
         mAttempt = attempt;
         mTarget = target;
         mAccepted = false;
         mResumed = false;
         mFollowing = false;
-        mRecoveries = 0;
-        mTried.add(target.ref());
+        mRecoveryCount = 0;
+        mTriedTargets.add(target.ref());
     }
 
     /** Turns to another's attempt, which holds the claim on the same key. */
-    void follow(AttemptId holder, Target target) {
+    void followAttempt(AttemptId holder, Target target) {
         mAttempt = holder;
         mTarget = target;
         mAccepted = false;
         mFollowing = true;
         mClaimHolder = holder;
         mMayHaveRun = true;
-        mRecoveries = 0;
+        mRecoveryCount = 0;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
@@ -14,7 +14,7 @@
     /** Sends the request's present attempt for the first and only time. */
     void begin(Step s, ActiveRequest r) {
         long stream = openStream(s, r, false);
-        s.emit(new RouterEffect.BeginAttempt(stream, r.mTarget.address(), message(s, r)));
+        s.emit(new RouterEffect.BeginAttempt(stream, r.mTarget.address(), buildRequest(s, r)));
     }
 
     /** Follows the request's present attempt from the first byte that the caller lacks. */
@@ -22,11 +22,16 @@
         long stream = openStream(s, r, true);
         s.emit(
                 new RouterEffect.ResumeAttempt(
-                        stream, r.mTarget.address(), r.mAttempt, r.mTarget.ref(), r.mOffset, true));
+                        stream,
+                        r.mTarget.address(),
+                        r.mAttempt,
+                        r.mTarget.ref(),
+                        r.mForwardedBytes,
+                        true));
     }
 
     /** Leaves the stream, whose connection is suspect from now on. */
-    void drop(Step s, ActiveRequest r) {
+    void dropStream(Step s, ActiveRequest r) {
         if (r.mStream != 0) {
             s.emit(new RouterEffect.DropStream(r.mStream));
             mRequests.closeStream(r);
@@ -36,12 +41,12 @@
     private long openStream(Step s, ActiveRequest r, boolean resumed) {
         long stream = mRequests.openStream(r);
         r.mResumed = resumed;
-        r.mHeard = s.now();
-        r.enter(ActiveRequest.Phase.STREAMING, r.mDeadline);
+        r.mLastActivityAt = s.now();
+        r.enterPhase(ActiveRequest.Phase.STREAMING, r.mDeadline);
         return stream;
     }
 
-    private static AttemptRequest message(Step s, ActiveRequest r) {
+    private static AttemptRequest buildRequest(Step s, ActiveRequest r) {
         CallerRequest q = r.mRequest;
         return AttemptRequest.builder(r.mAttempt, r.mTarget.ref())
                 .account(q.account(), q.policy().accountWeight())
@@ -53,7 +58,7 @@
                 .timeLeft(r.timeLeft(s.now()))
                 .priority(q.priority())
                 .cost(q.cost())
-                .redirects(r.mRedirects)
+                .redirects(r.mRedirectCount)
                 .outputKeepTime(r.needsClaim() ? q.policy().claimRetention() : Duration.ZERO)
                 .build();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/ClaimAnswers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ClaimAnswers.java
@@ -12,19 +12,19 @@
     private final Attempts mAttempts;
     private final Recovery mRecovery;
     private final Outcomes mOutcomes;
-    private final Decisions mDecisions;
+    private final DecisionLogger mDecisionLogger;
 
     ClaimAnswers(
             Memberships memberships,
             Attempts attempts,
             Recovery recovery,
             Outcomes outcomes,
-            Decisions decisions) {
+            DecisionLogger decisions) {
         mMemberships = memberships;
         mAttempts = attempts;
         mRecovery = recovery;
         mOutcomes = outcomes;
-        mDecisions = decisions;
+        mDecisionLogger = decisions;
     }
 
     void onAnswered(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
@@ -36,43 +36,44 @@
             String message = "the idempotency key belongs to another request";
             mOutcomes.fail(s, r, new Failure(answer.code(), message));
         } else if (answer.code() != ResultCode.OK) {
-            unavailable(s, r, answer.code().name());
+            failUnavailable(s, r, answer.code().name());
         } else if (answer.holder().equals(r.mAttempt)) {
             r.mClaimHolder = r.mAttempt;
             mAttempts.begin(s, r);
         } else {
-            heldByAnother(s, r, answer);
+            onHeldByOther(s, r, answer);
         }
     }
 
     /** Nothing was sent and nothing will be: without a claim two routers could both run the key. */
-    void unavailable(Step s, ActiveRequest r, String reason) {
+    void failUnavailable(Step s, ActiveRequest r, String reason) {
         String message = "no claim on the idempotency key could be had: " + reason;
         mOutcomes.fail(s, r, new Failure(ResultCode.CLAIM_UNAVAILABLE, message));
     }
 
-    private void heldByAnother(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
-        if (r.mClaims >= MAX_CLAIMS) {
+    private void onHeldByOther(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
+        if (r.mClaimCount >= MAX_CLAIMS) {
             r.mMayHaveRun = true;
-            unavailable(s, r, "others hold it");
+            failUnavailable(s, r, "others hold it");
             return;
         }
-        follow(s, r, answer);
+        followHolder(s, r, answer);
     }
 
     /** The key's first attempt has the outcome: its sidecar tells, and hands over its output. */
-    private void follow(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
+    private void followHolder(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
         Backend b = mMemberships.backend(answer.target().id());
         String address = b == null ? "" : b.address();
-        r.mHolderRan = answer.settled() && answer.settledCode() == ResultCode.OK;
-        r.follow(answer.holder(), new Target(answer.target(), address));
+        r.mHolderCompleted = answer.settled() && answer.settledCode() == ResultCode.OK;
+        r.followAttempt(answer.holder(), new Target(answer.target(), address));
         if (b == null) {
-            ResultCode code = r.mHolderRan ? ResultCode.ALREADY_RUN : ResultCode.OUTCOME_UNKNOWN;
+            ResultCode code =
+                    r.mHolderCompleted ? ResultCode.ALREADY_RUN : ResultCode.OUTCOME_UNKNOWN;
             String message = "the backend server of the first attempt has left";
             mOutcomes.fail(s, r, new Failure(code, message));
             return;
         }
-        mDecisions.recovers(s, r, "claim_held");
+        mDecisionLogger.logRecovery(s, r, "claim_held");
         mRecovery.revoke(s, r);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
@@ -10,8 +10,8 @@
      * is granted: a resend on any router then finds it, and no second one is sent.
      */
     void claim(Step s, ActiveRequest r) {
-        r.mClaims++;
-        r.enter(ActiveRequest.Phase.CLAIMING, s.now().plus(r.policy().silenceTimeout()));
+        r.mClaimCount++;
+        r.enterPhase(ActiveRequest.Phase.CLAIMING, s.now().plus(r.policy().silenceTimeout()));
         CallerRequest q = r.mRequest;
         s.emit(
                 new RouterEffect.Claim(
@@ -21,7 +21,7 @@
                         q.service(),
                         q.call().fingerprint(),
                         r.mTarget.ref(),
-                        r.mReplaces,
+                        r.mReplacedAttempt,
                         retention(s, r)));
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
@@ -15,30 +15,30 @@
     private final CrashTable mCrashes;
 
     /** The run of a control instance that knows what is noted below. */
-    private MembershipCursor mControl = MembershipCursor.NONE;
+    private MembershipCursor mControlRun = MembershipCursor.NONE;
 
     /** How far this router has that instance's records. */
-    private long mSeen;
+    private long mReceivedVersion;
 
     /** How far that instance has this router's, and will have them with the answer under way. */
-    private long mTold;
+    private long mAcknowledgedVersion;
 
-    private long mTelling;
+    private long mInFlightVersion;
 
     CrashSharing(CrashTable crashes) {
         mCrashes = crashes;
     }
 
     /** Returns whether there is something to tell. */
-    boolean isUrgent() {
-        return mCrashes.version() > mTold;
+    boolean hasUnacknowledgedRecords() {
+        return mCrashes.version() > mAcknowledgedVersion;
     }
 
     /** Returns what to tell with the exchange that begins. */
     CrashReport report(Instant now) {
-        CrashDelta delta = mCrashes.since(now, mTold);
-        mTelling = delta.version();
-        return new CrashReport(mSeen, delta.records());
+        CrashDelta delta = mCrashes.since(now, mAcknowledgedVersion);
+        mInFlightVersion = delta.version();
+        return new CrashReport(mReceivedVersion, delta.records());
     }
 
     /**
@@ -47,15 +47,15 @@
      * @param control names its run
      * @param delta what it told
      */
-    void answered(Instant now, MembershipCursor control, CrashDelta delta) {
-        mTold = control.isSameRun(mControl) ? mTelling : 0;
-        mControl = control;
-        mSeen = delta.version();
-        boolean nothingToTell = !isUrgent();
+    void onAnswered(Instant now, MembershipCursor control, CrashDelta delta) {
+        mAcknowledgedVersion = control.isSameRun(mControlRun) ? mInFlightVersion : 0;
+        mControlRun = control;
+        mReceivedVersion = delta.version();
+        boolean nothingToTell = !hasUnacknowledgedRecords();
         mCrashes.merge(now, delta.records());
         if (nothingToTell) {
             // What is new now came from that very instance.
-            mTold = mCrashes.version();
+            mAcknowledgedVersion = mCrashes.version();
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Decisions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/DecisionLogger.java
@@ -7,7 +7,7 @@
 import org.laurelweir.placement.LoadBound;
 
 /** Tells every routing decision with what it was made from. */
-final class Decisions {
+final class DecisionLogger {
     static final String PROGRAM = "router";
 
     /** What sidecars take at least; they alone apply the bound, routers only show it. */
@@ -16,35 +16,35 @@
     private final RouterConfig mConfig;
     private final Placements mPlacements;
 
-    Decisions(RouterConfig config, Placements placements) {
+    DecisionLogger(RouterConfig config, Placements placements) {
         mConfig = config;
         mPlacements = placements;
     }
 
     /** The request's next attempt goes to a backend server. */
-    void chose(Step s, ActiveRequest r, Placements.Choice c) {
+    void logChoice(Step s, ActiveRequest r, Placements.Choice c) {
         String id = c.target().ref().id();
         double load = mPlacements.load(id).runningWork();
         double mean = mPlacements.meanWork(r.mRequest.service());
         double bound = LoadBound.bound(mean, r.policy().boundFactor(), CAPACITY_FLOOR);
         String reason =
-                r.mAttempts > 1 && !c.reason().equals("redirect")
+                r.mAttemptCount > 1 && !c.reason().equals("redirect")
                         ? "retry_" + c.reason()
                         : c.reason();
-        tell(s, r, c.candidates(), id, reason, load, bound);
+        log(s, r, c.candidates(), id, reason, load, bound);
     }
 
     /** The request gets an error instead of an attempt, or instead of a further one. */
-    void gaveUp(Step s, ActiveRequest r, Failure f) {
-        tell(s, r, List.of(), f.code().name(), "given_up", 0, 0);
+    void logGivenUp(Step s, ActiveRequest r, Failure f) {
+        log(s, r, List.of(), f.code().name(), "given_up", 0, 0);
     }
 
     /** The request's attempt is followed over a new stream, or its sidecar asked about it. */
-    void recovers(Step s, ActiveRequest r, String reason) {
-        tell(s, r, List.of(), r.mTarget.ref().id(), reason, 0, 0);
+    void logRecovery(Step s, ActiveRequest r, String reason) {
+        log(s, r, List.of(), r.mTarget.ref().id(), reason, 0, 0);
     }
 
-    private void tell(
+    private void log(
             Step s,
             ActiveRequest r,
             List<String> candidates,
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Departures.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/DepartedBackends.java
@@ -12,38 +12,38 @@
  * to a control instance which was cut off when one left is told that it serves; without this it
  * would be sent requests again.
  */
-final class Departures {
-    private final Map<String, Departure> mLeft = new LinkedHashMap<>();
+final class DepartedBackends {
+    private final Map<String, DepartedBackend> mDeparted = new LinkedHashMap<>();
 
     /** Notes one that has left. */
     void add(Instant now, Backend b) {
         // The map is in the order of its entries' times, as it is forgotten from its beginning.
-        mLeft.remove(b.ref().id());
-        mLeft.put(b.ref().id(), new Departure(b, now));
+        mDeparted.remove(b.ref().id());
+        mDeparted.put(b.ref().id(), new DepartedBackend(b, now));
     }
 
     /** Returns one that has left, as it was announced, or null. */
     Backend get(String id) {
-        Departure d = mLeft.get(id);
+        DepartedBackend d = mDeparted.get(id);
         return d == null ? null : d.backend();
     }
 
     /** Notes that one is back. */
     void remove(String id) {
-        mLeft.remove(id);
+        mDeparted.remove(id);
     }
 
     /** Forgets those that left long ago. */
-    void forget(Instant now) {
-        Iterator<Departure> oldest = mLeft.values().iterator();
+    void expire(Instant now) {
+        Iterator<DepartedBackend> oldest = mDeparted.values().iterator();
         while (oldest.hasNext()
                 && oldest.next()
-                        .at()
+                        .departedAt()
                         .plus(MembershipConfig.DEFAULT_DEPARTED_RETENTION)
                         .isBefore(now)) {
             oldest.remove();
         }
     }
 
-    private record Departure(Backend backend, Instant at) {}
+    private record DepartedBackend(Backend backend, Instant departedAt) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ExchangeScheduler.java
@@ -6,20 +6,20 @@
 import org.laurelweir.membership.MembershipCursor;
 
 /** Exchanges with control at an interval, one at a time. */
-final class Exchanges {
+final class ExchangeScheduler {
     /** Until control answers, nothing can be served, so that waiting longer only adds to that. */
-    private static final Duration FIRST_INTERVAL = Duration.ofMillis(200);
+    private static final Duration UNANSWERED_INTERVAL = Duration.ofMillis(200);
 
     /** Between two exchanges, also where there is something to tell. */
-    private static final Duration LEAST_INTERVAL = Duration.ofMillis(100);
+    private static final Duration MIN_INTERVAL = Duration.ofMillis(100);
 
     private final Duration mInterval;
-    private Instant mNext = Instant.MIN;
-    private Instant mNextUrgent = Instant.MIN;
-    private boolean mUnderWay;
-    private boolean mAnswered;
+    private Instant mNextAt = Instant.MIN;
+    private Instant mNextUrgentAt = Instant.MIN;
+    private boolean mInFlight;
+    private boolean mLastAnswered;
 
-    Exchanges(Duration interval) {
+    ExchangeScheduler(Duration interval) {
         mInterval = interval;
     }
 
@@ -29,13 +29,13 @@
      * know soon does not wait for the interval to end.
      */
     void onTick(Step s, MembershipCursor cursor, CrashSharing crashes, LoadEstimator loads) {
-        Instant due = mAnswered && crashes.isUrgent() ? mNextUrgent : mNext;
-        if (mUnderWay || s.now().isBefore(due)) {
+        Instant due = mLastAnswered && crashes.hasUnacknowledgedRecords() ? mNextUrgentAt : mNextAt;
+        if (mInFlight || s.now().isBefore(due)) {
             return;
         }
-        mUnderWay = true;
-        mNext = s.now().plus(mAnswered ? mInterval : FIRST_INTERVAL);
-        mNextUrgent = s.now().plus(LEAST_INTERVAL);
+        mInFlight = true;
+        mNextAt = s.now().plus(mLastAnswered ? mInterval : UNANSWERED_INTERVAL);
+        mNextUrgentAt = s.now().plus(MIN_INTERVAL);
         s.emit(
                 new RouterEffect.SendExchange(
                         cursor, crashes.report(s.now()), loads.report(s.now())));
@@ -43,7 +43,7 @@
 
     /** The exchange under way was answered, or failed. */
     void onEnded(boolean answered) {
-        mUnderWay = false;
-        mAnswered = answered;
+        mInFlight = false;
+        mLastAnswered = answered;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -6,11 +6,11 @@
 
 /** Words for the log when a router is told of loads, and when it goes by its own calls alone. */
 final class LoadNotes {
-    private static final String TOLD = "LOADS_TOLD";
-    private static final String NOT_TOLD = "LOADS_NOT_TOLD";
+    private static final String LOADS_TOLD = "LOADS_TOLD";
+    private static final String LOADS_NOT_TOLD = "LOADS_NOT_TOLD";
 
     private final LoadEstimator mLoads;
-    private boolean mTold;
+    private boolean mHasRecentDigest;
 
     LoadNotes(LoadEstimator loads) {
         mLoads = loads;
@@ -23,18 +23,18 @@
      */
     void onTick(Step s, MembershipCursor control) {
         boolean told = mLoads.hasRecentDigest(s.now());
-        if (told == mTold) {
+        if (told == mHasRecentDigest) {
             return;
         }
-        mTold = told;
+        mHasRecentDigest = told;
         String reason =
                 told
                         ? "told by " + control.control()
                         : "not told any more by " + control.control() + ", own calls decide";
         s.emit(
                 new RouterEffect.LogDecision(
-                        Decision.builder(s.now(), Decisions.PROGRAM)
-                                .choice(told ? TOLD : NOT_TOLD, reason)
+                        Decision.builder(s.now(), DecisionLogger.PROGRAM)
+                                .choice(told ? LOADS_TOLD : LOADS_NOT_TOLD, reason)
                                 .build()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
@@ -14,13 +14,13 @@
  * service and state that an answer of control changes, however many backend servers it names.
  */
 final class MembershipNotes {
-    private static final int MAX_NAMED = 8;
+    private static final int MAX_LISTED_IDS = 8;
 
-    private final Map<String, Map<Backend.State, List<String>>> mChanged = new TreeMap<>();
+    private final Map<String, Map<Backend.State, List<String>>> mPending = new TreeMap<>();
 
     /** Notes a backend server that is new, or in another state than before. */
-    void changed(Backend b) {
-        mChanged.computeIfAbsent(b.service(), s -> new TreeMap<>())
+    void onChange(Backend b) {
+        mPending.computeIfAbsent(b.service(), s -> new TreeMap<>())
                 .computeIfAbsent(b.state(), s -> new ArrayList<>())
                 .add(b.ref().id());
     }
@@ -31,15 +31,15 @@
      * @param source whose word it is
      */
     void flush(Step s, MembershipCursor source) {
-        mChanged.forEach(
+        mPending.forEach(
                 (service, states) ->
                         states.forEach(
                                 (state, ids) ->
-                                        s.emit(line(s.now(), source, service, state, ids))));
-        mChanged.clear();
+                                        s.emit(toEffect(s.now(), source, service, state, ids))));
+        mPending.clear();
     }
 
-    private static RouterEffect line(
+    private static RouterEffect toEffect(
             Instant now,
             MembershipCursor source,
             String service,
@@ -47,9 +47,9 @@
             List<String> ids) {
         String from = source.control() + " at version " + source.version();
         return new RouterEffect.LogDecision(
-                Decision.builder(now, Decisions.PROGRAM)
+                Decision.builder(now, DecisionLogger.PROGRAM)
                         .service(service)
-                        .candidates(ids.subList(0, Math.min(ids.size(), MAX_NAMED)))
+                        .candidates(ids.subList(0, Math.min(ids.size(), MAX_LISTED_IDS)))
                         .choice(state.name(), ids.size() + " changed, told by " + from)
                         .build());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Memberships.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Memberships.java
@@ -21,10 +21,10 @@
     private final Map<String, Backend> mBackends = new HashMap<>();
     private final Map<String, ServiceView> mViews = new HashMap<>();
     private final MissingBackends mMissing = new MissingBackends();
-    private final Departures mDepartures = new Departures();
+    private final DepartedBackends mDeparted = new DepartedBackends();
     private final Consumer<Backend> mOnChange;
     private MembershipCursor mCursor = MembershipCursor.NONE;
-    private long mChanges;
+    private long mViewVersion;
 
     /**
      * Creates an empty view.
@@ -50,12 +50,12 @@
     }
 
     /** Returns whether a whole view has arrived. */
-    boolean isTold() {
+    boolean hasFullView() {
         return !mCursor.equals(MembershipCursor.NONE);
     }
 
     /** Returns whether a delta tells of anything, so that an idle exchange costs nothing more. */
-    static boolean tells(MembershipDelta delta) {
+    static boolean hasChanges(MembershipDelta delta) {
         return delta.full() || !delta.backends().isEmpty();
     }
 
@@ -64,25 +64,25 @@
         Map<String, List<ViewChange>> changes = new HashMap<>();
         for (Backend b : delta.backends()) {
             if (mMissing.remove(b.ref().id())) {
-                giveWorkAgain(b.ref().id(), changes);
+                resumeWork(b.ref().id(), changes);
             }
             applyOne(now, b, changes);
         }
         if (delta.full()) {
-            noteMissing(now, delta.backends());
+            trackMissing(now, delta.backends());
         }
         applyToViews(changes);
     }
 
     /** Looks after those that no view has named for long, and forgets who left long ago. */
     void onTick(Instant now) {
-        mDepartures.forget(now);
+        mDeparted.expire(now);
         if (mMissing.isEmpty()) {
             return;
         }
         Map<String, List<ViewChange>> changes = new HashMap<>();
-        passOver(mMissing.unheard(now), changes);
-        mMissing.takeDropped(now).forEach(id -> dropMissing(now, id, changes));
+        suspendOverdue(mMissing.dueForSuspension(now), changes);
+        mMissing.takeExpired(now).forEach(id -> removeMissing(now, id, changes));
         applyToViews(changes);
     }
 
@@ -90,22 +90,22 @@
      * Gives no new work to backend servers that control, started anew, should have heard. Where it
      * hears few of a service's, it is control that is out of reach, and all go on.
      */
-    private void passOver(List<String> unheard, Map<String, List<ViewChange>> changes) {
+    private void suspendOverdue(List<String> unheard, Map<String, List<ViewChange>> changes) {
         if (unheard.isEmpty()) {
             return;
         }
-        Map<String, Integer> missing = missingByService();
+        Map<String, Integer> missing = missingCountByService();
         for (String id : unheard) {
             Backend b = mBackends.get(id);
             if (b != null && 2 * missing.get(b.service()) < view(b.service()).size()) {
-                mMissing.passOver(id);
+                mMissing.suspend(id);
                 mOnChange.accept(b.withState(Backend.State.DRAINING));
                 changesOf(b, changes).add(new ViewChange.Drain(id));
             }
         }
     }
 
-    private Map<String, Integer> missingByService() {
+    private Map<String, Integer> missingCountByService() {
         Map<String, Integer> missing = new HashMap<>();
         for (String id : mMissing.ids()) {
             Backend b = mBackends.get(id);
@@ -117,7 +117,7 @@
     }
 
     /** One that is named as it was before it went missing changes nothing else. */
-    private void giveWorkAgain(String id, Map<String, List<ViewChange>> changes) {
+    private void resumeWork(String id, Map<String, List<ViewChange>> changes) {
         Backend b = mBackends.get(id);
         if (b != null && b.state() == Backend.State.SERVING) {
             mOnChange.accept(b);
@@ -133,17 +133,17 @@
         return changes.computeIfAbsent(b.service(), s -> new ArrayList<>());
     }
 
-    private void dropMissing(Instant now, String id, Map<String, List<ViewChange>> changes) {
+    private void removeMissing(Instant now, String id, Map<String, List<ViewChange>> changes) {
         Backend b = mBackends.get(id);
         remove(id, changes);
         if (b != null && b.state() == Backend.State.DRAINING) {
-            mDepartures.add(now, b);
+            mDeparted.add(now, b);
         }
     }
 
     private void applyOne(Instant now, Backend b, Map<String, List<ViewChange>> changes) {
         String id = b.ref().id();
-        Backend known = mBackends.getOrDefault(id, mDepartures.get(id));
+        Backend known = mBackends.getOrDefault(id, mDeparted.get(id));
         if (known != null && !b.supersedes(known)) {
             return;
         }
@@ -152,10 +152,10 @@
         }
         if (b.state() == Backend.State.LEFT) {
             remove(id, changes);
-            mDepartures.add(now, b);
+            mDeparted.add(now, b);
             return;
         }
-        mDepartures.remove(id);
+        mDeparted.remove(id);
         mBackends.put(id, b);
         if (known == null || known.state() != b.state()) {
             mOnChange.accept(b);
@@ -175,14 +175,14 @@
         }
     }
 
-    private void noteMissing(Instant now, List<Backend> present) {
+    private void trackMissing(Instant now, List<Backend> present) {
         Set<String> missing = new HashSet<>(mBackends.keySet());
         present.forEach(b -> missing.remove(b.ref().id()));
         mMissing.add(now, missing);
     }
 
     private void applyToViews(Map<String, List<ViewChange>> changes) {
-        mChanges++;
-        changes.forEach((s, list) -> mViews.put(s, view(s).apply(mChanges, list)));
+        mViewVersion++;
+        changes.forEach((s, list) -> mViews.put(s, view(s).apply(mViewVersion, list)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MissingBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MissingBackends.java
@@ -20,14 +20,14 @@
      * control has been heard by then. One that said that it leaves, to instances that have all
      * forgotten it since, never is.
      */
-    static final Duration UNHEARD_AFTER = Duration.ofMillis(2_500);
+    static final Duration SUSPEND_AFTER = Duration.ofMillis(2_500);
 
     /** A backend server that control can't hear goes on with what it has until then. */
-    static final Duration DROPPED_AFTER = Duration.ofSeconds(5);
+    static final Duration REMOVE_AFTER = Duration.ofSeconds(5);
 
     private final Map<String, Missing> mMissing = new HashMap<>();
 
-    private record Missing(Instant since, boolean passedOver) {
+    private record Missing(Instant since, boolean suspended) {
         boolean isDue(Instant now, Duration after) {
             return !now.isBefore(since.plus(after));
         }
@@ -49,7 +49,7 @@
      */
     boolean remove(String id) {
         Missing named = mMissing.remove(id);
-        return named != null && named.passedOver();
+        return named != null && named.suspended();
     }
 
     Set<String> ids() {
@@ -57,11 +57,11 @@
     }
 
     /** Returns those that have been missing too long for new work, and have it still. */
-    List<String> unheard(Instant now) {
+    List<String> dueForSuspension(Instant now) {
         List<String> unheard = new ArrayList<>();
         mMissing.forEach(
                 (id, missing) -> {
-                    if (!missing.passedOver() && missing.isDue(now, UNHEARD_AFTER)) {
+                    if (!missing.suspended() && missing.isDue(now, SUSPEND_AFTER)) {
                         unheard.add(id);
                     }
                 });
@@ -69,16 +69,16 @@
     }
 
     /** Notes that one gets no new work any more. */
-    void passOver(String id) {
+    void suspend(String id) {
         mMissing.computeIfPresent(id, (name, missing) -> new Missing(missing.since(), true));
     }
 
     /** Returns those that have been missing too long to be kept, and forgets them. */
-    List<String> takeDropped(Instant now) {
+    List<String> takeExpired(Instant now) {
         List<String> dropped = new ArrayList<>();
         mMissing.forEach(
                 (id, missing) -> {
-                    if (missing.isDue(now, DROPPED_AFTER)) {
+                    if (missing.isDue(now, REMOVE_AFTER)) {
                         dropped.add(id);
                     }
                 });
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Outcomes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Outcomes.java
@@ -5,22 +5,22 @@
 
 /** Ends requests: exactly one final answer to each caller, and the claim settled. */
 final class Outcomes {
-    private static final Duration COME_BACK = Duration.ofSeconds(1);
+    private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Requests mRequests;
     private final Claims mClaims;
     private final AccountLimits mLimits;
-    private final Decisions mDecisions;
+    private final DecisionLogger mDecisionLogger;
 
-    Outcomes(Requests requests, Claims claims, AccountLimits limits, Decisions decisions) {
+    Outcomes(Requests requests, Claims claims, AccountLimits limits, DecisionLogger decisions) {
         mRequests = requests;
         mClaims = claims;
         mLimits = limits;
-        mDecisions = decisions;
+        mDecisionLogger = decisions;
     }
 
     /** The caller has the whole answer. */
-    void whole(Step s, ActiveRequest r) {
+    void complete(Step s, ActiveRequest r) {
         if (!r.mDetached) {
             s.emit(new RouterEffect.AnswerEnd(r.mCaller));
         }
@@ -28,20 +28,20 @@
     }
 
     /** Answers a request that was not let in. */
-    void turnAway(Step s, ActiveRequest r, Failure failure) {
-        answer(s, r, failure);
+    void reject(Step s, ActiveRequest r, Failure failure) {
+        sendError(s, r, failure);
     }
 
     /** Gives the request up and answers at once; a begun answer is cut instead. */
     void fail(Step s, ActiveRequest r, Failure failure) {
-        Failure told = truthful(r, failure);
-        answer(s, r, told);
+        Failure told = correctCode(r, failure);
+        sendError(s, r, told);
         close(s, r, told.code());
     }
 
     /** Answers now and lets the attempt go on, whose outcome a resend will ask for. */
     void failAndDetach(Step s, ActiveRequest r, Failure failure) {
-        answer(s, r, truthful(r, failure));
+        sendError(s, r, correctCode(r, failure));
         r.mDetached = true;
     }
 
@@ -54,7 +54,7 @@
      * A code of the 2000s says that the request was not run. It tells of the last attempt only; an
      * earlier one that ran makes it a lie, after which the caller would send the request again.
      */
-    private static Failure truthful(ActiveRequest r, Failure f) {
+    private static Failure correctCode(ActiveRequest r, Failure f) {
         if (!f.code().isNotRun() || !(r.mMayHaveRun || r.mHeadSent)) {
             return f;
         }
@@ -62,11 +62,11 @@
         return new Failure(code, f.message(), f.retryAfter());
     }
 
-    private void answer(Step s, ActiveRequest r, Failure f) {
+    private void sendError(Step s, ActiveRequest r, Failure f) {
         if (r.mDetached) {
             return;
         }
-        mDecisions.gaveUp(s, r, f);
+        mDecisionLogger.logGivenUp(s, r, f);
         s.emit(new RouterEffect.AnswerError(r.mCaller, f.code(), f.message(), retryAfter(r, f)));
     }
 
@@ -79,7 +79,7 @@
         if (!harmless || f.code().number() < ResultCode.OVERLOADED.number()) {
             return Duration.ZERO;
         }
-        return f.retryAfter().isZero() ? COME_BACK : f.retryAfter();
+        return f.retryAfter().isZero() ? DEFAULT_RETRY_AFTER : f.retryAfter();
     }
 
     private void close(Step s, ActiveRequest r, ResultCode code) {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
@@ -33,19 +33,19 @@
      * It refuses anyway; the hint saves the way there, and the retry, until control's word arrives,
      * and must not outlive an undrain.
      */
-    private static final Duration AVOIDANCE = Duration.ofSeconds(5);
+    private static final Duration AVOIDANCE_DURATION = Duration.ofSeconds(5);
 
     private final Memberships mMemberships;
     private final PlacementPolicy mPolicy = new AffinityPolicy();
-    private final Map<String, Ejections> mEjections = new HashMap<>();
+    private final Map<String, ServiceOutliers> mOutliersByService = new HashMap<>();
     private final Map<BackendRef, LoadHint> mLoads = new HashMap<>();
-    private final Map<String, Double> mMeans = new HashMap<>();
+    private final Map<String, Double> mMeanWorkByService = new HashMap<>();
     private final Map<String, Instant> mAvoidedUntil = new HashMap<>();
-    private final ChatDirectory mSeats;
+    private final ChatDirectory mLastServers;
 
     Placements(RouterConfig config, Memberships memberships) {
         mMemberships = memberships;
-        mSeats = new ChatDirectory(config.maxChatLocations());
+        mLastServers = new ChatDirectory(config.maxChatLocations());
     }
 
     /** One choice with what it was made from. */
@@ -60,15 +60,15 @@
         ServiceView view = mMemberships.view(r.mRequest.service());
         Placement placement = place(now, r, view);
         List<Candidate> order = new ArrayList<>(placement.candidates());
-        int wanted = r.mTried.size() + AffinityPolicy.CANDIDATES;
-        view.ranking().top(r.mKey, wanted).stream()
+        int wanted = r.mTriedTargets.size() + AffinityPolicy.CANDIDATES;
+        view.ranking().top(r.mChatKey, wanted).stream()
                 .filter(c -> !order.contains(c))
                 .forEach(order::add);
         List<String> names = placement.candidates().stream().map(Candidate::id).toList();
         boolean first = true;
         for (Candidate c : order) {
             Backend b = mMemberships.backend(c.id());
-            if (b != null && !r.mTried.contains(c.ref())) {
+            if (b != null && !r.mTriedTargets.contains(c.ref())) {
                 String reason = first ? reasonName(placement.reason()) : "next_in_rank";
                 return new Choice(new Target(c.ref(), b.address()), names, reason);
             }
@@ -81,9 +81,9 @@
      * Returns the backend server that a sidecar named, or null if it is not known or has been tried
      * already.
      */
-    Choice named(ActiveRequest r, String id) {
+    Choice chooseNamed(ActiveRequest r, String id) {
         Backend b = mMemberships.backend(id);
-        if (b == null || r.mTried.contains(b.ref())) {
+        if (b == null || r.mTriedTargets.contains(b.ref())) {
             return null;
         }
         return new Choice(new Target(b.ref(), b.address()), List.of(id), "redirect");
@@ -93,7 +93,8 @@
         CallerRequest q = r.mRequest;
         WorkEstimate work = new WorkEstimate(q.cost().promptTokens(), 0, q.cost().outputTokens());
         Hints hints = new Hints(outliers(q), now);
-        Placement p = mPolicy.place(new PlacementRequest(r.mKey, q.account(), work), view, hints);
+        Placement p =
+                mPolicy.place(new PlacementRequest(r.mChatKey, q.account(), work), view, hints);
         return q.chat() == 0 ? lessLoadedFirst(p) : p;
     }
 
@@ -114,17 +115,17 @@
     }
 
     private Outliers outliers(CallerRequest q) {
-        Ejections e = mEjections.get(q.service());
+        ServiceOutliers e = mOutliersByService.get(q.service());
         if (e == null || !e.config().equals(q.ejection())) {
-            e = new Ejections(q.ejection());
-            mEjections.put(q.service(), e);
+            e = new ServiceOutliers(q.ejection());
+            mOutliersByService.put(q.service(), e);
         }
         return e.outliers();
     }
 
     /** A service's failing backend servers, by the settings under which they were judged. */
-    private record Ejections(OutlierConfig config, Outliers outliers) {
-        Ejections(OutlierConfig config) {
+    private record ServiceOutliers(OutlierConfig config, Outliers outliers) {
+        ServiceOutliers(OutlierConfig config) {
             this(config, new Outliers(config));
         }
     }
@@ -141,18 +142,18 @@
 
     /** Returns the mean load of a service as control last told it, or 0. */
     double meanWork(String service) {
-        return mMeans.getOrDefault(service, 0.0);
+        return mMeanWorkByService.getOrDefault(service, 0.0);
     }
 
-    void onMeans(List<ServiceLoad> loads) {
-        loads.forEach(l -> mMeans.put(l.service(), l.meanWork()));
+    void onMeanLoads(List<ServiceLoad> loads) {
+        loads.forEach(l -> mMeanWorkByService.put(l.service(), l.meanWork()));
     }
 
     void onLoad(Instant now, BackendRef ref, LoadHint hint) {
         mLoads.put(ref, hint);
         String id = ref.id();
         if (hint.draining()) {
-            mAvoidedUntil.put(id, now.plus(AVOIDANCE));
+            mAvoidedUntil.put(id, now.plus(AVOIDANCE_DURATION));
         } else {
             mAvoidedUntil.remove(id);
         }
@@ -160,7 +161,7 @@
 
     /** Notes that a sidecar is another run than this router knows of. */
     void onOtherIncarnation(Instant now, ActiveRequest r) {
-        mAvoidedUntil.put(r.mTarget.ref().id(), now.plus(AVOIDANCE));
+        mAvoidedUntil.put(r.mTarget.ref().id(), now.plus(AVOIDANCE_DURATION));
     }
 
     /** Notes that a backend server began to answer a request. */
@@ -168,7 +169,7 @@
         String id = r.mTarget.ref().id();
         outliers(r.mRequest).onSuccess(id);
         if (r.mRequest.chat() != 0) {
-            mSeats.put(r.mKey, id);
+            mLastServers.put(r.mChatKey, id);
         }
     }
 
@@ -183,7 +184,7 @@
     void prune() {
         mLoads.keySet().removeIf(ref -> !isPresent(ref));
         mAvoidedUntil.keySet().removeIf(id -> mMemberships.backend(id) == null);
-        mEjections.forEach(
+        mOutliersByService.forEach(
                 (service, e) ->
                         mMemberships
                                 .view(service)
@@ -197,11 +198,11 @@
     }
 
     private final class Hints implements PlacementHints {
-        private final Outliers mOf;
+        private final Outliers mOutliers;
         private final Instant mNow;
 
         Hints(Outliers of, Instant now) {
-            mOf = of;
+            mOutliers = of;
             mNow = now;
         }
 
@@ -213,12 +214,12 @@
         @Override
         public boolean isEjected(String id) {
             Instant avoided = mAvoidedUntil.get(id);
-            return mOf.isEjected(id, mNow) || (avoided != null && mNow.isBefore(avoided));
+            return mOutliers.isEjected(id, mNow) || (avoided != null && mNow.isBefore(avoided));
         }
 
         @Override
         public String lastServer(ChatKey chat) {
-            return mSeats.find(chat);
+            return mLastServers.find(chat);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
@@ -18,20 +18,20 @@
     private final Placements mPlacements;
     private final Attempts mAttempts;
     private final Retries mRetries;
-    private final Decisions mDecisions;
+    private final DecisionLogger mDecisionLogger;
 
-    Recovery(Placements placements, Attempts attempts, Retries retries, Decisions decisions) {
+    Recovery(Placements placements, Attempts attempts, Retries retries, DecisionLogger decisions) {
         mPlacements = placements;
         mAttempts = attempts;
         mRetries = retries;
-        mDecisions = decisions;
+        mDecisionLogger = decisions;
     }
 
     /** The stream is silent, ended early or has left something out. */
-    void lost(Step s, ActiveRequest r, String reason) {
-        mAttempts.drop(s, r);
+    void onContactLost(Step s, ActiveRequest r, String reason) {
+        mAttempts.dropStream(s, r);
         mPlacements.onFailure(s.now(), r);
-        mDecisions.recovers(s, r, reason);
+        mDecisionLogger.logRecovery(s, r, reason);
         retry(s, r);
     }
 
@@ -46,14 +46,14 @@
 
     /** Asks the sidecar to make sure that the attempt never starts, and what its state is. */
     void revoke(Step s, ActiveRequest r) {
-        r.enter(ActiveRequest.Phase.REVOKING, s.now().plus(r.policy().silenceTimeout()));
+        r.enterPhase(ActiveRequest.Phase.REVOKING, s.now().plus(r.policy().silenceTimeout()));
         s.emit(
                 new RouterEffect.Revoke(
                         r.mCaller, r.mTarget.address(), r.mAttempt, r.mTarget.ref()));
     }
 
     /** A stream that follows the attempt was refused; only a revocation tells what that means. */
-    void refusedFollowing(Step s, ActiveRequest r) {
+    void onStreamRefused(Step s, ActiveRequest r) {
         r.mAccepted = false;
         retry(s, r);
     }
@@ -63,10 +63,10 @@
             return;
         }
         switch (state) {
-            case RUNNING -> running(s, r);
-            case FINISHED -> follow(s, r);
-            case NEVER_STARTED -> neverStarted(s, r);
-            default -> unknown(s, r, "the sidecar was restarted while it had the request");
+            case RUNNING -> onRunning(s, r);
+            case FINISHED -> resume(s, r);
+            case NEVER_STARTED -> onNeverStarted(s, r);
+            default -> onOutcomeUnknown(s, r, "the sidecar was restarted while it had the request");
         }
     }
 
@@ -75,15 +75,15 @@
      * would take the stream from that caller's router, which would take it back, without end; so
      * this one waits until the attempt has finished and its output can be had at once.
      */
-    private void running(Step s, ActiveRequest r) {
+    private void onRunning(Step s, ActiveRequest r) {
         if (!r.mFollowing) {
-            follow(s, r);
+            resume(s, r);
             return;
         }
-        r.enter(ActiveRequest.Phase.RECONNECTING, s.now().plus(r.policy().backoffMax()));
+        r.enterPhase(ActiveRequest.Phase.RECONNECTING, s.now().plus(r.policy().backoffMax()));
     }
 
-    private void follow(Step s, ActiveRequest r) {
+    private void resume(Step s, ActiveRequest r) {
         r.mAccepted = true;
         mAttempts.resume(s, r);
     }
@@ -98,34 +98,34 @@
         return r.mPhase == ActiveRequest.Phase.REVOKING && attempt.equals(r.mAttempt);
     }
 
-    private void neverStarted(Step s, ActiveRequest r) {
+    private void onNeverStarted(Step s, ActiveRequest r) {
         if (r.mHeadSent) {
-            unknown(s, r, "the sidecar denies an answer that it began");
+            onOutcomeUnknown(s, r, "the sidecar denies an answer that it began");
             return;
         }
-        mRetries.neverStarted(s, r);
+        mRetries.onNeverStarted(s, r);
     }
 
     private void retry(Step s, ActiveRequest r) {
-        r.mRecoveries++;
-        if (r.mRecoveries > (r.mayRunAgain() ? MAX_TRIES_IDEMPOTENT : MAX_TRIES)) {
-            unknown(s, r, "contact with the backend server was lost");
+        r.mRecoveryCount++;
+        if (r.mRecoveryCount > (r.mayRunAgain() ? MAX_TRIES_IDEMPOTENT : MAX_TRIES)) {
+            onOutcomeUnknown(s, r, "contact with the backend server was lost");
             return;
         }
-        if (r.mRecoveries == 1) {
+        if (r.mRecoveryCount == 1) {
             onWake(s, r);
             return;
         }
-        r.enter(
+        r.enterPhase(
                 ActiveRequest.Phase.RECONNECTING,
-                s.now().plus(mRetries.backoff(r.policy(), r.mRecoveries)));
+                s.now().plus(mRetries.backoff(r.policy(), r.mRecoveryCount)));
     }
 
-    private void unknown(Step s, ActiveRequest r, String message) {
+    private void onOutcomeUnknown(Step s, ActiveRequest r, String message) {
         ResultCode code = ResultCode.OUTCOME_UNKNOWN;
-        if (r.mFollowing && r.mHolderRan) {
+        if (r.mFollowing && r.mHolderCompleted) {
             code = ResultCode.ALREADY_RUN;
         }
-        mRetries.mayHaveRun(s, r, new Failure(code, message));
+        mRetries.onMayHaveRun(s, r, new Failure(code, message));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Retries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Retries.java
@@ -19,7 +19,7 @@
     private final Attempts mAttempts;
     private final Claims mClaims;
     private final Outcomes mOutcomes;
-    private final Decisions mDecisions;
+    private final DecisionLogger mDecisionLogger;
     private final RetryBudget mBudget = new RetryBudget();
     private final SplittableRandom mRandom;
 
@@ -29,51 +29,51 @@
             Attempts attempts,
             Claims claims,
             Outcomes outcomes,
-            Decisions decisions) {
+            DecisionLogger decisions) {
         mConfig = config;
         mPlacements = placements;
         mAttempts = attempts;
         mClaims = claims;
         mOutcomes = outcomes;
-        mDecisions = decisions;
+        mDecisionLogger = decisions;
         mRandom = new SplittableRandom(config.seed());
     }
 
     /** Sends a request's first attempt. */
-    void first(Step s, ActiveRequest r) {
+    void sendFirst(Step s, ActiveRequest r) {
         mBudget.earn(r.policy().retryBudgetShare());
-        r.mFailure = new Failure(ResultCode.NO_BACKEND_SERVER, "no backend server takes work");
-        next(s, r);
+        r.mLastFailure = new Failure(ResultCode.NO_BACKEND_SERVER, "no backend server takes work");
+        sendNext(s, r);
     }
 
     /** Sends a request's next attempt to where its placement says, or gives it up. */
-    void next(Step s, ActiveRequest r) {
+    void sendNext(Step s, ActiveRequest r) {
         Placements.Choice choice = mPlacements.choose(s.now(), r);
         if (choice == null) {
-            mOutcomes.fail(s, r, r.mFailure);
+            mOutcomes.fail(s, r, r.mLastFailure);
             return;
         }
-        send(s, r, choice);
+        sendAttempt(s, r, choice);
     }
 
     /** A sidecar refused the present attempt: it was not run and will not be. */
-    void refused(Step s, ActiveRequest r, Frame.Refused f) {
-        r.mFailure = new Failure(f.code(), f.message(), f.retryAfter());
+    void onRefused(Step s, ActiveRequest r, Frame.Refused f) {
+        r.mLastFailure = new Failure(f.code(), f.message(), f.retryAfter());
         replaceClaim(r);
         if (f.code() == ResultCode.CHAT_ELSEWHERE) {
             // It would have taken the request, and is the one to ask where the named one is
             // leaving.
-            r.mTried.remove(r.mTarget.ref());
+            r.mTriedTargets.remove(r.mTarget.ref());
         }
-        if (!f.redirectTo().isEmpty() && r.mRedirects < MAX_REDIRECTS) {
-            redirect(s, r, f.redirectTo());
+        if (!f.redirectTo().isEmpty() && r.mRedirectCount < MAX_REDIRECTS) {
+            followRedirect(s, r, f.redirectTo());
             return;
         }
         if (f.redirectTo().isEmpty() && isFinal(f.code())) {
-            mOutcomes.fail(s, r, r.mFailure);
+            mOutcomes.fail(s, r, r.mLastFailure);
             return;
         }
-        again(s, r, true);
+        scheduleRetry(s, r, true);
     }
 
     /**
@@ -81,13 +81,13 @@
      * tried, the router's own ranking takes its place: the sidecar may know of others, or be the
      * one that does not know yet that the named one is gone.
      */
-    private void redirect(Step s, ActiveRequest r, String named) {
-        r.mRedirects++;
-        Placements.Choice choice = mPlacements.named(r, named);
+    private void followRedirect(Step s, ActiveRequest r, String named) {
+        r.mRedirectCount++;
+        Placements.Choice choice = mPlacements.chooseNamed(r, named);
         if (choice == null) {
-            next(s, r);
+            sendNext(s, r);
         } else {
-            send(s, r, choice);
+            sendAttempt(s, r, choice);
         }
     }
 
@@ -97,33 +97,33 @@
     }
 
     /** No byte of the present attempt left this router. */
-    void notSent(Step s, ActiveRequest r, String message) {
-        r.mFailure = new Failure(ResultCode.NO_BACKEND_SERVER, message);
+    void onNotSent(Step s, ActiveRequest r, String message) {
+        r.mLastFailure = new Failure(ResultCode.NO_BACKEND_SERVER, message);
         replaceClaim(r);
-        again(s, r, false);
+        scheduleRetry(s, r, false);
     }
 
     /** A sidecar made sure that the present attempt never starts. */
-    void neverStarted(Step s, ActiveRequest r) {
-        r.mFailure = new Failure(ResultCode.REVOKED, "contact lost before the request was run");
+    void onNeverStarted(Step s, ActiveRequest r) {
+        r.mLastFailure = new Failure(ResultCode.REVOKED, "contact lost before the request was run");
         replaceClaim(r);
-        again(s, r, true);
+        scheduleRetry(s, r, true);
     }
 
     /** The present attempt ran, or nobody can tell whether it did. */
-    void mayHaveRun(Step s, ActiveRequest r, Failure failure) {
-        r.mFailure = failure;
+    void onMayHaveRun(Step s, ActiveRequest r, Failure failure) {
+        r.mLastFailure = failure;
         r.mMayHaveRun = true;
         if (!r.mayRunAgain()) {
             mOutcomes.fail(s, r, failure);
             return;
         }
-        again(s, r, true);
+        scheduleRetry(s, r, true);
     }
 
     /** The claim's holder is proved not to have run: the next attempt takes its place. */
     private static void replaceClaim(ActiveRequest r) {
-        r.mReplaces = r.mClaimHolder;
+        r.mReplacedAttempt = r.mClaimHolder;
         if (r.mFollowing) {
             r.mMayHaveRun = false;
         }
@@ -135,15 +135,15 @@
      * @param reached whether the last attempt may have cost a sidecar anything; one that never left
      *     this router adds no load, so it takes nothing out of the budget
      */
-    private void again(Step s, ActiveRequest r, boolean reached) {
-        Instant at = s.now().plus(backoff(r.policy(), r.mRetries));
-        boolean allowed = r.mRetries + 1 < r.policy().maxAttempts() && at.isBefore(r.mDeadline);
-        if (r.mDetached || !allowed || (reached && !mBudget.spend())) {
-            mOutcomes.fail(s, r, r.mFailure);
+    private void scheduleRetry(Step s, ActiveRequest r, boolean reached) {
+        Instant at = s.now().plus(backoff(r.policy(), r.mRetryCount));
+        boolean allowed = r.mRetryCount + 1 < r.policy().maxAttempts() && at.isBefore(r.mDeadline);
+        if (r.mDetached || !allowed || (reached && !mBudget.trySpend())) {
+            mOutcomes.fail(s, r, r.mLastFailure);
             return;
         }
-        r.mRetries++;
-        r.enter(ActiveRequest.Phase.BACKING_OFF, at);
+        r.mRetryCount++;
+        r.enterPhase(ActiveRequest.Phase.BACKING_OFF, at);
     }
 
     /** Returns a wait picked by chance below a ceiling that doubles, so that retries spread out. */
@@ -155,15 +155,16 @@
     }
 
     /** Returns a key that places a request of no chat. */
-    long spread() {
+    long randomChatKey() {
         return mRandom.nextLong();
     }
 
-    private void send(Step s, ActiveRequest r, Placements.Choice choice) {
-        r.mAttempts++;
-        AttemptId id = new AttemptId(mConfig.name(), mConfig.incarnation(), r.mCaller, r.mAttempts);
-        r.turnTo(id, choice.target());
-        mDecisions.chose(s, r, choice);
+    private void sendAttempt(Step s, ActiveRequest r, Placements.Choice choice) {
+        r.mAttemptCount++;
+        AttemptId id =
+                new AttemptId(mConfig.name(), mConfig.incarnation(), r.mCaller, r.mAttemptCount);
+        r.startOwnAttempt(id, choice.target());
+        mDecisionLogger.logChoice(s, r, choice);
         if (r.needsClaim()) {
             mClaims.claim(s, r);
         } else {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RetryBudget.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RetryBudget.java
@@ -10,17 +10,17 @@
  */
 final class RetryBudget {
     /** Retries that a router with little traffic may spend at once. */
-    static final double RESERVE = 10;
+    static final double MAX_TOKENS = 10;
 
-    private double mTokens = RESERVE;
+    private double mTokens = MAX_TOKENS;
 
     /** Notes a first attempt. */
     void earn(double share) {
-        mTokens = Math.min(RESERVE, mTokens + share);
+        mTokens = Math.min(MAX_TOKENS, mTokens + share);
     }
 
     /** Takes one retry out of the budget, if it holds one. */
-    boolean spend() {
+    boolean trySpend() {
         if (mTokens < 1) {
             return false;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -16,10 +16,10 @@
 
 /** Decides for one router: hands each event to the class that it concerns. */
 public final class RouterReducer implements Reducer<RouterEvent, RouterEffect> {
-    private final Exchanges mExchanges;
+    private final ExchangeScheduler mExchanges;
     private final Requests mRequests = new Requests();
-    private final MembershipNotes mNotes = new MembershipNotes();
-    private final Memberships mMemberships = new Memberships(mNotes::changed);
+    private final MembershipNotes mMembershipNotes = new MembershipNotes();
+    private final Memberships mMemberships = new Memberships(mMembershipNotes::onChange);
     private final AccountLimits mLimits = new AccountLimits();
     private final Placements mPlacements;
     private final Outcomes mOutcomes;
@@ -29,12 +29,12 @@
     private final Streams mStreams;
     private final Timers mTimers;
     private final DirectRouting mDirect;
-    private final QuarantineNotes mQuarantineNotes = new QuarantineNotes(Decisions.PROGRAM);
+    private final QuarantineNotes mQuarantineNotes = new QuarantineNotes(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final CrashSharing mCrashSharing;
     private final LoadEstimator mLoads = new LoadEstimator();
     private final LoadNotes mLoadNotes = new LoadNotes(mLoads);
-    private int mRouters;
+    private int mRouterCount;
     private boolean mStopping;
 
     /**
@@ -43,19 +43,19 @@
      * @param config what the decisions depend on
      */
     public RouterReducer(RouterConfig config) {
-        mExchanges = new Exchanges(config.exchangeInterval());
+        mExchanges = new ExchangeScheduler(config.exchangeInterval());
         mCrashes = new CrashTable(config.name(), mQuarantineNotes);
         mCrashSharing = new CrashSharing(mCrashes);
         mPlacements = new Placements(config, mMemberships);
         mDirect =
                 new DirectRouting(
                         mMemberships,
-                        () -> mRouters,
+                        () -> mRouterCount,
                         config.retryLimits(),
                         mCrashes,
                         mLoads,
                         config.seed());
-        Decisions decisions = new Decisions(config, mPlacements);
+        DecisionLogger decisions = new DecisionLogger(config, mPlacements);
         Claims claims = new Claims();
         Attempts attempts = new Attempts(mRequests);
         mOutcomes = new Outcomes(mRequests, claims, mLimits, decisions);
@@ -74,9 +74,9 @@
         } else if (event instanceof RouterEvent.FrameArrived e) {
             mStreams.onFrame(s, e.stream(), e.frame());
         } else if (event instanceof RouterEvent.StreamLost e) {
-            mStreams.onLost(s, e);
+            mStreams.onStreamLost(s, e);
         } else if (event instanceof RouterEvent.ExchangeAnswered e) {
-            onExchange(s, e);
+            onExchangeAnswered(s, e);
         } else if (event instanceof RouterEvent.ExchangeFailed) {
             mExchanges.onEnded(false);
             mLoads.requestFullReport();
@@ -98,21 +98,21 @@
         mDirect.step(s.now(), event, e -> s.emit(new RouterEffect.Direct(e)));
     }
 
-    private void onExchange(Step s, RouterEvent.ExchangeAnswered answer) {
-        mExchanges.onEnded(answer.membership().full() || mMemberships.isTold());
+    private void onExchangeAnswered(Step s, RouterEvent.ExchangeAnswered answer) {
+        mExchanges.onEnded(answer.membership().full() || mMemberships.hasFullView());
         if (!answer.membership().cursor().isSameRun(mMemberships.cursor())) {
             mLoads.requestFullReport();
         }
         mMemberships.apply(s.now(), answer.membership());
-        mNotes.flush(s, mMemberships.cursor());
-        mCrashSharing.answered(s.now(), mMemberships.cursor(), answer.crashes());
-        if (Memberships.tells(answer.membership())) {
+        mMembershipNotes.flush(s, mMemberships.cursor());
+        mCrashSharing.onAnswered(s.now(), mMemberships.cursor(), answer.crashes());
+        if (Memberships.hasChanges(answer.membership())) {
             mPlacements.prune();
         }
-        mPlacements.onMeans(answer.loads());
-        mLimits.onRouters(s.now(), answer.routers());
-        mRouters = answer.routers();
-        mLoads.onDigest(answer.digest(), mLimits.routers(), this::serviceOf);
+        mPlacements.onMeanLoads(answer.loads());
+        mLimits.onRouterCount(s.now(), answer.routers());
+        mRouterCount = answer.routers();
+        mLoads.onDigest(answer.digest(), mLimits.routerCount(), this::serviceOf);
     }
 
     /** Returns the service of a backend server, null if that very run of it is not known. */
@@ -123,7 +123,7 @@
 
     private void onTick(Step s) {
         mMemberships.onTick(s.now());
-        mNotes.flush(s, mMemberships.cursor());
+        mMembershipNotes.flush(s, mMemberships.cursor());
         mTimers.onTick(s);
         stepDirect(s, new DirectEvent.Tick());
         mCrashes.expire(s.now());
@@ -133,11 +133,11 @@
 
     private void onRequestEvent(Step s, RouterEvent event) {
         if (event instanceof RouterEvent.RequestArrived e) {
-            onArrived(s, e.caller(), e.request());
+            onRequestArrived(s, e.caller(), e.request());
         } else if (event instanceof RouterEvent.CallerGone e) {
             withRequest(e.caller(), r -> onCallerGone(s, r));
         } else if (event instanceof RouterEvent.OutputConsumed e) {
-            withRequest(e.caller(), r -> mStreams.onTaken(s, r, e.offset()));
+            withRequest(e.caller(), r -> mStreams.onOutputConsumed(s, r, e.offset()));
         } else if (event instanceof RouterEvent.RevokeAnswered e) {
             withRequest(e.caller(), r -> mRecovery.onRevokeAnswered(s, r, e.attempt(), e.state()));
         } else if (event instanceof RouterEvent.RevokeFailed e) {
@@ -154,17 +154,17 @@
         }
     }
 
-    private void onArrived(Step s, long caller, CallerRequest request) {
+    private void onRequestArrived(Step s, long caller, CallerRequest request) {
         Duration wait = mLimits.admit(s.now(), request.account(), request.policy());
         if (!wait.isZero()) {
             String message = "the client account has reached this router's share of its limit";
             s.emit(new RouterEffect.AnswerError(caller, ResultCode.ACCOUNT_LIMIT, message, wait));
             return;
         }
-        long key = request.chat() == 0 ? mRetries.spread() : request.chat();
+        long key = request.chat() == 0 ? mRetries.randomChatKey() : request.chat();
         ActiveRequest r = new ActiveRequest(caller, request, s.now(), new ChatKey(key));
         mRequests.add(r);
-        mRetries.first(s, r);
+        mRetries.sendFirst(s, r);
     }
 
     /**
@@ -177,7 +177,7 @@
                         && r.mPhase != ActiveRequest.Phase.BACKING_OFF;
         if (begun && !r.mRequest.idempotent()) {
             r.mDetached = true;
-            mStreams.onTaken(s, r, r.mOffset);
+            mStreams.onOutputConsumed(s, r, r.mForwardedBytes);
             return;
         }
         if (r.mStream != 0) {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Streams.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Streams.java
@@ -35,7 +35,7 @@
         if (r == null || !f.attempt().equals(r.mAttempt)) {
             return;
         }
-        r.mHeard = s.now();
+        r.mLastActivityAt = s.now();
         mPlacements.onLoad(s.now(), r.mTarget.ref(), f.load());
         Frame frame = f.frame();
         if (frame instanceof Frame.Head h) {
@@ -54,7 +54,7 @@
     }
 
     /** The stream ended without a closing frame. */
-    void onLost(Step s, RouterEvent.StreamLost lost) {
+    void onStreamLost(Step s, RouterEvent.StreamLost lost) {
         ActiveRequest r = mRequests.byStream(lost.stream());
         if (r == null) {
             return;
@@ -62,17 +62,17 @@
         boolean begun = r.mResumed || lost.sent() || r.mAccepted;
         mRequests.closeStream(r);
         if (begun) {
-            mRecovery.lost(s, r, "stream_lost");
+            mRecovery.onContactLost(s, r, "stream_lost");
             return;
         }
         mPlacements.onFailure(s.now(), r);
-        mRetries.notSent(s, r, lost.message());
+        mRetries.onNotSent(s, r, lost.message());
     }
 
     /** The caller took output; a stream that waited for it is heard from again. */
-    void onTaken(Step s, ActiveRequest r, long offset) {
-        r.mTaken = Math.max(r.mTaken, offset);
-        r.mHeard = s.now();
+    void onOutputConsumed(Step s, ActiveRequest r, long offset) {
+        r.mConsumedBytes = Math.max(r.mConsumedBytes, offset);
+        r.mLastActivityAt = s.now();
         acknowledge(s, r);
     }
 
@@ -82,7 +82,7 @@
             return;
         }
         r.mHeadSent = true;
-        r.mRecoveries = 0;
+        r.mRecoveryCount = 0;
         mPlacements.onAnswer(r);
         if (!r.mDetached) {
             s.emit(new RouterEffect.AnswerHead(r.mCaller, h.status(), h.headers()));
@@ -91,18 +91,18 @@
 
     private void onData(Step s, ActiveRequest r, Frame.Data d) {
         long end = d.offset() + d.bytes().length;
-        if (end <= r.mOffset) {
+        if (end <= r.mForwardedBytes) {
             return;
         }
-        if (!r.mHeadSent || d.offset() > r.mOffset) {
-            mRecovery.lost(s, r, "gap");
+        if (!r.mHeadSent || d.offset() > r.mForwardedBytes) {
+            mRecovery.onContactLost(s, r, "gap");
             return;
         }
-        int known = (int) (r.mOffset - d.offset());
-        r.mOffset = end;
-        r.mRecoveries = 0;
+        int known = (int) (r.mForwardedBytes - d.offset());
+        r.mForwardedBytes = end;
+        r.mRecoveryCount = 0;
         if (r.mDetached) {
-            r.mTaken = end;
+            r.mConsumedBytes = end;
             acknowledge(s, r);
             return;
         }
@@ -113,7 +113,7 @@
 
     private static void acknowledge(Step s, ActiveRequest r) {
         if (r.mStream != 0) {
-            s.emit(new RouterEffect.Acknowledge(r.mStream, r.mTaken));
+            s.emit(new RouterEffect.Acknowledge(r.mStream, r.mConsumedBytes));
         }
     }
 
@@ -123,18 +123,18 @@
      * well would be taken for the whole one.
      */
     private void onEnd(Step s, ActiveRequest r, Frame.End e) {
-        if (r.mHeadSent && e.length() == r.mOffset) {
+        if (r.mHeadSent && e.length() == r.mForwardedBytes) {
             mRequests.closeStream(r);
-            mOutcomes.whole(s, r);
+            mOutcomes.complete(s, r);
             return;
         }
-        if (!r.mEndMismatched && e.length() >= r.mOffset) {
+        if (!r.mEndMismatched && e.length() >= r.mForwardedBytes) {
             r.mEndMismatched = true;
             r.mAccepted = true;
-            mRecovery.lost(s, r, "gap");
+            mRecovery.onContactLost(s, r, "gap");
             return;
         }
-        String message = "the answer has " + e.length() + " bytes, not " + r.mOffset;
+        String message = "the answer has " + e.length() + " bytes, not " + r.mForwardedBytes;
         mRequests.closeStream(r);
         mOutcomes.fail(s, r, new Failure(ResultCode.ANSWER_CUT, message));
     }
@@ -145,13 +145,13 @@
         // second message of the same attempt is refused while the first one runs.
         boolean ofAttempt = f.code().isNotRun() && f.code() != ResultCode.DUPLICATE_ATTEMPT;
         if (r.mResumed || r.mHeadSent || !ofAttempt) {
-            mRecovery.refusedFollowing(s, r);
+            mRecovery.onStreamRefused(s, r);
             return;
         }
         if (f.code() == ResultCode.OTHER_INCARNATION) {
             mPlacements.onOtherIncarnation(s.now(), r);
         }
-        mRetries.refused(s, r, f);
+        mRetries.onRefused(s, r, f);
     }
 
     private void onFailed(Step s, ActiveRequest r, Frame.Failed f) {
@@ -160,10 +160,10 @@
         if (code == ResultCode.BACKEND_FAILED) {
             mPlacements.onFailure(s.now(), r);
         }
-        boolean outputGone = code == ResultCode.OUTPUT_NOT_KEPT || r.mHolderRan;
+        boolean outputGone = code == ResultCode.OUTPUT_NOT_KEPT || r.mHolderCompleted;
         if (r.mFollowing && outputGone) {
             code = ResultCode.ALREADY_RUN;
         }
-        mRetries.mayHaveRun(s, r, new Failure(code, f.message()));
+        mRetries.onMayHaveRun(s, r, new Failure(code, f.message()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
@@ -37,10 +37,10 @@
             return;
         }
         mNextScan = s.now().plus(SCAN_INTERVAL);
-        mRequests.all().forEach(r -> check(s, r));
+        mRequests.all().forEach(r -> checkRequest(s, r));
     }
 
-    private void check(Step s, ActiveRequest r) {
+    private void checkRequest(Step s, ActiveRequest r) {
         if (!r.mDetached && !s.now().isBefore(r.mDeadline)) {
             onDeadline(s, r);
             return;
@@ -57,16 +57,16 @@
      * caller, and what is not read can't be heard.
      */
     private void checkSilence(Step s, ActiveRequest r) {
-        Instant limit = r.mHeard.plus(r.policy().silenceTimeout());
-        if (r.mTaken >= r.mOffset && !s.now().isBefore(limit)) {
-            mRecovery.lost(s, r, "silent");
+        Instant limit = r.mLastActivityAt.plus(r.policy().silenceTimeout());
+        if (r.mConsumedBytes >= r.mForwardedBytes && !s.now().isBefore(limit)) {
+            mRecovery.onContactLost(s, r, "silent");
         }
     }
 
     private void onWake(Step s, ActiveRequest r) {
         switch (r.mPhase) {
-            case CLAIMING -> mClaimAnswers.unavailable(s, r, "no answer in time");
-            case BACKING_OFF -> mRetries.next(s, r);
+            case CLAIMING -> mClaimAnswers.failUnavailable(s, r, "no answer in time");
+            case BACKING_OFF -> mRetries.sendNext(s, r);
             case REVOKING -> mRecovery.onRevokeFailed(s, r, r.mAttempt);
             default -> mRecovery.onWake(s, r);
         }
@@ -78,16 +78,16 @@
                 String message = "the deadline came before the request could be run";
                 mOutcomes.fail(s, r, new Failure(ResultCode.DEADLINE_UNREACHABLE, message));
             }
-            default -> expireBegun(s, r);
+            default -> expireStarted(s, r);
         }
     }
 
-    private void expireBegun(Step s, ActiveRequest r) {
+    private void expireStarted(Step s, ActiveRequest r) {
         String message = "the deadline came before the whole answer";
         Failure failure = new Failure(ResultCode.DEADLINE_EXCEEDED, message);
         if (!r.mRequest.idempotent()) {
             mOutcomes.failAndDetach(s, r, failure);
-            mStreams.onTaken(s, r, r.mOffset);
+            mStreams.onOutputConsumed(s, r, r.mForwardedBytes);
             return;
         }
         if (r.mStream != 0) {
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/AccountShareTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/AccountShareTest.java
@@ -56,7 +56,7 @@
     // router. Order: routers join one by one and hear of it late; requests come to any of them and
     // end at any time. Why: each holds its share of the count that it heard last.
     @Property(seed = "11", tries = 300, shrinking = ShrinkingMode.OFF)
-    void runningStaysUnderTheLimitOnceAllHaveHeard(
+    void runningRequestsStayUnderTheLimitOnceAllRoutersKnowTheCount(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 12) int routers,
             @ForAll @IntRange(max = 200) int limit) {
@@ -65,24 +65,24 @@
         for (int i = 1; i <= routers; i++) {
             Router joined = new Router(i);
             mRouters.add(joined);
-            joined.told(i);
-            load(random, policy, 50);
+            joined.receiveRouterCount(i);
+            startAndCancelRandomly(random, policy, 50);
         }
         // What began under an older, larger share ends; it is never cut.
-        mRouters.forEach(r -> r.told(routers));
-        mRouters.forEach(Router::endAll);
+        mRouters.forEach(r -> r.receiveRouterCount(routers));
+        mRouters.forEach(Router::cancelAll);
         for (int i = 0; i < 20; i++) {
-            load(random, policy, 50);
-            assertThat(running()).isLessThanOrEqualTo((int) (limit * 1.25) + routers);
+            startAndCancelRandomly(random, policy, 50);
+            assertThat(runningRequests()).isLessThanOrEqualTo((int) (limit * 1.25) + routers);
         }
-        mRouters.forEach(r -> r.begin(policy, 3 * limit));
-        assertThat(running()).isGreaterThanOrEqualTo(limit);
+        mRouters.forEach(r -> r.startRequests(policy, 3 * limit));
+        assertThat(runningRequests()).isGreaterThanOrEqualTo(limit);
     }
 
     // The same for the rate: over any time from an idle start, 1.25 times the rate and what each
     // router may start at once.
     @Property(seed = "12", tries = 300, shrinking = ShrinkingMode.OFF)
-    void startsStayUnderTheRateOnceAllHaveHeard(
+    void startsStayUnderTheRateOnceAllRoutersKnowTheCount(
             @ForAll long seed,
             @ForAll @IntRange(min = 2, max = 12) int routers,
             @ForAll @IntRange(min = 1, max = 100) int rate) {
@@ -90,50 +90,51 @@
         RequestPolicy policy = policy(1_000_000, rate);
         for (int i = 0; i < routers; i++) {
             mRouters.add(new Router(i));
-            mRouters.get(i).told(routers);
+            mRouters.get(i).receiveRouterCount(routers);
         }
         double burst = Math.max(routers, 1.25 * rate);
         for (int i = 0; i < 200; i++) {
             mNow = mNow.plusMillis(random.nextInt(100));
-            mRouters.get(random.nextInt(routers)).begin(policy, random.nextInt(10));
+            mRouters.get(random.nextInt(routers)).startRequests(policy, random.nextInt(10));
             double seconds = mNow.toEpochMilli() / 1e3;
-            assertThat((double) running()).isLessThanOrEqualTo(burst + 1.25 * rate * seconds + 0.1);
+            assertThat((double) runningRequests())
+                    .isLessThanOrEqualTo(burst + 1.25 * rate * seconds + 0.1);
         }
     }
 
     // Callers see: no surge. Order: a control instance restarts and tells of the one router that it
     // has heard yet, then of all. Why: a lower count counts once no higher came for half a minute.
     @Example
-    void aControlInstanceThatJustStartedRaisesNoShare() {
+    void lowCountOfRestartedControlInstanceDoesNotRaiseShares() {
         Router r = new Router(1);
         mRouters.add(r);
-        r.told(10);
-        r.told(1);
-        r.begin(policy(80, 1_000_000), 80);
-        assertThat(running()).isEqualTo(10);
-        mNow = mNow.plus(RouterCount.HOLD);
-        r.told(1);
-        r.begin(policy(80, 1_000_000), 80);
-        assertThat(running()).isEqualTo(80);
+        r.receiveRouterCount(10);
+        r.receiveRouterCount(1);
+        r.startRequests(policy(80, 1_000_000), 80);
+        assertThat(runningRequests()).isEqualTo(10);
+        mNow = mNow.plus(RouterCount.DECREASE_DELAY);
+        r.receiveRouterCount(1);
+        r.startRequests(policy(80, 1_000_000), 80);
+        assertThat(runningRequests()).isEqualTo(80);
     }
 
-    private void load(SplittableRandom random, RequestPolicy policy, int steps) {
+    private void startAndCancelRandomly(SplittableRandom random, RequestPolicy policy, int steps) {
         for (int i = 0; i < steps; i++) {
             Router r = mRouters.get(random.nextInt(mRouters.size()));
             if (random.nextInt(3) > 0) {
-                r.begin(policy, random.nextInt(20));
+                r.startRequests(policy, random.nextInt(20));
             } else {
-                r.endOne();
+                r.cancelOne();
             }
         }
     }
 
-    private int running() {
+    private int runningRequests() {
         return mRouters.stream().mapToInt(r -> r.mRunning.size()).sum();
     }
 
     private static RequestPolicy policy(int maxRunning, double rate) {
-        return Policies.limited(RequestPolicy.DEFAULT, maxRunning, rate);
+        return RequestPolicies.withAccountLimits(RequestPolicy.DEFAULT, maxRunning, rate);
     }
 
     private final class Router {
@@ -147,39 +148,39 @@
                             new RouterConfig("r" + number, 1, number, Duration.ofSeconds(1), 16));
         }
 
-        void told(int routers) {
-            give(
+        void receiveRouterCount(int routers) {
+            step(
                     new RouterEvent.ExchangeAnswered(
                             ONE_BACKEND, CrashDelta.NONE, LoadDigest.NONE, List.of(), routers));
         }
 
-        void begin(RequestPolicy policy, int requests) {
+        void startRequests(RequestPolicy policy, int requests) {
             for (int i = 0; i < requests; i++) {
                 long caller = ++mCallers;
-                give(new RouterEvent.RequestArrived(caller, request(policy)));
+                step(new RouterEvent.RequestArrived(caller, request(policy)));
                 if (!mRefused.contains(caller)) {
                     mRunning.add(caller);
                 }
             }
         }
 
-        void endOne() {
+        void cancelOne() {
             if (!mRunning.isEmpty()) {
-                give(new RouterEvent.CallerGone(mRunning.poll()));
+                step(new RouterEvent.CallerGone(mRunning.poll()));
             }
         }
 
-        void endAll() {
+        void cancelAll() {
             while (!mRunning.isEmpty()) {
-                endOne();
+                cancelOne();
             }
         }
 
-        private void give(RouterEvent event) {
-            mReducer.step(mNow, event, this::take);
+        private void step(RouterEvent event) {
+            mReducer.step(mNow, event, this::onEffect);
         }
 
-        private void take(RouterEffect effect) {
+        private void onEffect(RouterEffect effect) {
             if (effect instanceof RouterEffect.AnswerError e) {
                 mRefused.add(e.caller());
             }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/ForgottenDeparturesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/ControlRestartTest.java
@@ -19,87 +19,89 @@
  * Where a router sends work after control, started anew as a whole, has forgotten who leaves. One
  * instance stands for all of control; the server that leaves says so once.
  */
-class ForgottenDeparturesTest {
+class ControlRestartTest {
     private static final Duration STEP = Duration.ofMillis(100);
-    private static final Duration ANNOUNCING = Duration.ofMillis(1200);
-    private static final Duration EXCHANGING = Duration.ofMillis(300);
+    private static final Duration ANNOUNCE_INTERVAL = Duration.ofMillis(1200);
+    private static final Duration EXCHANGE_INTERVAL = Duration.ofMillis(300);
     private static final Duration WARM_UP = Duration.ofSeconds(6);
-    private static final Duration DOWN = Duration.ofSeconds(1);
+    private static final Duration DOWNTIME = Duration.ofSeconds(1);
 
     /** This long after the last fault the bounds on departures hold again. */
-    private static final Duration CALM_AFTER = Duration.ofSeconds(3);
+    private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
-    private static final int SERVERS = 12;
-    private static final BackendRef LEAVING = new BackendRef("w0", 0);
-    private static final List<String> STAYING =
-            IntStream.range(1, SERVERS).mapToObj(i -> "w" + i).sorted().toList();
+    private static final int SERVER_COUNT = 12;
+    private static final BackendRef DEPARTING_SERVER = new BackendRef("w0", 0);
+    private static final List<String> REMAINING_SERVERS =
+            IntStream.range(1, SERVER_COUNT).mapToObj(i -> "w" + i).sorted().toList();
 
-    private final Memberships mRouter = new Memberships(b -> {});
-    private SharedMembership mView;
-    private DirectAnnouncements mControl;
+    private final Memberships mMemberships = new Memberships(b -> {});
+    private SharedMembership mControlView;
+    private DirectAnnouncements mAnnouncements;
     private boolean mIsControlUp;
     private boolean mHasLeft;
     private Instant mNow = Instant.EPOCH;
-    private int mNumber;
-    private int mRun;
+    private int mAnnouncementNumber;
+    private int mControlRun;
 
     private void startControl() {
-        mRun++;
-        MembershipConfig config = MembershipConfig.builder("c", mRun).build();
-        mView = new SharedMembership(config, List.of(), (b, reason, here) -> {});
-        mControl = new DirectAnnouncements(mView, "s"::equals);
+        mControlRun++;
+        MembershipConfig config = MembershipConfig.builder("c", mControlRun).build();
+        mControlView = new SharedMembership(config, List.of(), (b, reason, here) -> {});
+        mAnnouncements = new DirectAnnouncements(mControlView, "s"::equals);
         mIsControlUp = true;
     }
 
-    private void pass(Duration time) {
+    private void advance(Duration time) {
         Instant end = mNow.plus(time);
         while (mNow.isBefore(end)) {
             mNow = mNow.plus(STEP);
             if (mIsControlUp) {
                 runControl();
             }
-            mRouter.onTick(mNow);
+            mMemberships.onTick(mNow);
         }
     }
 
     private void runControl() {
-        mView.tick(mNow);
-        for (int i = mHasLeft ? 1 : 0; i < SERVERS; i++) {
-            if (isTurn(ANNOUNCING, STEP.multipliedBy(i))) {
+        mControlView.tick(mNow);
+        for (int i = mHasLeft ? 1 : 0; i < SERVER_COUNT; i++) {
+            if (isDue(ANNOUNCE_INTERVAL, STEP.multipliedBy(i))) {
                 announce(i);
             }
         }
-        if (isTurn(EXCHANGING, Duration.ZERO)) {
-            mRouter.apply(mNow, mView.deltaSince(mRouter.cursor(), null));
+        if (isDue(EXCHANGE_INTERVAL, Duration.ZERO)) {
+            mMemberships.apply(mNow, mControlView.deltaSince(mMemberships.cursor(), null));
         }
     }
 
-    private boolean isTurn(Duration interval, Duration shift) {
+    private boolean isDue(Duration interval, Duration shift) {
         return (mNow.toEpochMilli() - shift.toMillis()) % interval.toMillis() == 0;
     }
 
     private void announce(int server) {
-        mNumber++;
+        mAnnouncementNumber++;
         BackendRef ref = new BackendRef("w" + server, 0);
         String address = "1.2.3." + server + ":80";
         Backend.State state = Backend.State.SERVING;
-        mControl.receive(mNow, new Backend(ref, "s", "dc", "", address, state, 6, mNumber));
+        mAnnouncements.receive(
+                mNow, new Backend(ref, "s", "dc", "", address, state, 6, mAnnouncementNumber));
     }
 
-    private void leave() {
+    private void withdrawServer() {
         mHasLeft = true;
-        assertThat(mControl.withdraw(mNow, LEAVING)).isEqualTo(DirectAnnouncements.Outcome.TAKEN);
+        assertThat(mAnnouncements.withdraw(mNow, DEPARTING_SERVER))
+                .isEqualTo(DirectAnnouncements.Outcome.TAKEN);
     }
 
     private void restartControl() {
         mIsControlUp = false;
-        pass(DOWN);
+        advance(DOWNTIME);
         startControl();
     }
 
-    private List<String> serving() {
+    private List<String> servingIds() {
         TreeSet<String> names = new TreeSet<>();
-        mRouter.view("s").candidates().stream()
+        mMemberships.view("s").candidates().stream()
                 .filter(c -> !c.draining())
                 .map(Candidate::id)
                 .forEach(names::add);
@@ -109,35 +111,35 @@
     // The word that a server leaves was acknowledged and lost with all of control before a router
     // asked.
     @Test
-    void anAcknowledgedDepartureHoldsAfterAllOfControlWasStartedAnew() {
+    void acknowledgedDepartureSurvivesControlRestart() {
         startControl();
-        pass(WARM_UP);
-        leave();
+        advance(WARM_UP);
+        withdrawServer();
         restartControl();
-        pass(CALM_AFTER);
-        assertThat(serving()).isEqualTo(STAYING);
+        advance(SETTLE_TIME);
+        assertThat(servingIds()).isEqualTo(REMAINING_SERVERS);
     }
 
     @Test
-    void aDepartureThatARouterWasToldHoldsAfterAllOfControlWasStartedAnew() {
+    void departureKnownToTheRouterSurvivesControlRestart() {
         startControl();
-        pass(WARM_UP);
-        leave();
-        pass(EXCHANGING);
+        advance(WARM_UP);
+        withdrawServer();
+        advance(EXCHANGE_INTERVAL);
         restartControl();
-        pass(CALM_AFTER);
-        assertThat(serving()).isEqualTo(STAYING);
+        advance(SETTLE_TIME);
+        assertThat(servingIds()).isEqualTo(REMAINING_SERVERS);
     }
 
     // Servers that stay went out of use while control, started anew, had not heard them yet.
     @Test
-    void serversThatStayAreKeptWhileControlHearsThemAnew() {
+    void remainingServersAreKeptAfterControlRestart() {
         startControl();
-        pass(WARM_UP);
+        advance(WARM_UP);
         restartControl();
         for (int i = 0; i < 50; i++) {
-            pass(STEP);
-            assertThat(serving()).containsAll(STAYING);
+            advance(STEP);
+            assertThat(servingIds()).containsAll(REMAINING_SERVERS);
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeControl.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeControl.java
@@ -14,7 +14,7 @@
         private long mFingerprint;
         private AttemptId mHolder;
         private BackendRef mTarget;
-        private ResultCode mSettled;
+        private ResultCode mSettledCode;
     }
 
     RouterEvent.ClaimAnswered claim(RouterEffect.Claim e) {
@@ -22,7 +22,7 @@
         if (c != null && c.mFingerprint != e.fingerprint()) {
             return answer(e, ResultCode.IDEMPOTENCY_KEY_REUSED, c);
         }
-        if (c == null || (c.mHolder.equals(e.replaces()) && c.mSettled == null)) {
+        if (c == null || (c.mHolder.equals(e.replaces()) && c.mSettledCode == null)) {
             c = new Claim();
             c.mFingerprint = e.fingerprint();
             c.mHolder = e.attempt();
@@ -34,20 +34,20 @@
 
     private static RouterEvent.ClaimAnswered answer(
             RouterEffect.Claim e, ResultCode code, Claim c) {
-        ResultCode settled = c.mSettled == null ? ResultCode.OK : c.mSettled;
+        ResultCode settled = c.mSettledCode == null ? ResultCode.OK : c.mSettledCode;
         return new RouterEvent.ClaimAnswered(
-                e.attempt(), code, c.mHolder, c.mTarget, c.mSettled != null, settled);
+                e.attempt(), code, c.mHolder, c.mTarget, c.mSettledCode != null, settled);
     }
 
     void settle(RouterEffect.SettleClaim e) {
         Claim c = mClaims.get(e.key());
-        if (c == null || !c.mHolder.equals(e.attempt()) || c.mSettled != null) {
+        if (c == null || !c.mHolder.equals(e.attempt()) || c.mSettledCode != null) {
             return;
         }
         if (e.code().isNotRun()) {
             mClaims.remove(e.key());
         } else {
-            c.mSettled = e.code();
+            c.mSettledCode = e.code();
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
@@ -45,7 +45,7 @@
     final List<FakeSidecar.Execution> mExecutions = new ArrayList<>();
     final List<Caller> mCallers = new ArrayList<>();
     final FakeNetwork mNetwork;
-    int mReachedAttempts;
+    int mDeliveredAttempts;
 
     private final Random mRandom;
     private final List<RouterReducer> mRouters = new ArrayList<>();
@@ -60,7 +60,7 @@
         final int mRouter;
         final CallerRequest mRequest;
         final ByteArrayOutputStream mBytes = new ByteArrayOutputStream();
-        int mFinals;
+        int mFinalAnswers;
         ResultCode mCode;
         boolean mGone;
 
@@ -74,10 +74,10 @@
     private static final class Stream {
         private AttemptId mAttempt;
         private FakeSidecar mSidecar;
-        private boolean mSilentUp;
-        private boolean mSilentDown;
+        private boolean mDropsToSidecar;
+        private boolean mDropsToRouter;
         private boolean mLost;
-        private boolean mBegunThere;
+        private boolean mBeginDelivered;
     }
 
     FakeFleet(long seed) {
@@ -90,12 +90,12 @@
         for (int i = 0; i < SIDECARS; i++) {
             mSidecars.add(new FakeSidecar("s" + i, mRandom, mExecutions));
         }
-        announce();
+        announceSidecars();
     }
 
     void setFaults(double rate, boolean troubled) {
         mNetwork.setFaultRate(rate);
-        mSidecars.forEach(s -> s.setTroubled(troubled));
+        mSidecars.forEach(s -> s.setFlaky(troubled));
     }
 
     /** Has some sidecars' engines fail everything. */
@@ -104,7 +104,7 @@
     }
 
     /** Tells the routers of all sidecars. */
-    void announce() {
+    void announceSidecars() {
         mVersion++;
         List<Backend> backends =
                 mSidecars.stream()
@@ -114,7 +114,7 @@
         MembershipCursor cursor = new MembershipCursor("c", 1, mVersion);
         MembershipDelta delta = new MembershipDelta(cursor, true, backends);
         for (int i = 0; i < ROUTERS; i++) {
-            give(
+            stepRouter(
                     i,
                     new RouterEvent.ExchangeAnswered(
                             delta, CrashDelta.NONE, LoadDigest.NONE, List.of(), ROUTERS));
@@ -124,7 +124,7 @@
     private static final Backend.State SERVING = Backend.State.SERVING;
 
     /** Sends a request; a key makes it one that may not be repeated, as does "once". */
-    Caller arrive(int router, String body, boolean idempotent, String key) {
+    Caller sendRequest(int router, String body, boolean idempotent, String key) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call(
                         "POST", "/x", List.of(), body.getBytes(StandardCharsets.UTF_8), false);
@@ -144,7 +144,7 @@
                         OutlierConfig.DEFAULT);
         Caller c = new Caller(router, request);
         mCallers.add(c);
-        give(router, new RouterEvent.RequestArrived(mCallers.size(), request));
+        stepRouter(router, new RouterEvent.RequestArrived(mCallers.size(), request));
         return c;
     }
 
@@ -154,30 +154,31 @@
         if (what < 3) {
             mNow = mNow.plusMillis(1 + mRandom.nextInt(30));
             for (int i = 0; i < ROUTERS; i++) {
-                give(i, new RouterEvent.Tick());
+                stepRouter(i, new RouterEvent.Tick());
             }
         } else if (what < 6) {
-            mSidecars.get(mRandom.nextInt(SIDECARS)).work();
+            mSidecars.get(mRandom.nextInt(SIDECARS)).advanceOne();
         } else {
-            mNetwork.step();
+            mNetwork.deliverOne();
         }
-        if (mNetwork.strikes() && mRandom.nextInt(4) == 0) {
-            breakSomething();
+        if (mNetwork.drawsFault() && mRandom.nextInt(4) == 0) {
+            injectFault();
         }
     }
 
     boolean isSettled() {
-        return mCallers.stream().allMatch(c -> c.mGone || c.mFinals > 0) && mNetwork.isEmpty();
+        return mCallers.stream().allMatch(c -> c.mGone || c.mFinalAnswers > 0)
+                && mNetwork.isEmpty();
     }
 
-    private void breakSomething() {
+    private void injectFault() {
         if (mRandom.nextInt(6) == 0) {
             mSidecars.get(mRandom.nextInt(SIDECARS)).restart();
-            announce();
+            announceSidecars();
             return;
         }
         if (mRandom.nextInt(8) == 0 && !mCallers.isEmpty()) {
-            hangUp(mRandom.nextInt(mCallers.size()));
+            disconnectCaller(mRandom.nextInt(mCallers.size()));
             return;
         }
         List<String> names = new ArrayList<>(mStreams.keySet());
@@ -189,87 +190,88 @@
         breakStream(name, mStreams.get(name));
     }
 
-    private void hangUp(int index) {
+    private void disconnectCaller(int index) {
         Caller c = mCallers.get(index);
-        if (c.mFinals == 0 && !c.mGone) {
+        if (c.mFinalAnswers == 0 && !c.mGone) {
             c.mGone = true;
-            give(c.mRouter, new RouterEvent.CallerGone(index + 1));
+            stepRouter(c.mRouter, new RouterEvent.CallerGone(index + 1));
         }
     }
 
     private void breakStream(String name, Stream s) {
         switch (mRandom.nextInt(3)) {
-            case 0 -> s.mSilentUp = true;
-            case 1 -> s.mSilentDown = true;
+            case 0 -> s.mDropsToSidecar = true;
+            case 1 -> s.mDropsToRouter = true;
             default -> {
                 mStreams.remove(name);
                 s.mLost = true;
                 // Only a stream whose first message can't arrive any more may be called unsent.
-                s.mSilentUp = !s.mBegunThere && mRandom.nextBoolean();
+                s.mDropsToSidecar = !s.mBeginDelivered && mRandom.nextBoolean();
                 String[] parts = name.split("/");
-                give(
+                stepRouter(
                         Integer.parseInt(parts[0]),
-                        new RouterEvent.StreamLost(Long.parseLong(parts[1]), !s.mSilentUp, "lost"));
+                        new RouterEvent.StreamLost(
+                                Long.parseLong(parts[1]), !s.mDropsToSidecar, "lost"));
             }
         }
     }
 
-    private void give(int router, RouterEvent event) {
+    private void stepRouter(int router, RouterEvent event) {
         List<RouterEffect> effects = new ArrayList<>();
         mRouters.get(router).step(mNow, event, effects::add);
-        effects.forEach(e -> carryOut(router, e));
+        effects.forEach(e -> execute(router, e));
     }
 
-    private void carryOut(int router, RouterEffect effect) {
+    private void execute(int router, RouterEffect effect) {
         if (effect instanceof RouterEffect.BeginAttempt e) {
             onBegin(router, e);
         } else if (effect instanceof RouterEffect.ResumeAttempt e) {
-            Stream s = open(router, e.stream(), e.attempt(), e.address());
-            up(
+            Stream s = openStream(router, e.stream(), e.attempt(), e.address());
+            sendToSidecar(
                     s,
                     () ->
                             s.mSidecar.resume(
                                     e.attempt(),
                                     e.target(),
                                     e.offset(),
-                                    down(router, e.stream(), s)));
+                                    frameSender(router, e.stream(), s)));
         } else if (effect instanceof RouterEffect.CancelAttempt e) {
             Stream s = mStreams.remove(router + "/" + e.stream());
             if (s != null) {
-                up(s, () -> s.mSidecar.cancel(s.mAttempt));
+                sendToSidecar(s, () -> s.mSidecar.cancel(s.mAttempt));
             }
         } else if (effect instanceof RouterEffect.DropStream e) {
             mStreams.remove(router + "/" + e.stream());
         } else if (effect instanceof RouterEffect.Revoke e) {
             onRevoke(router, e);
         } else if (effect instanceof RouterEffect.Claim e) {
-            mNetwork.sendDamageable(
+            mNetwork.sendUnreliably(
                     "claim",
                     () -> {
                         RouterEvent answer = mControl.claim(e);
-                        mNetwork.sendDamageable("claimed", () -> give(router, answer));
+                        mNetwork.sendUnreliably("claimed", () -> stepRouter(router, answer));
                     });
         } else if (effect instanceof RouterEffect.SettleClaim e) {
-            mNetwork.sendDamageable("settle", () -> mControl.settle(e));
+            mNetwork.sendUnreliably("settle", () -> mControl.settle(e));
         } else {
             onAnswer(router, effect);
         }
     }
 
     private void onBegin(int router, RouterEffect.BeginAttempt e) {
-        Stream s = open(router, e.stream(), e.request().id(), e.address());
+        Stream s = openStream(router, e.stream(), e.request().id(), e.address());
         String other = mSidecars.get(mRandom.nextInt(SIDECARS)).ref().id();
-        Consumer<Frame> reader = down(router, e.stream(), s);
-        up(
+        Consumer<Frame> reader = frameSender(router, e.stream(), s);
+        sendToSidecar(
                 s,
                 () -> {
-                    s.mBegunThere = true;
-                    mReachedAttempts++;
+                    s.mBeginDelivered = true;
+                    mDeliveredAttempts++;
                     s.mSidecar.begin(e.request(), other, reader);
                 });
     }
 
-    private Stream open(int router, long stream, AttemptId attempt, String address) {
+    private Stream openStream(int router, long stream, AttemptId attempt, String address) {
         Stream s = new Stream();
         s.mAttempt = attempt;
         s.mSidecar = mSidecars.stream().filter(x -> x.ref().id().equals(address)).findAny().get();
@@ -277,31 +279,31 @@
         return s;
     }
 
-    private void up(Stream s, Runnable arrival) {
+    private void sendToSidecar(Stream s, Runnable arrival) {
         mNetwork.send(
                 s,
                 () -> {
-                    if (!s.mSilentUp) {
+                    if (!s.mDropsToSidecar) {
                         arrival.run();
                     }
                 });
     }
 
-    private Consumer<Frame> down(int router, long stream, Stream s) {
+    private Consumer<Frame> frameSender(int router, long stream, Stream s) {
         return frame -> {
-            mNetwork.sendDamageable(
+            mNetwork.sendUnreliably(
                     s.mAttempt,
                     () -> {
-                        if (!s.mSilentDown && !s.mLost) {
-                            long to = mNetwork.strikes() ? 1 + mRandom.nextInt(20) : stream;
-                            give(router, arrival(s, to, frame));
+                        if (!s.mDropsToRouter && !s.mLost) {
+                            long to = mNetwork.drawsFault() ? 1 + mRandom.nextInt(20) : stream;
+                            stepRouter(router, toEvent(s, to, frame));
                         }
                     });
         };
     }
 
-    private static RouterEvent arrival(Stream s, long to, Frame frame) {
-        if (frame == FakeSidecar.CLOSED) {
+    private static RouterEvent toEvent(Stream s, long to, Frame frame) {
+        if (frame == FakeSidecar.STREAM_CLOSED) {
             return new RouterEvent.StreamLost(to, true, "closed");
         }
         return new RouterEvent.FrameArrived(to, FakeSidecar.frame(s.mAttempt, frame));
@@ -310,13 +312,13 @@
     private void onRevoke(int router, RouterEffect.Revoke e) {
         FakeSidecar sidecar =
                 mSidecars.stream().filter(x -> x.ref().id().equals(e.address())).findAny().get();
-        mNetwork.sendDamageable(
+        mNetwork.sendUnreliably(
                 e,
                 () -> {
                     var state = sidecar.revoke(e.attempt(), e.target());
                     RouterEvent answer =
                             new RouterEvent.RevokeAnswered(e.caller(), e.attempt(), state);
-                    mNetwork.sendDamageable(e, () -> give(router, answer));
+                    mNetwork.sendUnreliably(e, () -> stepRouter(router, answer));
                 });
     }
 
@@ -325,7 +327,8 @@
             Caller c = mCallers.get((int) e.caller() - 1);
             c.mBytes.writeBytes(e.bytes());
             long taken = c.mBytes.size();
-            mNetwork.send(c, () -> give(router, new RouterEvent.OutputConsumed(e.caller(), taken)));
+            mNetwork.send(
+                    c, () -> stepRouter(router, new RouterEvent.OutputConsumed(e.caller(), taken)));
         } else if (effect instanceof RouterEffect.AnswerEnd e) {
             finish(e.caller(), ResultCode.OK);
         } else if (effect instanceof RouterEffect.AnswerError e) {
@@ -335,7 +338,7 @@
 
     private void finish(long caller, ResultCode code) {
         Caller c = mCallers.get((int) caller - 1);
-        c.mFinals++;
+        c.mFinalAnswers++;
         c.mCode = code;
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeNetwork.java
@@ -10,56 +10,56 @@
  */
 final class FakeNetwork {
     private final Random mRandom;
-    private final List<Message> mOnTheWay = new ArrayList<>();
+    private final List<Message> mInFlight = new ArrayList<>();
     private double mFaultRate;
 
     FakeNetwork(Random random) {
         mRandom = random;
     }
 
-    private record Message(Object channel, boolean damageable, Runnable arrival) {}
+    private record Message(Object channel, boolean unreliable, Runnable arrival) {}
 
     void setFaultRate(double rate) {
         mFaultRate = rate;
     }
 
-    boolean strikes() {
+    boolean drawsFault() {
         return mRandom.nextDouble() < mFaultRate;
     }
 
     /** Sends over a channel that keeps the order and loses nothing but by being lost itself. */
     void send(Object channel, Runnable arrival) {
-        mOnTheWay.add(new Message(channel, false, arrival));
+        mInFlight.add(new Message(channel, false, arrival));
     }
 
     /** Sends what may also be lost alone, doubled or overtaken. */
-    void sendDamageable(Object channel, Runnable arrival) {
-        mOnTheWay.add(new Message(channel, true, arrival));
+    void sendUnreliably(Object channel, Runnable arrival) {
+        mInFlight.add(new Message(channel, true, arrival));
     }
 
     boolean isEmpty() {
-        return mOnTheWay.isEmpty();
+        return mInFlight.isEmpty();
     }
 
     /** Lets one message arrive, or meet its fault. */
-    void step() {
-        if (mOnTheWay.isEmpty()) {
+    void deliverOne() {
+        if (mInFlight.isEmpty()) {
             return;
         }
-        Message m = mOnTheWay.get(mRandom.nextInt(mOnTheWay.size()));
-        if (m.damageable() && strikes()) {
+        Message m = mInFlight.get(mRandom.nextInt(mInFlight.size()));
+        if (m.unreliable() && drawsFault()) {
             damage(m);
             return;
         }
         Message first = firstOf(m.channel());
-        mOnTheWay.remove(first);
+        mInFlight.remove(first);
         first.arrival().run();
     }
 
     private void damage(Message m) {
         int kind = mRandom.nextInt(3);
         if (kind < 2) {
-            mOnTheWay.remove(m);
+            mInFlight.remove(m);
         }
         if (kind > 0) {
             m.arrival().run();
@@ -67,6 +67,6 @@
     }
 
     private Message firstOf(Object channel) {
-        return mOnTheWay.stream().filter(m -> m.channel().equals(channel)).findFirst().get();
+        return mInFlight.stream().filter(m -> m.channel().equals(channel)).findFirst().get();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeSidecar.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeSidecar.java
@@ -20,16 +20,16 @@
 /** A sidecar with its engine, reduced to what routers can tell apart. */
 final class FakeSidecar {
     /** Stands for the end of a stream: one stream at a time follows an attempt. */
-    static final Frame CLOSED = null;
+    static final Frame STREAM_CLOSED = null;
 
-    private static final int CHUNK = 16;
+    private static final int CHUNK_BYTES = 16;
 
     private final String mId;
     private final Random mRandom;
     private final List<Execution> mExecutions;
     private final Map<AttemptId, Attempt> mAttempts = new HashMap<>();
     private long mIncarnation = 1;
-    private boolean mTroubled;
+    private boolean mFlaky;
     private boolean mBroken;
 
     /** One run of a call on an engine: what really happened. */
@@ -45,8 +45,8 @@
         private AttemptRequest mRequest;
         private Consumer<Frame> mReader = f -> {};
         private Execution mExecution;
-        private Frame mLast;
-        private int mSent;
+        private Frame mFinalFrame;
+        private int mSentBytes;
         private boolean mNeverStarts;
     }
 
@@ -55,8 +55,8 @@
     }
 
     /** Whether engines fail and sidecars refuse now and then. */
-    void setTroubled(boolean troubled) {
-        mTroubled = troubled;
+    void setFlaky(boolean troubled) {
+        mFlaky = troubled;
     }
 
     /** Has the engine fail everything that it begins. */
@@ -85,7 +85,7 @@
             reader.accept(refused(code, ""));
             return;
         }
-        if (mTroubled && mRandom.nextInt(4) == 0) {
+        if (mFlaky && mRandom.nextInt(4) == 0) {
             boolean redirects = mRandom.nextBoolean();
             ResultCode code = redirects ? ResultCode.OVERLOADED : ResultCode.DRAINING;
             reader.accept(refused(code, redirects ? other : ""));
@@ -108,14 +108,14 @@
             reader.accept(refused(ResultCode.OTHER_INCARNATION, ""));
             return;
         }
-        a.mReader.accept(CLOSED);
+        a.mReader.accept(STREAM_CLOSED);
         a.mReader = reader;
-        a.mSent = (int) offset;
+        a.mSentBytes = (int) offset;
         if (a.mExecution != null) {
             reader.accept(new Frame.Head(200, List.of()));
         }
-        if (a.mLast != null && !(a.mLast instanceof Frame.End)) {
-            reader.accept(a.mLast);
+        if (a.mFinalFrame != null && !(a.mFinalFrame instanceof Frame.End)) {
+            reader.accept(a.mFinalFrame);
         }
     }
 
@@ -124,25 +124,27 @@
             return AttemptState.OTHER_INCARNATION;
         }
         Attempt a = mAttempts.computeIfAbsent(id, i -> new Attempt());
-        if (a.mExecution == null && a.mLast == null) {
+        if (a.mExecution == null && a.mFinalFrame == null) {
             a.mNeverStarts = true;
             return AttemptState.NEVER_STARTED;
         }
-        return a.mLast == null ? AttemptState.RUNNING : AttemptState.FINISHED;
+        return a.mFinalFrame == null ? AttemptState.RUNNING : AttemptState.FINISHED;
     }
 
     void cancel(AttemptId id) {
         Attempt a = mAttempts.get(id);
-        if (a != null && a.mLast == null) {
-            a.mLast = new Frame.Failed(ResultCode.CANCELLED, "cancelled");
+        if (a != null && a.mFinalFrame == null) {
+            a.mFinalFrame = new Frame.Failed(ResultCode.CANCELLED, "cancelled");
         }
     }
 
     /** Goes on with one attempt that is not over. */
-    void work() {
+    void advanceOne() {
         List<Attempt> open = new ArrayList<>();
         for (Attempt a : mAttempts.values()) {
-            if (a.mRequest != null && !a.mNeverStarts && (a.mLast == null || isUnsent(a))) {
+            if (a.mRequest != null
+                    && !a.mNeverStarts
+                    && (a.mFinalFrame == null || isEndUnsent(a))) {
                 open.add(a);
             }
         }
@@ -151,12 +153,12 @@
         }
     }
 
-    private static boolean isUnsent(Attempt a) {
-        return a.mLast instanceof Frame.End && a.mSent <= a.mExecution.output().length;
+    private static boolean isEndUnsent(Attempt a) {
+        return a.mFinalFrame instanceof Frame.End && a.mSentBytes <= a.mExecution.output().length;
     }
 
     private void advance(Attempt a) {
-        if (a.mExecution == null && mTroubled && mRandom.nextInt(8) == 0) {
+        if (a.mExecution == null && mFlaky && mRandom.nextInt(8) == 0) {
             a.mNeverStarts = true;
             a.mReader.accept(refused(ResultCode.OVERLOADED, ""));
             return;
@@ -166,24 +168,26 @@
             return;
         }
         byte[] output = a.mExecution.output();
-        if (mBroken || (mTroubled && a.mLast == null && mRandom.nextInt(40) == 0)) {
-            a.mLast = new Frame.Failed(ResultCode.BACKEND_FAILED, "engine failed");
-            a.mReader.accept(a.mLast);
+        if (mBroken || (mFlaky && a.mFinalFrame == null && mRandom.nextInt(40) == 0)) {
+            a.mFinalFrame = new Frame.Failed(ResultCode.BACKEND_FAILED, "engine failed");
+            a.mReader.accept(a.mFinalFrame);
             return;
         }
-        if (a.mSent < output.length) {
-            int end = Math.min(output.length, a.mSent + CHUNK);
-            a.mReader.accept(new Frame.Data(a.mSent, Arrays.copyOfRange(output, a.mSent, end)));
-            a.mSent = end;
+        if (a.mSentBytes < output.length) {
+            int end = Math.min(output.length, a.mSentBytes + CHUNK_BYTES);
+            a.mReader.accept(
+                    new Frame.Data(a.mSentBytes, Arrays.copyOfRange(output, a.mSentBytes, end)));
+            a.mSentBytes = end;
             return;
         }
-        a.mLast = new Frame.End(output.length, Frame.Usage.NONE);
-        a.mReader.accept(a.mLast);
-        a.mSent = output.length + 1;
+        a.mFinalFrame = new Frame.End(output.length, Frame.Usage.NONE);
+        a.mReader.accept(a.mFinalFrame);
+        a.mSentBytes = output.length + 1;
     }
 
     private void start(Attempt a) {
-        byte[] output = new byte[CHUNK * (1 + mRandom.nextInt(8)) + mRandom.nextInt(CHUNK)];
+        byte[] output =
+                new byte[CHUNK_BYTES * (1 + mRandom.nextInt(8)) + mRandom.nextInt(CHUNK_BYTES)];
         mRandom.nextBytes(output);
         a.mExecution = new Execution(a.mRequest, output);
         mExecutions.add(a.mExecution);
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
@@ -17,14 +17,14 @@
     private static final Instant NOW = Instant.EPOCH;
 
     private final MembershipNotes mNotes = new MembershipNotes();
-    private final Memberships mMemberships = new Memberships(mNotes::changed);
+    private final Memberships mMemberships = new Memberships(mNotes::onChange);
 
     private static Backend backend(int number, Backend.State state) {
         BackendRef ref = new BackendRef("w" + number, 0);
         return new Backend(ref, "s", "dc", "", "1.2.3.4:80", state, 6, 1);
     }
 
-    private List<Decision> tell(boolean full, long version, List<Backend> backends) {
+    private List<Decision> applyAndFlush(boolean full, long version, List<Backend> backends) {
         MembershipCursor cursor = new MembershipCursor("c", 1, version);
         mMemberships.apply(NOW, new MembershipDelta(cursor, full, backends));
         List<Decision> lines = new ArrayList<>();
@@ -34,9 +34,9 @@
     }
 
     @Test
-    void aDrainLeavesALineWithItsSource() {
-        tell(true, 1, List.of(backend(1, Backend.State.SERVING)));
-        List<Decision> lines = tell(false, 7, List.of(backend(1, Backend.State.DRAINING)));
+    void drainIsLoggedWithItsSource() {
+        applyAndFlush(true, 1, List.of(backend(1, Backend.State.SERVING)));
+        List<Decision> lines = applyAndFlush(false, 7, List.of(backend(1, Backend.State.DRAINING)));
         assertThat(lines).hasSize(1);
         assertThat(lines.get(0).choice()).isEqualTo("DRAINING");
         assertThat(lines.get(0).candidates()).containsExactly("w1");
@@ -44,20 +44,20 @@
     }
 
     @Test
-    void aWholeViewTakesOneLine() {
+    void fullViewIsLoggedInOneLine() {
         List<Backend> all = new ArrayList<>();
         for (int i = 0; i < 1000; i++) {
             all.add(backend(i, Backend.State.SERVING));
         }
-        List<Decision> lines = tell(true, 1, all);
+        List<Decision> lines = applyAndFlush(true, 1, all);
         assertThat(lines).hasSize(1);
         assertThat(lines.get(0).candidates()).hasSizeLessThan(10);
         assertThat(lines.get(0).reason()).startsWith("1000 changed");
     }
 
     @Test
-    void whatChangesNothingLeavesNoLine() {
-        tell(true, 1, List.of(backend(1, Backend.State.SERVING)));
-        assertThat(tell(true, 2, List.of(backend(1, Backend.State.SERVING)))).isEmpty();
+    void unchangedViewIsNotLogged() {
+        applyAndFlush(true, 1, List.of(backend(1, Backend.State.SERVING)));
+        assertThat(applyAndFlush(true, 2, List.of(backend(1, Backend.State.SERVING)))).isEmpty();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/PlacementsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/PlacementsTest.java
@@ -20,7 +20,7 @@
     // killed while it ran a request, and is back. Its last word, "one running", would stand against
     // it for good: the idle one goes first, so that no answer ever corrects it.
     @Test
-    void loadEndsWithTheRunOfTheSidecarThatToldIt() {
+    void restartedSidecarHasNoKnownLoad() {
         Memberships memberships = new Memberships(b -> {});
         Placements placements =
                 new Placements(new RouterConfig("r", 1, 1, Duration.ofSeconds(1), 16), memberships);
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/Policies.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RequestPolicies.java
@@ -1,11 +1,11 @@
 package org.laurelweir.routing;
 
 /** Request policies that differ from another one in a few values. */
-final class Policies {
-    private Policies() {}
+final class RequestPolicies {
+    private RequestPolicies() {}
 
     /** Returns a policy with other limits of a client account. */
-    static RequestPolicy limited(RequestPolicy p, int maxRunning, double rate) {
+    static RequestPolicy withAccountLimits(RequestPolicy p, int maxRunning, double rate) {
         return new RequestPolicy(
                 p.boundFactor(),
                 p.maxAttempts(),
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
@@ -40,7 +40,7 @@
         for (int i = 0; i < 4; i++) {
             backends.add(backend("s" + i, Backend.State.SERVING));
         }
-        give(exchange(true, backends));
+        step(exchange(true, backends));
     }
 
     private static Backend backend(String id, Backend.State state) {
@@ -57,26 +57,26 @@
                 1);
     }
 
-    private void give(RouterEvent event) {
+    private void step(RouterEvent event) {
         mReducer.step(mNow, event, mEffects::add);
     }
 
-    private void pass(Duration time) {
+    private void advance(Duration time) {
         mNow = mNow.plus(time);
-        give(new RouterEvent.Tick());
+        step(new RouterEvent.Tick());
     }
 
-    private <E extends RouterEffect> List<E> all(Class<E> type) {
+    private <E extends RouterEffect> List<E> effects(Class<E> type) {
         return mEffects.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private <E extends RouterEffect> E last(Class<E> type) {
-        List<E> all = all(type);
+    private <E extends RouterEffect> E lastEffect(Class<E> type) {
+        List<E> all = effects(type);
         assertThat(all).as(type.getSimpleName()).isNotEmpty();
         return all.get(all.size() - 1);
     }
 
-    private void arrive(long caller, boolean idempotent, String key, RequestPolicy policy) {
+    private void sendRequest(long caller, boolean idempotent, String key, RequestPolicy policy) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call("POST", "/x", List.of(), new byte[0], false);
         CallerRequest request =
@@ -93,25 +93,26 @@
                         new AttemptRequest.Cost(1, 1),
                         policy,
                         OutlierConfig.DEFAULT);
-        give(new RouterEvent.RequestArrived(caller, request));
+        step(new RouterEvent.RequestArrived(caller, request));
     }
 
-    private void frame(Frame frame) {
-        frame(frame, LoadHint.UNKNOWN);
+    private void receiveFrame(Frame frame) {
+        receiveFrame(frame, LoadHint.UNKNOWN);
     }
 
-    private void frame(Frame frame, LoadHint load) {
-        BeginAttempt begin = last(BeginAttempt.class);
+    private void receiveFrame(Frame frame, LoadHint load) {
+        BeginAttempt begin = lastEffect(BeginAttempt.class);
         AttemptFrame f = new AttemptFrame(begin.request().id(), load, frame);
-        give(new RouterEvent.FrameArrived(begin.stream(), f));
+        step(new RouterEvent.FrameArrived(begin.stream(), f));
     }
 
-    private void refuse(ResultCode code, String redirectTo) {
-        frame(new Frame.Refused(code, "no", redirectTo, Duration.ofSeconds(3)));
+    private void refuseLastAttempt(ResultCode code, String redirectTo) {
+        receiveFrame(new Frame.Refused(code, "no", redirectTo, Duration.ofSeconds(3)));
     }
 
-    private String untried() {
-        List<String> tried = all(BeginAttempt.class).stream().map(BeginAttempt::address).toList();
+    private String untriedSidecar() {
+        List<String> tried =
+                effects(BeginAttempt.class).stream().map(BeginAttempt::address).toList();
         return List.of("s0", "s1", "s2", "s3").stream()
                 .filter(s -> !tried.contains(s))
                 .findFirst()
@@ -119,95 +120,95 @@
     }
 
     @Test
-    void redirectsAreFollowedTwiceAndThenTheOwnRanking() {
-        arrive(1, true, "", POLICY);
+    void redirectsAreFollowedTwiceBeforeTheRoutersOwnRanking() {
+        sendRequest(1, true, "", POLICY);
         for (int i = 1; i <= 2; i++) {
-            String named = untried();
-            refuse(ResultCode.OVERLOADED, named);
-            assertThat(last(BeginAttempt.class).address()).isEqualTo(named);
-            assertThat(last(BeginAttempt.class).request().redirects()).isEqualTo(i);
+            String named = untriedSidecar();
+            refuseLastAttempt(ResultCode.OVERLOADED, named);
+            assertThat(lastEffect(BeginAttempt.class).address()).isEqualTo(named);
+            assertThat(lastEffect(BeginAttempt.class).request().redirects()).isEqualTo(i);
         }
-        refuse(ResultCode.OVERLOADED, untried());
-        assertThat(all(BeginAttempt.class)).hasSize(3);
-        pass(POLICY.backoffMax());
-        assertThat(all(BeginAttempt.class)).hasSize(4);
+        refuseLastAttempt(ResultCode.OVERLOADED, untriedSidecar());
+        assertThat(effects(BeginAttempt.class)).hasSize(3);
+        advance(POLICY.backoffMax());
+        assertThat(effects(BeginAttempt.class)).hasSize(4);
     }
 
     // A sidecar sends the request on to a backend server that is gone, which this router knows
     // already. Counted as a retry, the caller would be refused once the budget is spent, although
     // others have room; the router's own ranking takes the redirect's place.
     @Test
-    void redirectToAnUnknownServerGivesWayToTheOwnRanking() {
-        arrive(1, true, "", POLICY);
-        refuse(ResultCode.CHAT_ELSEWHERE, "gone");
-        assertThat(all(BeginAttempt.class)).hasSize(2);
-        assertThat(last(BeginAttempt.class).request().redirects()).isEqualTo(1);
+    void redirectToAnUnknownServerFallsBackToTheRoutersRanking() {
+        sendRequest(1, true, "", POLICY);
+        refuseLastAttempt(ResultCode.CHAT_ELSEWHERE, "gone");
+        assertThat(effects(BeginAttempt.class)).hasSize(2);
+        assertThat(lastEffect(BeginAttempt.class).request().redirects()).isEqualTo(1);
     }
 
     @Test
-    void overloadIsToldAtOnceWithTheTimeToComeBack() {
-        arrive(1, true, "", POLICY);
-        refuse(ResultCode.OVERLOADED, "");
-        AnswerError error = last(AnswerError.class);
+    void overloadIsAnsweredAtOnceWithRetryAfter() {
+        sendRequest(1, true, "", POLICY);
+        refuseLastAttempt(ResultCode.OVERLOADED, "");
+        AnswerError error = lastEffect(AnswerError.class);
         assertThat(error.code()).isEqualTo(ResultCode.OVERLOADED);
         assertThat(error.retryAfter()).isEqualTo(Duration.ofSeconds(3));
     }
 
-    private static RequestPolicy limited(int maxRunning, double rate) {
-        return Policies.limited(POLICY, maxRunning, rate);
+    private static RequestPolicy withAccountLimits(int maxRunning, double rate) {
+        return RequestPolicies.withAccountLimits(POLICY, maxRunning, rate);
     }
 
     // An account asks so often that its refills of a tenth each add up to a hair less than one
     // start. What is missing takes less than a nanosecond, and must not count as nothing missing:
     // all that came at that moment would start.
     @Test
-    void hairMissingFromOneStartIsStillMissing() {
-        RequestPolicy slow = limited(100, 1);
-        arrive(1, true, "", slow);
+    void tokensJustBelowOneDoNotAdmitARequest() {
+        RequestPolicy slow = withAccountLimits(100, 1);
+        sendRequest(1, true, "", slow);
         for (long caller = 2; caller <= 11; caller++) {
-            pass(Duration.ofMillis(100));
-            arrive(caller, true, "", slow);
+            advance(Duration.ofMillis(100));
+            sendRequest(caller, true, "", slow);
         }
-        arrive(12, true, "", slow);
-        arrive(13, true, "", slow);
-        assertThat(all(BeginAttempt.class)).hasSizeLessThanOrEqualTo(2);
-        assertThat(last(AnswerError.class).caller()).isEqualTo(13);
+        sendRequest(12, true, "", slow);
+        sendRequest(13, true, "", slow);
+        assertThat(effects(BeginAttempt.class)).hasSizeLessThanOrEqualTo(2);
+        assertThat(lastEffect(AnswerError.class).caller()).isEqualTo(13);
     }
 
     @Test
-    void accountsAreHeldToTheirLimits() {
-        RequestPolicy narrow = limited(1, 2);
-        arrive(1, true, "", narrow);
-        arrive(2, true, "", narrow);
-        assertThat(last(AnswerError.class).code()).isEqualTo(ResultCode.ACCOUNT_LIMIT);
-        refuse(ResultCode.OVERLOADED, "");
-        arrive(3, true, "", narrow);
-        refuse(ResultCode.OVERLOADED, "");
-        arrive(4, true, "", narrow);
-        AnswerError error = last(AnswerError.class);
+    void accountLimitsAreEnforced() {
+        RequestPolicy narrow = withAccountLimits(1, 2);
+        sendRequest(1, true, "", narrow);
+        sendRequest(2, true, "", narrow);
+        assertThat(lastEffect(AnswerError.class).code()).isEqualTo(ResultCode.ACCOUNT_LIMIT);
+        refuseLastAttempt(ResultCode.OVERLOADED, "");
+        sendRequest(3, true, "", narrow);
+        refuseLastAttempt(ResultCode.OVERLOADED, "");
+        sendRequest(4, true, "", narrow);
+        AnswerError error = lastEffect(AnswerError.class);
         assertThat(error.caller()).isEqualTo(4);
         assertThat(error.retryAfter()).isEqualTo(Duration.ofMillis(500));
-        pass(Duration.ofMillis(500));
-        arrive(5, true, "", narrow);
-        assertThat(last(BeginAttempt.class).request().id().request()).isEqualTo(5);
+        advance(Duration.ofMillis(500));
+        sendRequest(5, true, "", narrow);
+        assertThat(lastEffect(BeginAttempt.class).request().id().request()).isEqualTo(5);
     }
 
     @Test
-    void onlyTheMissingPartOfAnOverlappingPieceIsPassedOn() {
-        arrive(1, true, "", POLICY);
-        frame(new Frame.Head(200, List.of()));
-        frame(new Frame.Data(0, new byte[] {1, 2, 3}));
-        frame(new Frame.Data(1, new byte[] {2, 3, 4}));
-        assertThat(last(RouterEffect.AnswerData.class).bytes()).containsExactly(4);
+    void onlyTheNewPartOfAnOverlappingPieceIsForwarded() {
+        sendRequest(1, true, "", POLICY);
+        receiveFrame(new Frame.Head(200, List.of()));
+        receiveFrame(new Frame.Data(0, new byte[] {1, 2, 3}));
+        receiveFrame(new Frame.Data(1, new byte[] {2, 3, 4}));
+        assertThat(lastEffect(RouterEffect.AnswerData.class).bytes()).containsExactly(4);
     }
 
     @Test
-    void nextAttemptTakesTheClaimOfTheOneThatWasRefused() {
-        arrive(1, false, "key", POLICY);
-        RouterEffect.Claim first = last(RouterEffect.Claim.class);
-        grant(first);
-        refuse(ResultCode.OVERLOADED, untried());
-        RouterEffect.Claim second = last(RouterEffect.Claim.class);
+    void nextAttemptReplacesTheRefusedHolderOfTheClaim() {
+        sendRequest(1, false, "key", POLICY);
+        RouterEffect.Claim first = lastEffect(RouterEffect.Claim.class);
+        grantClaim(first);
+        refuseLastAttempt(ResultCode.OVERLOADED, untriedSidecar());
+        RouterEffect.Claim second = lastEffect(RouterEffect.Claim.class);
         assertThat(second.attempt()).isEqualTo(first.attempt().next());
         assertThat(second.replaces()).isEqualTo(first.attempt());
     }
@@ -216,8 +217,8 @@
     // claim must still stand then: it is asked for as long, and longer than the attempt may run.
     @Test
     void claimOutlastsTheAttemptByTheRetention() {
-        arrive(1, false, "key", POLICY);
-        Duration asked = last(RouterEffect.Claim.class).retention();
+        sendRequest(1, false, "key", POLICY);
+        Duration asked = lastEffect(RouterEffect.Claim.class).retention();
         assertThat(asked).isEqualTo(Duration.ofMinutes(1).plus(POLICY.claimRetention()));
     }
 
@@ -227,43 +228,43 @@
     // then it hands on the first outcome. The output is gone by then, so that is "already run".
     // The claim is not settled by a router that knows the end only from hearsay.
     @Test
-    void resendWaitsForTheFirstAttemptAndTellsItsOutcome() {
-        arrive(1, false, "key", POLICY);
-        RouterEffect.Claim claim = last(RouterEffect.Claim.class);
+    void resendWaitsForTheFirstAttemptAndReportsItsOutcome() {
+        sendRequest(1, false, "key", POLICY);
+        RouterEffect.Claim claim = lastEffect(RouterEffect.Claim.class);
         AttemptId first = new AttemptId("r9", 4, 77, 1);
         BackendRef target = new BackendRef("s2", 1);
-        give(
+        step(
                 new RouterEvent.ClaimAnswered(
                         claim.attempt(), ResultCode.OK, first, target, false, ResultCode.OK));
-        assertThat(last(RouterEffect.Revoke.class).attempt()).isEqualTo(first);
-        give(new RouterEvent.RevokeAnswered(1, first, AttemptState.RUNNING));
-        assertThat(all(RouterEffect.ResumeAttempt.class)).isEmpty();
-        pass(POLICY.backoffMax());
-        give(new RouterEvent.RevokeAnswered(1, first, AttemptState.FINISHED));
-        RouterEffect.ResumeAttempt resume = last(RouterEffect.ResumeAttempt.class);
+        assertThat(lastEffect(RouterEffect.Revoke.class).attempt()).isEqualTo(first);
+        step(new RouterEvent.RevokeAnswered(1, first, AttemptState.RUNNING));
+        assertThat(effects(RouterEffect.ResumeAttempt.class)).isEmpty();
+        advance(POLICY.backoffMax());
+        step(new RouterEvent.RevokeAnswered(1, first, AttemptState.FINISHED));
+        RouterEffect.ResumeAttempt resume = lastEffect(RouterEffect.ResumeAttempt.class);
         assertThat(resume.offset()).isZero();
         Frame gone = new Frame.Failed(ResultCode.OUTPUT_NOT_KEPT, "gone");
-        give(
+        step(
                 new RouterEvent.FrameArrived(
                         resume.stream(), new AttemptFrame(first, LoadHint.UNKNOWN, gone)));
-        assertThat(last(AnswerError.class).code()).isEqualTo(ResultCode.ALREADY_RUN);
-        assertThat(all(BeginAttempt.class)).isEmpty();
-        assertThat(all(RouterEffect.SettleClaim.class)).isEmpty();
+        assertThat(lastEffect(AnswerError.class).code()).isEqualTo(ResultCode.ALREADY_RUN);
+        assertThat(effects(BeginAttempt.class)).isEmpty();
+        assertThat(effects(RouterEffect.SettleClaim.class)).isEmpty();
     }
 
     // The message that begins an attempt arrives twice, and the second is refused as a duplicate.
     // The first may run: only asking for the attempt's state tells.
     @Test
-    void duplicateIsNotTakenForNotRun() {
-        arrive(1, false, "", POLICY);
-        refuse(ResultCode.DUPLICATE_ATTEMPT, "");
-        assertThat(all(RouterEffect.Revoke.class)).hasSize(1);
-        assertThat(all(AnswerError.class)).isEmpty();
+    void duplicateRefusalDoesNotMeanNotRun() {
+        sendRequest(1, false, "", POLICY);
+        refuseLastAttempt(ResultCode.DUPLICATE_ATTEMPT, "");
+        assertThat(effects(RouterEffect.Revoke.class)).hasSize(1);
+        assertThat(effects(AnswerError.class)).isEmpty();
     }
 
-    private void grant(RouterEffect.Claim claim) {
+    private void grantClaim(RouterEffect.Claim claim) {
         AttemptId id = claim.attempt();
-        give(
+        step(
                 new RouterEvent.ClaimAnswered(
                         id, ResultCode.OK, id, claim.target(), false, ResultCode.OK));
     }
@@ -273,32 +274,32 @@
     // one from the first byte that is missing, and the caller gets the rest.
     @Test
     void silentStreamIsResumedAtItsOffset() {
-        arrive(1, false, "", POLICY);
-        frame(new Frame.Head(200, List.of()));
-        frame(new Frame.Data(0, new byte[5]));
-        give(new RouterEvent.OutputConsumed(1, 5));
-        pass(POLICY.silenceTimeout());
-        assertThat(all(RouterEffect.DropStream.class)).hasSize(1);
-        RouterEffect.ResumeAttempt resume = last(RouterEffect.ResumeAttempt.class);
+        sendRequest(1, false, "", POLICY);
+        receiveFrame(new Frame.Head(200, List.of()));
+        receiveFrame(new Frame.Data(0, new byte[5]));
+        step(new RouterEvent.OutputConsumed(1, 5));
+        advance(POLICY.silenceTimeout());
+        assertThat(effects(RouterEffect.DropStream.class)).hasSize(1);
+        RouterEffect.ResumeAttempt resume = lastEffect(RouterEffect.ResumeAttempt.class);
         assertThat(resume.offset()).isEqualTo(5);
         assertThat(resume.newConnection()).isTrue();
         AttemptId id = resume.attempt();
         Frame.End end = new Frame.End(5, Frame.Usage.NONE);
-        give(
+        step(
                 new RouterEvent.FrameArrived(
                         resume.stream(), new AttemptFrame(id, LoadHint.UNKNOWN, end)));
-        assertThat(all(RouterEffect.AnswerEnd.class)).hasSize(1);
+        assertThat(effects(RouterEffect.AnswerEnd.class)).hasSize(1);
     }
 
     // A caller that reads slowly keeps its stream from being read, so no frame is heard. That is
     // no silence of the connection: leaving it would only repeat the wait over new ones.
     @Test
-    void slowCallerIsNoSilentStream() {
-        arrive(1, true, "", POLICY);
-        frame(new Frame.Head(200, List.of()));
-        frame(new Frame.Data(0, new byte[5]));
-        pass(POLICY.silenceTimeout().multipliedBy(3));
-        assertThat(all(RouterEffect.DropStream.class)).isEmpty();
+    void slowCallerDoesNotMakeAStreamSilent() {
+        sendRequest(1, true, "", POLICY);
+        receiveFrame(new Frame.Head(200, List.of()));
+        receiveFrame(new Frame.Data(0, new byte[5]));
+        advance(POLICY.silenceTimeout().multipliedBy(3));
+        assertThat(effects(RouterEffect.DropStream.class)).isEmpty();
     }
 
     // The stream of a request that may not be repeated is lost before any answer, and then the
@@ -306,94 +307,94 @@
     // just that, at once, and without advice to send it again.
     @Test
     void restartedSidecarLeavesTheOutcomeUnknown() {
-        arrive(1, false, "", POLICY);
-        BeginAttempt begin = last(BeginAttempt.class);
-        give(new RouterEvent.StreamLost(begin.stream(), true, "reset"));
+        sendRequest(1, false, "", POLICY);
+        BeginAttempt begin = lastEffect(BeginAttempt.class);
+        step(new RouterEvent.StreamLost(begin.stream(), true, "reset"));
         AttemptId id = begin.request().id();
-        give(new RouterEvent.RevokeAnswered(1, id, AttemptState.OTHER_INCARNATION));
-        AnswerError error = last(AnswerError.class);
+        step(new RouterEvent.RevokeAnswered(1, id, AttemptState.OTHER_INCARNATION));
+        AnswerError error = lastEffect(AnswerError.class);
         assertThat(error.code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
         assertThat(error.retryAfter()).isZero();
-        assertThat(all(BeginAttempt.class)).hasSize(1);
+        assertThat(effects(BeginAttempt.class)).hasSize(1);
     }
 
     // The control leader can't be reached. The request has not been sent, and without a claim it
     // must not be: the caller is told at once that it was not run and when to come back.
     @Test
-    void noClaimMeansNotRun() {
-        arrive(1, false, "key", POLICY);
-        AttemptId id = last(RouterEffect.Claim.class).attempt();
-        BackendRef target = last(RouterEffect.Claim.class).target();
-        give(
+    void requestIsNotSentWithoutAClaim() {
+        sendRequest(1, false, "key", POLICY);
+        AttemptId id = lastEffect(RouterEffect.Claim.class).attempt();
+        BackendRef target = lastEffect(RouterEffect.Claim.class).target();
+        step(
                 new RouterEvent.ClaimAnswered(
                         id, ResultCode.NO_QUORUM, id, target, false, ResultCode.OK));
-        assertThat(last(AnswerError.class).code()).isEqualTo(ResultCode.CLAIM_UNAVAILABLE);
-        assertThat(last(AnswerError.class).retryAfter()).isPositive();
-        assertThat(all(BeginAttempt.class)).isEmpty();
+        assertThat(lastEffect(AnswerError.class).code()).isEqualTo(ResultCode.CLAIM_UNAVAILABLE);
+        assertThat(lastEffect(AnswerError.class).retryAfter()).isPositive();
+        assertThat(effects(BeginAttempt.class)).isEmpty();
     }
 
     // The caller of a keyed order hangs up while it runs. The order is not cancelled half way; it
     // ends, and its claim is settled, so that the caller's resend finds the first outcome.
     @Test
-    void keyedRequestOutlivesItsCaller() {
-        arrive(1, false, "key", POLICY);
-        grant(last(RouterEffect.Claim.class));
-        frame(new Frame.Head(200, List.of()));
-        give(new RouterEvent.CallerGone(1));
-        frame(new Frame.Data(0, new byte[3]));
-        give(new RouterEvent.StopRequested());
-        assertThat(all(RouterEffect.Stopped.class)).isEmpty();
-        frame(new Frame.End(3, Frame.Usage.NONE));
-        assertThat(all(RouterEffect.CancelAttempt.class)).isEmpty();
-        assertThat(all(RouterEffect.AnswerData.class)).isEmpty();
-        assertThat(last(RouterEffect.SettleClaim.class).code()).isEqualTo(ResultCode.OK);
-        assertThat(all(RouterEffect.Stopped.class)).hasSize(1);
+    void keyedRequestFinishesAfterItsCallerDisconnects() {
+        sendRequest(1, false, "key", POLICY);
+        grantClaim(lastEffect(RouterEffect.Claim.class));
+        receiveFrame(new Frame.Head(200, List.of()));
+        step(new RouterEvent.CallerGone(1));
+        receiveFrame(new Frame.Data(0, new byte[3]));
+        step(new RouterEvent.StopRequested());
+        assertThat(effects(RouterEffect.Stopped.class)).isEmpty();
+        receiveFrame(new Frame.End(3, Frame.Usage.NONE));
+        assertThat(effects(RouterEffect.CancelAttempt.class)).isEmpty();
+        assertThat(effects(RouterEffect.AnswerData.class)).isEmpty();
+        assertThat(lastEffect(RouterEffect.SettleClaim.class).code()).isEqualTo(ResultCode.OK);
+        assertThat(effects(RouterEffect.Stopped.class)).hasSize(1);
     }
 
     @Test
-    void drainingSidecarIsPassedOverFromItsFirstWordOn() {
-        arrive(1, true, "", POLICY);
-        String home = last(BeginAttempt.class).address();
-        frame(new Frame.Accepted(0), new LoadHint(1, 1, true));
-        arrive(2, true, "", POLICY);
-        assertThat(last(BeginAttempt.class).address()).isNotEqualTo(home);
+    void sidecarThatReportsDrainingIsTriedLast() {
+        sendRequest(1, true, "", POLICY);
+        String home = lastEffect(BeginAttempt.class).address();
+        receiveFrame(new Frame.Accepted(0), new LoadHint(1, 1, true));
+        sendRequest(2, true, "", POLICY);
+        assertThat(lastEffect(BeginAttempt.class).address()).isNotEqualTo(home);
     }
 
     // The caller is answered although the home of its chat leaves. A sidecar that has room sends
     // the chat on to its home, which refuses, and names that sidecar as the next in rank. It is
     // asked again: sending on is not refusing, and with two servers nobody else is left.
     @Test
-    void sidecarThatSentAChatOnIsAskedAgain() {
-        arrive(1, true, "", POLICY);
-        String first = last(BeginAttempt.class).address();
-        refuse(ResultCode.CHAT_ELSEWHERE, untried());
-        refuse(ResultCode.DRAINING, first);
-        assertThat(all(BeginAttempt.class)).hasSize(3);
-        assertThat(last(BeginAttempt.class).address()).isEqualTo(first);
+    void redirectingSidecarIsTriedAgain() {
+        sendRequest(1, true, "", POLICY);
+        String first = lastEffect(BeginAttempt.class).address();
+        refuseLastAttempt(ResultCode.CHAT_ELSEWHERE, untriedSidecar());
+        refuseLastAttempt(ResultCode.DRAINING, first);
+        assertThat(effects(BeginAttempt.class)).hasSize(3);
+        assertThat(lastEffect(BeginAttempt.class).address()).isEqualTo(first);
     }
 
     @Test
     void restartedSidecarIsTriedLastUntilItIsAnnounced() {
-        arrive(1, true, "", POLICY);
-        String home = last(BeginAttempt.class).address();
-        refuse(ResultCode.OTHER_INCARNATION, "");
-        arrive(2, true, "", POLICY);
-        assertThat(last(BeginAttempt.class).address()).isNotEqualTo(home);
+        sendRequest(1, true, "", POLICY);
+        String home = lastEffect(BeginAttempt.class).address();
+        refuseLastAttempt(ResultCode.OTHER_INCARNATION, "");
+        sendRequest(2, true, "", POLICY);
+        assertThat(lastEffect(BeginAttempt.class).address()).isNotEqualTo(home);
     }
 
     // The router turns to a control instance that has just started and has heard of one sidecar so
     // far. Taken at its word, the others' chats would all move there; they stay for a while, and
     // go only if nobody names them again.
     @Test
-    void missingBackendServersStayForAWhile() {
-        give(exchange(true, List.of(backend("s0", Backend.State.SERVING))));
-        pass(Duration.ofMillis(100));
-        arrive(1, true, "", POLICY);
-        refuse(ResultCode.DRAINING, "");
-        pass(POLICY.backoffMax());
-        assertThat(all(BeginAttempt.class)).hasSize(2);
-        pass(Duration.ofSeconds(10));
-        arrive(2, true, "", POLICY);
-        assertThat(last(BeginAttempt.class).address()).isEqualTo("s0");
+    void missingBackendServersAreKeptForAWhile() {
+        step(exchange(true, List.of(backend("s0", Backend.State.SERVING))));
+        advance(Duration.ofMillis(100));
+        sendRequest(1, true, "", POLICY);
+        refuseLastAttempt(ResultCode.DRAINING, "");
+        advance(POLICY.backoffMax());
+        assertThat(effects(BeginAttempt.class)).hasSize(2);
+        advance(Duration.ofSeconds(10));
+        sendRequest(2, true, "", POLICY);
+        assertThat(lastEffect(BeginAttempt.class).address()).isEqualTo("s0");
     }
 }
