--- a/org.laurelweir/src/main/java/org/laurelweir/routing/AccountLimits.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/AccountLimits.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * Bounds each client account's requests: how many run and how many start. The limits are the
- * deployment's; this router holds its share of them.
+ * Limits the running requests and the request rate of each client account. The limits hold for the
+ * whole deployment; this router enforces its share of them.
  */
 final class AccountLimits {
     private static final Duration CONCURRENCY_RETRY_AFTER = Duration.ofSeconds(1);
 
-    /** For an account that may start next to nothing; it is told to look again. */
+    /** Longest wait that a caller is advised, for an account whose rate is close to zero. */
     private static final double MAX_WAIT_SECONDS = 60;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -20,41 +20,43 @@
     private final Map<String, Usage> mUsages = new HashMap<>();
     private final RouterCount mRouterCount = new RouterCount();
 
-    /** Takes note of how many routers serve. */
+    /** Updates the number of routers that serve. */
     void onRouterCount(Instant now, int routers) {
         mRouterCount.update(now, routers);
     }
 
-    /** Returns how many routers serve; a lower number than before counts after a while only. */
+    /** Returns the number of routers that serve. A decrease takes effect after a delay only. */
     int routerCount() {
         return mRouterCount.count();
     }
 
     /**
-     * Counts a request in, if its account may start it.
+     * Admits a request if its client account is within its limits, and counts it as running.
      *
-     * @return zero if it may, else when to come back
+     * @return zero if the request is admitted, otherwise the time after which to retry
      */
     Duration admit(Instant now, String account, RequestPolicy policy) {
         double rate = mRouterCount.share(policy.accountRate());
-        Usage u = mUsages.computeIfAbsent(account, a -> new Usage(now, rate));
-        u.refill(now, rate);
-        // At least one each: an account with a low limit would else be shut out everywhere.
-        if (u.mRunning >= Math.ceil(mRouterCount.share(policy.accountMaxRunning()))) {
+        Usage usage = mUsages.computeIfAbsent(account, a -> new Usage(now, rate));
+        usage.refill(now, rate);
+        // The share is at least one request: otherwise all routers would reject an account with a
+        // low limit.
+        if (usage.mRunning >= Math.ceil(mRouterCount.share(policy.accountMaxRunning()))) {
             return CONCURRENCY_RETRY_AFTER;
         }
-        if (u.mTokens < 1) {
-            double seconds = (1 - u.mTokens) / rate;
-            // Rounded up: a wait below a nanosecond would else read as "may start", uncounted.
+        if (usage.mTokens < 1) {
+            double seconds = (1 - usage.mTokens) / rate;
+            // Rounded up: a wait below one nanosecond would read as zero, which means admitted,
+            // while the request is not counted.
             return Duration.ofNanos(
                     (long) Math.ceil(Math.min(MAX_WAIT_SECONDS, seconds) * NANOS_PER_SECOND));
         }
-        u.mTokens--;
-        u.mRunning++;
+        usage.mTokens--;
+        usage.mRunning++;
         return Duration.ZERO;
     }
 
-    /** Counts a request out. */
+    /** Counts a running request of the account as ended. */
     void release(String account) {
         mUsages.get(account).mRunning--;
     }
@@ -69,7 +71,10 @@
             mTokens = burst(rate);
         }
 
-        /** What the account may start at once: one second's worth, and never less than one. */
+        /**
+         * Returns the requests that the account may start at once: one second's worth, at least
+         * one.
+         */
         private static double burst(double rate) {
             return Math.max(1, rate);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/ActiveRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ActiveRequest.java
@@ -8,96 +8,108 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.placement.ChatKey;
 
-/** One caller's request while it is in flight; the classes of this package share it. */
+/**
+ * A caller's request while it is in flight. The classes of this package share it and change its
+ * fields.
+ */
 final class ActiveRequest {
     /** What the request waits for. */
     enum Phase {
-        /** The claim on its idempotency key. */
+        /** Waits for control to answer the claim on the idempotency key. */
         CLAIMING,
-        /** The time of its next attempt; nothing of it runs. */
+        /** Waits for the time of the next attempt; no attempt is running. */
         BACKING_OFF,
-        /** Frames of its attempt. */
+        /** Receives frames of the attempt. */
         STREAMING,
-        /** A sidecar's word on whether its attempt ever started. */
+        /** Waits for a sidecar to report whether the attempt ever started. */
         REVOKING,
-        /** The time of the next try to reach its attempt. */
+        /** Waits for the time of the next try to reconnect to the attempt. */
         RECONNECTING
     }
 
-    /** The caller's number; it is also the request's number in attempt ids. */
+    /** The caller's number, which is also the request number in attempt ids. */
     final long mCaller;
 
     final CallerRequest mRequest;
     final Instant mDeadline;
 
-    /** The chat's key; a request of no chat has one made up, which spreads such requests. */
+    /** The chat's key; for a request without a chat a random key, which spreads such requests. */
     final ChatKey mChatKey;
 
     Phase mPhase = Phase.BACKING_OFF;
 
-    /** When the phase is over by itself; while streaming it is the silence that counts. */
+    /** When the phase times out. The streaming phase ends by {@code silenceTimeout} instead. */
     Instant mWakeAt = Instant.MAX;
 
-    /** The attempt whose output goes to the caller: an own one or, when following, another's. */
+    /**
+     * The attempt whose output goes to the caller: an own one, or that of another caller's request
+     * when {@link #mFollowing} is set.
+     */
     AttemptId mAttempt;
 
     Target mTarget;
 
-    /** The stream of the attempt, or 0. */
+    /** The stream of the attempt, or 0 if there is none. */
     long mStream;
 
-    /** Whether the stream follows an attempt that was begun over another one. */
+    /** Whether the stream resumes an attempt that began on another stream. */
     boolean mResumed;
 
-    /** When the last frame came, or when the caller last kept the stream from being read. */
+    /** When the last frame arrived or the caller last consumed output. */
     Instant mLastActivityAt = Instant.MIN;
 
-    /** Whether the sidecar is known to have taken the attempt. */
+    /** Whether the sidecar is known to have accepted the attempt. */
     boolean mAccepted;
 
     boolean mHeadSent;
 
-    /** Bytes of the answer's body passed on. */
+    /** Bytes of the answer's body that were forwarded to the caller. */
     long mForwardedBytes;
 
-    /** Bytes of the answer's body that the caller took. */
+    /** Bytes of the answer's body that the caller consumed. */
     long mConsumedBytes;
 
-    /** Own attempts so far. */
+    /** Own attempts so far, the current one included. */
     int mAttemptCount;
 
     int mRedirectCount;
 
-    /** Own attempts beyond the first that no sidecar asked for. */
+    /** Own attempts after the first one, without those that followed a sidecar's redirect. */
     int mRetryCount;
 
-    /** Tries to reach the attempt again since it last showed progress. */
+    /** Tries to reconnect to the attempt since it last made progress. */
     int mRecoveryCount;
 
-    /** Whether an answer's end has contradicted what was received. */
+    /** Whether the length in an end frame has already differed from the bytes received. */
     boolean mEndMismatched;
 
-    /** Whether any attempt at the request ran or may have run: it is never called "not run". */
+    /** Whether any attempt ran or may have run. If so, no error to the caller may say "not run". */
     boolean mMayHaveRun;
 
-    /** Whether the caller has been answered or is gone, and only the outcome is still of use. */
+    /** Whether the caller has its answer or is gone, so that only the outcome still matters. */
     boolean mDetached;
 
-    /** Whether the attempt is another's that holds the claim on the same key. */
+    /**
+     * Whether the attempt belongs to another caller's request that holds the claim on the same key.
+     */
     boolean mFollowing;
 
-    /** The attempt that is proved never to run and gives its claim to the next, or null. */
+    /**
+     * The attempt that is known never to run and whose claim the next attempt takes over, or null.
+     */
     AttemptId mReplacedAttempt;
 
     /** The attempt that holds the claim as far as this router knows, or null. */
     AttemptId mClaimHolder;
 
-    /** Whether control has recorded that the claim's holder, another's attempt, ran to its end. */
+    /**
+     * Whether control has recorded that the claim's holder, another request's attempt, completed.
+     */
     boolean mHolderCompleted;
 
     int mClaimCount;
 
-    /** Why the last attempt failed; what the caller is told if none follows. */
+    /** Why the last attempt failed. The caller receives this error if no attempt follows. */
     Failure mLastFailure;
 
     final Set<BackendRef> mTriedTargets = new HashSet<>();
@@ -117,7 +129,9 @@
         return !mRequest.idempotent() && !mRequest.idempotencyKey().isEmpty();
     }
 
-    /** Whether running it once more is harmless, and the caller has seen nothing of an answer. */
+    /**
+     * Returns whether a further run is harmless and the caller has received nothing of an answer.
+     */
     boolean mayRunAgain() {
         return mRequest.idempotent() && !mHeadSent;
     }
@@ -131,7 +145,7 @@
         mWakeAt = wakeAt;
     }
 
-    /** Turns to a new own attempt. */
+    /** Makes a new own attempt the current one. */
     void startOwnAttempt(AttemptId attempt, Target target) {
         mAttempt = attempt;
         mTarget = target;
@@ -142,7 +156,7 @@
         mTriedTargets.add(target.ref());
     }
 
-    /** Turns to another's attempt, which holds the claim on the same key. */
+    /** Makes the current attempt that of another request, which holds the claim on the same key. */
     void followAttempt(AttemptId holder, Target target) {
         mAttempt = holder;
         mTarget = target;
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Attempts.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.laurelweir.attempt.AttemptRequest;
 
-/** Begins attempts and follows them over new streams. */
+/** Begins attempts, and resumes them on new streams. */
 final class Attempts {
     private final Requests mRequests;
 
@@ -11,13 +11,13 @@
         mRequests = requests;
     }
 
-    /** Sends the request's present attempt for the first and only time. */
+    /** Sends the request's current attempt. Each attempt is sent only once. */
     void begin(Step s, ActiveRequest r) {
         long stream = openStream(s, r, false);
         s.emit(new RouterEffect.BeginAttempt(stream, r.mTarget.address(), buildRequest(s, r)));
     }
 
-    /** Follows the request's present attempt from the first byte that the caller lacks. */
+    /** Resumes the request's current attempt at the first byte that was not forwarded yet. */
     void resume(Step s, ActiveRequest r) {
         long stream = openStream(s, r, true);
         s.emit(
@@ -30,7 +30,7 @@
                         true));
     }
 
-    /** Leaves the stream, whose connection is suspect from now on. */
+    /** Drops the request's stream and treats its connection as suspect. */
     void dropStream(Step s, ActiveRequest r) {
         if (r.mStream != 0) {
             s.emit(new RouterEffect.DropStream(r.mStream));
@@ -47,19 +47,19 @@
     }
 
     private static AttemptRequest buildRequest(Step s, ActiveRequest r) {
-        CallerRequest q = r.mRequest;
+        CallerRequest request = r.mRequest;
         return AttemptRequest.builder(r.mAttempt, r.mTarget.ref())
-                .account(q.account(), q.policy().accountWeight())
-                .service(q.service())
-                .chat(q.chat(), q.returning())
-                .call(q.call())
-                .idempotent(q.idempotent())
-                .idempotencyKey(q.idempotencyKey())
+                .account(request.account(), request.policy().accountWeight())
+                .service(request.service())
+                .chat(request.chat(), request.returning())
+                .call(request.call())
+                .idempotent(request.idempotent())
+                .idempotencyKey(request.idempotencyKey())
                 .timeLeft(r.timeLeft(s.now()))
-                .priority(q.priority())
-                .cost(q.cost())
+                .priority(request.priority())
+                .cost(request.cost())
                 .redirects(r.mRedirectCount)
-                .outputKeepTime(r.needsClaim() ? q.policy().claimRetention() : Duration.ZERO)
+                .outputKeepTime(r.needsClaim() ? request.policy().claimRetention() : Duration.ZERO)
                 .build();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/ClaimAnswers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ClaimAnswers.java
@@ -3,9 +3,12 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.membership.Backend;
 
-/** Goes on with a request once control has answered its claim. */
+/** Continues a request once control has answered its claim. */
 final class ClaimAnswers {
-    /** Claims of one request; each but the first replaces an attempt proved not to have run. */
+    /**
+     * Maximum claims per request. Each claim after the first replaces an attempt that is known not
+     * to have run.
+     */
     private static final int MAX_CLAIMS = 8;
 
     private final Memberships mMemberships;
@@ -19,17 +22,17 @@
             Attempts attempts,
             Recovery recovery,
             Outcomes outcomes,
-            DecisionLogger decisions) {
+            DecisionLogger decisionLogger) {
         mMemberships = memberships;
         mAttempts = attempts;
         mRecovery = recovery;
         mOutcomes = outcomes;
-        mDecisionLogger = decisions;
+        mDecisionLogger = decisionLogger;
     }
 
     void onAnswered(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
-        boolean awaited = r.mPhase == ActiveRequest.Phase.CLAIMING;
-        if (!awaited || !answer.attempt().equals(r.mAttempt)) {
+        boolean isClaiming = r.mPhase == ActiveRequest.Phase.CLAIMING;
+        if (!isClaiming || !answer.attempt().equals(r.mAttempt)) {
             return;
         }
         if (answer.code() == ResultCode.IDEMPOTENCY_KEY_REUSED) {
@@ -45,22 +48,26 @@
         }
     }
 
-    /** Nothing was sent and nothing will be: without a claim two routers could both run the key. */
+    /**
+     * Fails the request without sending it. Without a claim, two routers could run the same key.
+     */
     void failUnavailable(Step s, ActiveRequest r, String reason) {
-        String message = "no claim on the idempotency key could be had: " + reason;
+        String message = "cannot claim the idempotency key: " + reason;
         mOutcomes.fail(s, r, new Failure(ResultCode.CLAIM_UNAVAILABLE, message));
     }
 
     private void onHeldByOther(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
         if (r.mClaimCount >= MAX_CLAIMS) {
             r.mMayHaveRun = true;
-            failUnavailable(s, r, "others hold it");
+            failUnavailable(s, r, "another attempt still holds it after the last allowed claim");
             return;
         }
         followHolder(s, r, answer);
     }
 
-    /** The key's first attempt has the outcome: its sidecar tells, and hands over its output. */
+    /**
+     * Obtains the outcome of the key's first attempt from its sidecar, which also has its output.
+     */
     private void followHolder(Step s, ActiveRequest r, RouterEvent.ClaimAnswered answer) {
         Backend b = mMemberships.backend(answer.target().id());
         String address = b == null ? "" : b.address();
@@ -69,7 +76,7 @@
         if (b == null) {
             ResultCode code =
                     r.mHolderCompleted ? ResultCode.ALREADY_RUN : ResultCode.OUTCOME_UNKNOWN;
-            String message = "the backend server of the first attempt has left";
+            String message = "the backend server of the first attempt has left the fleet";
             mOutcomes.fail(s, r, new Failure(code, message));
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Claims.java
@@ -3,31 +3,33 @@
 import java.time.Duration;
 import org.laurelweir.lib.ResultCode;
 
-/** Asks control for claims on idempotency keys and tells it how they ended. */
+/** Requests claims on idempotency keys from control, and records how they ended. */
 final class Claims {
     /**
-     * Asks for the claim of the request's present attempt. The attempt is sent only once the claim
-     * is granted: a resend on any router then finds it, and no second one is sent.
+     * Requests the claim for the request's current attempt. The attempt is sent only after control
+     * has granted the claim: a resend through any router then finds the claim and starts no second
+     * attempt.
      */
     void claim(Step s, ActiveRequest r) {
         r.mClaimCount++;
         r.enterPhase(ActiveRequest.Phase.CLAIMING, s.now().plus(r.policy().silenceTimeout()));
-        CallerRequest q = r.mRequest;
+        CallerRequest request = r.mRequest;
         s.emit(
                 new RouterEffect.Claim(
                         r.mAttempt,
-                        q.account(),
-                        q.idempotencyKey(),
-                        q.service(),
-                        q.call().fingerprint(),
+                        request.account(),
+                        request.idempotencyKey(),
+                        request.service(),
+                        request.call().fingerprint(),
                         r.mTarget.ref(),
                         r.mReplacedAttempt,
                         retention(s, r)));
     }
 
     /**
-     * The caller's time to ask again begins when the answer can come no more: a claim that ended
-     * while its attempt still ran would let a resend run a second time.
+     * Returns the retention that starts at the request's deadline, after which no answer can
+     * arrive. A claim that expired while its attempt still ran would let a resend run a second
+     * time.
      */
     private static Duration retention(Step s, ActiveRequest r) {
         Duration left = r.timeLeft(s.now());
@@ -37,11 +39,13 @@
 
     /** Records how the attempt that holds the request's claim ended. */
     void settle(Step s, ActiveRequest r, ResultCode code) {
-        // Of another's attempt this router can vouch for the whole answer only.
+        // This router can confirm the end of another request's attempt only by its complete answer.
         if (r.mClaimHolder == null || (r.mFollowing && code != ResultCode.OK)) {
             return;
         }
-        CallerRequest q = r.mRequest;
-        s.emit(new RouterEffect.SettleClaim(r.mClaimHolder, q.account(), q.idempotencyKey(), code));
+        CallerRequest request = r.mRequest;
+        s.emit(
+                new RouterEffect.SettleClaim(
+                        r.mClaimHolder, request.account(), request.idempotencyKey(), code));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
@@ -7,34 +7,36 @@
 import org.laurelweir.quarantine.CrashTable;
 
 /**
- * Tells control under which requests backend servers ended, and learns what other routers saw. A
- * control instance that has just started, or is asked for the first time, is told everything: none
- * of it is kept on a disk.
+ * Exchanges crash records with control. A crash record names a request under which a backend server
+ * crashed. Sends the records of this router and merges those of other routers. A control instance
+ * that has just started, or that this router asks for the first time, receives all records, since
+ * control keeps none of them on disk.
  */
 final class CrashSharing {
     private final CrashTable mCrashes;
 
-    /** The run of a control instance that knows what is noted below. */
+    /** The run of the control instance that the versions below refer to. */
     private MembershipCursor mControlRun = MembershipCursor.NONE;
 
-    /** How far this router has that instance's records. */
+    /** Version of that instance's records that this router has received. */
     private long mReceivedVersion;
 
-    /** How far that instance has this router's, and will have them with the answer under way. */
+    /** Version of this router's records that the instance has acknowledged. */
     private long mAcknowledgedVersion;
 
+    /** Version of this router's records that the exchange in flight sends. */
     private long mInFlightVersion;
 
     CrashSharing(CrashTable crashes) {
         mCrashes = crashes;
     }
 
-    /** Returns whether there is something to tell. */
+    /** Returns whether control lacks some of this router's records. */
     boolean hasUnacknowledgedRecords() {
         return mCrashes.version() > mAcknowledgedVersion;
     }
 
-    /** Returns what to tell with the exchange that begins. */
+    /** Returns the report for the exchange that begins. */
     CrashReport report(Instant now) {
         CrashDelta delta = mCrashes.since(now, mAcknowledgedVersion);
         mInFlightVersion = delta.version();
@@ -42,19 +44,19 @@
     }
 
     /**
-     * Takes what a control instance told.
+     * Applies a control instance's answer to an exchange.
      *
-     * @param control names its run
-     * @param delta what it told
+     * @param control names the run of the instance
+     * @param delta the crash records that it sent
      */
     void onAnswered(Instant now, MembershipCursor control, CrashDelta delta) {
         mAcknowledgedVersion = control.isSameRun(mControlRun) ? mInFlightVersion : 0;
         mControlRun = control;
         mReceivedVersion = delta.version();
-        boolean nothingToTell = !hasUnacknowledgedRecords();
+        boolean hadNothingToSend = !hasUnacknowledgedRecords();
         mCrashes.merge(now, delta.records());
-        if (nothingToTell) {
-            // What is new now came from that very instance.
+        if (hadNothingToSend) {
+            // All newer records came from this very instance, so that it needs none of them back.
             mAcknowledgedVersion = mCrashes.version();
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/DecisionLogger.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/DecisionLogger.java
@@ -6,11 +6,11 @@
 import org.laurelweir.lib.Decision;
 import org.laurelweir.placement.LoadBound;
 
-/** Tells every routing decision with what it was made from. */
+/** Logs every routing decision with the inputs that it was made from. */
 final class DecisionLogger {
     static final String PROGRAM = "router";
 
-    /** What sidecars take at least; they alone apply the bound, routers only show it. */
+    /** The smallest bound of a sidecar. Routers only log the bound; sidecars alone enforce it. */
     private static final double CAPACITY_FLOOR = SidecarSettings.DEFAULT.bound().capacityFloor();
 
     private final RouterConfig mConfig;
@@ -21,25 +21,28 @@
         mPlacements = placements;
     }
 
-    /** The request's next attempt goes to a backend server. */
-    void logChoice(Step s, ActiveRequest r, Placements.Choice c) {
-        String id = c.target().ref().id();
+    /** Logs which backend server receives the request's next attempt. */
+    void logChoice(Step s, ActiveRequest r, Placements.Choice choice) {
+        String id = choice.target().ref().id();
         double load = mPlacements.load(id).runningWork();
         double mean = mPlacements.meanWork(r.mRequest.service());
         double bound = LoadBound.bound(mean, r.policy().boundFactor(), CAPACITY_FLOOR);
         String reason =
-                r.mAttemptCount > 1 && !c.reason().equals("redirect")
-                        ? "retry_" + c.reason()
-                        : c.reason();
-        log(s, r, c.candidates(), id, reason, load, bound);
+                r.mAttemptCount > 1 && !choice.reason().equals("redirect")
+                        ? "retry_" + choice.reason()
+                        : choice.reason();
+        log(s, r, choice.candidates(), id, reason, load, bound);
     }
 
-    /** The request gets an error instead of an attempt, or instead of a further one. */
-    void logGivenUp(Step s, ActiveRequest r, Failure f) {
-        log(s, r, List.of(), f.code().name(), "given_up", 0, 0);
+    /** Logs that the request ends with an error and has no further attempt. */
+    void logGivenUp(Step s, ActiveRequest r, Failure failure) {
+        log(s, r, List.of(), failure.code().name(), "given_up", 0, 0);
     }
 
-    /** The request's attempt is followed over a new stream, or its sidecar asked about it. */
+    /**
+     * Logs that the request's attempt is resumed on a new stream, or that its sidecar is asked
+     * about the attempt's state.
+     */
     void logRecovery(Step s, ActiveRequest r, String reason) {
         log(s, r, List.of(), r.mTarget.ref().id(), reason, 0, 0);
     }
@@ -52,14 +55,14 @@
             String reason,
             double load,
             double bound) {
-        CallerRequest q = r.mRequest;
+        CallerRequest request = r.mRequest;
         s.emit(
                 new RouterEffect.LogDecision(
                         Decision.builder(s.now(), PROGRAM)
                                 .request(requestName(r.mCaller))
-                                .chat(q.chat())
-                                .account(q.account())
-                                .service(q.service())
+                                .chat(request.chat())
+                                .account(request.account())
+                                .service(request.service())
                                 .candidates(candidates)
                                 .choice(choice, reason)
                                 .load(load, bound)
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/DepartedBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/DepartedBackends.java
@@ -8,32 +8,33 @@
 import org.laurelweir.membership.MembershipConfig;
 
 /**
- * The backend servers that left lately, or drained when they were last named. A router that goes on
- * to a control instance which was cut off when one left is told that it serves; without this it
- * would be sent requests again.
+ * The backend servers that left recently, or that were draining when control stopped naming them. A
+ * control instance that was cut off when a backend server left still reports it as serving. Without
+ * this record, a router that switches to that instance would send the backend server requests
+ * again.
  */
 final class DepartedBackends {
     private final Map<String, DepartedBackend> mDeparted = new LinkedHashMap<>();
 
-    /** Notes one that has left. */
+    /** Adds a backend server that has left. */
     void add(Instant now, Backend b) {
-        // The map is in the order of its entries' times, as it is forgotten from its beginning.
+        // The map has to keep the order of departure: expire() removes from its beginning.
         mDeparted.remove(b.ref().id());
         mDeparted.put(b.ref().id(), new DepartedBackend(b, now));
     }
 
-    /** Returns one that has left, as it was announced, or null. */
+    /** Returns a departed backend server as control last announced it, or null. */
     Backend get(String id) {
         DepartedBackend d = mDeparted.get(id);
         return d == null ? null : d.backend();
     }
 
-    /** Notes that one is back. */
+    /** Removes a backend server that has returned. */
     void remove(String id) {
         mDeparted.remove(id);
     }
 
-    /** Forgets those that left long ago. */
+    /** Removes backend servers whose departure is older than the retention time. */
     void expire(Instant now) {
         Iterator<DepartedBackend> oldest = mDeparted.values().iterator();
         while (oldest.hasNext()
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/ExchangeScheduler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/ExchangeScheduler.java
@@ -5,12 +5,15 @@
 import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.MembershipCursor;
 
-/** Exchanges with control at an interval, one at a time. */
+/** Schedules the exchanges with control: one at a time, at an interval. */
 final class ExchangeScheduler {
-    /** Until control answers, nothing can be served, so that waiting longer only adds to that. */
+    /**
+     * Interval until control answers, at first and after a failure. Before the first answer the
+     * router can't serve requests, and a longer interval would only prolong that.
+     */
     private static final Duration UNANSWERED_INTERVAL = Duration.ofMillis(200);
 
-    /** Between two exchanges, also where there is something to tell. */
+    /** Minimum time between two exchanges, also when crash records wait to be sent. */
     private static final Duration MIN_INTERVAL = Duration.ofMillis(100);
 
     private final Duration mInterval;
@@ -24,9 +27,9 @@
     }
 
     /**
-     * Asks control if it is time and the last answer, or its failure, has arrived: of two answers
-     * under way the older one could arrive last and take the cursor back. What other routers should
-     * know soon does not wait for the interval to end.
+     * Starts an exchange if it is due and the previous one has ended. Only one is in flight: of two
+     * answers the older could arrive last and move the cursor back. Unsent crash records don't wait
+     * for the interval to end.
      */
     void onTick(Step s, MembershipCursor cursor, CrashSharing crashes, LoadEstimator loads) {
         Instant due = mLastAnswered && crashes.hasUnacknowledgedRecords() ? mNextUrgentAt : mNextAt;
@@ -41,7 +44,7 @@
                         cursor, crashes.report(s.now()), loads.report(s.now())));
     }
 
-    /** The exchange under way was answered, or failed. */
+    /** Handles the end of the exchange in flight, which was answered or failed. */
     void onEnded(boolean answered) {
         mInFlight = false;
         mLastAnswered = answered;
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Failure.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Failure.java
@@ -4,11 +4,11 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Why an attempt or a request has no whole answer.
+ * Why an attempt or a request has no complete answer.
  *
- * @param code what the caller is told unless another attempt succeeds
+ * @param code the code that the caller receives unless another attempt succeeds
  * @param message for the caller and the log
- * @param retryAfter when to come back, or zero where nothing says so
+ * @param retryAfter when the caller may retry, or zero if unknown
  */
 record Failure(ResultCode code, String message, Duration retryAfter) {
     Failure(ResultCode code, String message) {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
@@ -4,7 +4,10 @@
 import org.laurelweir.load.LoadEstimator;
 import org.laurelweir.membership.MembershipCursor;
 
-/** Words for the log when a router is told of loads, and when it goes by its own calls alone. */
+/**
+ * Logs when a router starts to use load digests from control, and when it falls back to the load of
+ * its own calls alone.
+ */
 final class LoadNotes {
     private static final String LOADS_TOLD = "LOADS_TOLD";
     private static final String LOADS_NOT_TOLD = "LOADS_NOT_TOLD";
@@ -17,24 +20,26 @@
     }
 
     /**
-     * Writes what changed since the last call.
+     * Logs a change since the last call.
      *
-     * @param control who is asked
+     * @param control the run of the control instance that the router asks
      */
     void onTick(Step s, MembershipCursor control) {
-        boolean told = mLoads.hasRecentDigest(s.now());
-        if (told == mHasRecentDigest) {
+        boolean hasRecentDigest = mLoads.hasRecentDigest(s.now());
+        if (hasRecentDigest == mHasRecentDigest) {
             return;
         }
-        mHasRecentDigest = told;
+        mHasRecentDigest = hasRecentDigest;
         String reason =
-                told
+                hasRecentDigest
                         ? "told by " + control.control()
-                        : "not told any more by " + control.control() + ", own calls decide";
+                        : "no recent digest from "
+                                + control.control()
+                                + ", routing by own calls only";
         s.emit(
                 new RouterEffect.LogDecision(
                         Decision.builder(s.now(), DecisionLogger.PROGRAM)
-                                .choice(told ? LOADS_TOLD : LOADS_NOT_TOLD, reason)
+                                .choice(hasRecentDigest ? LOADS_TOLD : LOADS_NOT_TOLD, reason)
                                 .build()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
@@ -10,15 +10,15 @@
 import org.laurelweir.membership.MembershipCursor;
 
 /**
- * Words for the log what changes in a router's view of the backend servers: one line for each
- * service and state that an answer of control changes, however many backend servers it names.
+ * Logs changes of a router's view of the backend servers. Writes one line for each service and
+ * state that an answer of control changes, however many backend servers the answer names.
  */
 final class MembershipNotes {
     private static final int MAX_LISTED_IDS = 8;
 
     private final Map<String, Map<Backend.State, List<String>>> mPending = new TreeMap<>();
 
-    /** Notes a backend server that is new, or in another state than before. */
+    /** Adds a backend server that is new or changed its state. */
     void onChange(Backend b) {
         mPending.computeIfAbsent(b.service(), s -> new TreeMap<>())
                 .computeIfAbsent(b.state(), s -> new ArrayList<>())
@@ -26,9 +26,9 @@
     }
 
     /**
-     * Emits what was noted.
+     * Logs the changes that were added since the last call.
      *
-     * @param source whose word it is
+     * @param source the control instance and version that the changes come from
      */
     void flush(Step s, MembershipCursor source) {
         mPending.forEach(
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Memberships.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Memberships.java
@@ -16,7 +16,7 @@
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.ViewChange;
 
-/** The backend servers that this router knows, as control's deltas tell it. */
+/** The backend servers that this router knows, built from control's membership deltas. */
 final class Memberships implements BackendSource {
     private final Map<String, Backend> mBackends = new HashMap<>();
     private final Map<String, ServiceView> mViews = new HashMap<>();
@@ -27,9 +27,9 @@
     private long mViewVersion;
 
     /**
-     * Creates an empty view.
+     * Creates an empty membership.
      *
-     * @param onChange told of each backend server that is new, or in another state than before
+     * @param onChange receives each backend server that is new or changed its state
      */
     Memberships(Consumer<Backend> onChange) {
         mOnChange = onChange;
@@ -49,12 +49,12 @@
         return mBackends.get(id);
     }
 
-    /** Returns whether a whole view has arrived. */
+    /** Returns whether control has sent a full view. */
     boolean hasFullView() {
         return !mCursor.equals(MembershipCursor.NONE);
     }
 
-    /** Returns whether a delta tells of anything, so that an idle exchange costs nothing more. */
+    /** Returns whether a delta changes anything. An idle exchange then causes no further work. */
     static boolean hasChanges(MembershipDelta delta) {
         return delta.full() || !delta.backends().isEmpty();
     }
@@ -74,7 +74,10 @@
         applyToViews(changes);
     }
 
-    /** Looks after those that no view has named for long, and forgets who left long ago. */
+    /**
+     * Suspends or removes backend servers that full views lack for too long, and expires
+     * departures.
+     */
     void onTick(Instant now) {
         mDeparted.expire(now);
         if (mMissing.isEmpty()) {
@@ -87,15 +90,16 @@
     }
 
     /**
-     * Gives no new work to backend servers that control, started anew, should have heard. Where it
-     * hears few of a service's, it is control that is out of reach, and all go on.
+     * Suspends backend servers that a restarted control instance should have heard from by now. If
+     * it lacks half of a service's backend servers or more, control itself is unreachable, and all
+     * of them keep receiving requests.
      */
-    private void suspendOverdue(List<String> unheard, Map<String, List<ViewChange>> changes) {
-        if (unheard.isEmpty()) {
+    private void suspendOverdue(List<String> overdue, Map<String, List<ViewChange>> changes) {
+        if (overdue.isEmpty()) {
             return;
         }
         Map<String, Integer> missing = missingCountByService();
-        for (String id : unheard) {
+        for (String id : overdue) {
             Backend b = mBackends.get(id);
             if (b != null && 2 * missing.get(b.service()) < view(b.service()).size()) {
                 mMissing.suspend(id);
@@ -116,7 +120,10 @@
         return missing;
     }
 
-    /** One that is named as it was before it went missing changes nothing else. */
+    /**
+     * Resumes a suspended backend server. Its announcement may be the same as before the
+     * suspension, and such an announcement has no other effect.
+     */
     private void resumeWork(String id, Map<String, List<ViewChange>> changes) {
         Backend b = mBackends.get(id);
         if (b != null && b.state() == Backend.State.SERVING) {
@@ -160,18 +167,18 @@
         if (known == null || known.state() != b.state()) {
             mOnChange.accept(b);
         }
-        List<ViewChange> list = changesOf(b, changes);
-        list.add(joinOf(b));
+        List<ViewChange> serviceChanges = changesOf(b, changes);
+        serviceChanges.add(joinOf(b));
         if (b.state() == Backend.State.DRAINING) {
-            list.add(new ViewChange.Drain(id));
+            serviceChanges.add(new ViewChange.Drain(id));
         }
     }
 
     private void remove(String id, Map<String, List<ViewChange>> changes) {
-        Backend gone = mBackends.remove(id);
-        if (gone != null) {
-            mOnChange.accept(gone.withState(Backend.State.LEFT));
-            changesOf(gone, changes).add(new ViewChange.Leave(id));
+        Backend removed = mBackends.remove(id);
+        if (removed != null) {
+            mOnChange.accept(removed.withState(Backend.State.LEFT));
+            changesOf(removed, changes).add(new ViewChange.Leave(id));
         }
     }
 
@@ -183,6 +190,7 @@
 
     private void applyToViews(Map<String, List<ViewChange>> changes) {
         mViewVersion++;
-        changes.forEach((s, list) -> mViews.put(s, view(s).apply(mViewVersion, list)));
+        changes.forEach(
+                (s, serviceChanges) -> mViews.put(s, view(s).apply(mViewVersion, serviceChanges)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MissingBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MissingBackends.java
@@ -10,19 +10,24 @@
 import java.util.Set;
 
 /**
- * The backend servers that a whole view did not name. A control instance that has just started
- * answers with the few that have announced themselves yet, so that the others are neither gone nor
- * known to be there: each is waited for, then given no new work, then dropped.
+ * The backend servers that a full view of control did not name. A control instance that has just
+ * started answers with the few backend servers that have announced themselves so far. The others
+ * may have left or still be there. Each missing one is first kept, then suspended, so that it
+ * receives no new requests, and then removed.
  */
 final class MissingBackends {
     /**
-     * Two announcements, each about a second apart, and an exchange: one that serves and reaches
-     * control has been heard by then. One that said that it leaves, to instances that have all
-     * forgotten it since, never is.
+     * After this time a missing backend server receives no new requests. It covers two
+     * announcements, about a second apart, and an exchange: a backend server that serves and
+     * reaches control has been named again by then. One that announced its departure to control
+     * instances that have all lost their state since is never named again.
      */
     static final Duration SUSPEND_AFTER = Duration.ofMillis(2_500);
 
-    /** A backend server that control can't hear goes on with what it has until then. */
+    /**
+     * After this time a missing backend server is removed. A backend server that control cannot
+     * reach finishes its running requests until then.
+     */
     static final Duration REMOVE_AFTER = Duration.ofSeconds(5);
 
     private final Map<String, Missing> mMissing = new HashMap<>();
@@ -37,15 +42,15 @@
         return mMissing.isEmpty();
     }
 
-    /** Notes that a whole view lacks some; those that were missing before stay so since then. */
+    /** Adds backend servers that a full view lacks. Those already missing keep their start time. */
     void add(Instant now, Set<String> ids) {
         ids.forEach(id -> mMissing.putIfAbsent(id, new Missing(now, false)));
     }
 
     /**
-     * Notes that one was named again.
+     * Removes a backend server that control named again.
      *
-     * @return whether it had been given no new work meanwhile
+     * @return whether it was suspended
      */
     boolean remove(String id) {
         Missing named = mMissing.remove(id);
@@ -56,33 +61,36 @@
         return Collections.unmodifiableSet(mMissing.keySet());
     }
 
-    /** Returns those that have been missing too long for new work, and have it still. */
+    /** Returns the backend servers that are due for suspension and not suspended yet. */
     List<String> dueForSuspension(Instant now) {
-        List<String> unheard = new ArrayList<>();
+        List<String> due = new ArrayList<>();
         mMissing.forEach(
                 (id, missing) -> {
                     if (!missing.suspended() && missing.isDue(now, SUSPEND_AFTER)) {
-                        unheard.add(id);
+                        due.add(id);
                     }
                 });
-        return unheard;
+        return due;
     }
 
-    /** Notes that one gets no new work any more. */
+    /** Marks a backend server as suspended. */
     void suspend(String id) {
         mMissing.computeIfPresent(id, (name, missing) -> new Missing(missing.since(), true));
     }
 
-    /** Returns those that have been missing too long to be kept, and forgets them. */
+    /**
+     * Returns the backend servers whose time to be removed has come, and drops them from this
+     * record.
+     */
     List<String> takeExpired(Instant now) {
-        List<String> dropped = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         mMissing.forEach(
                 (id, missing) -> {
                     if (missing.isDue(now, REMOVE_AFTER)) {
-                        dropped.add(id);
+                        expired.add(id);
                     }
                 });
-        dropped.forEach(mMissing::remove);
-        return dropped;
+        expired.forEach(mMissing::remove);
+        return expired;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Outcomes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Outcomes.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.laurelweir.lib.ResultCode;
 
-/** Ends requests: exactly one final answer to each caller, and the claim settled. */
+/** Ends requests: sends exactly one final answer to each caller and settles the claim. */
 final class Outcomes {
     private static final Duration DEFAULT_RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -12,14 +12,15 @@
     private final AccountLimits mLimits;
     private final DecisionLogger mDecisionLogger;
 
-    Outcomes(Requests requests, Claims claims, AccountLimits limits, DecisionLogger decisions) {
+    Outcomes(
+            Requests requests, Claims claims, AccountLimits limits, DecisionLogger decisionLogger) {
         mRequests = requests;
         mClaims = claims;
         mLimits = limits;
-        mDecisionLogger = decisions;
+        mDecisionLogger = decisionLogger;
     }
 
-    /** The caller has the whole answer. */
+    /** Ends a request whose answer was forwarded completely. */
     void complete(Step s, ActiveRequest r) {
         if (!r.mDetached) {
             s.emit(new RouterEffect.AnswerEnd(r.mCaller));
@@ -27,59 +28,67 @@
         close(s, r, ResultCode.OK);
     }
 
-    /** Answers a request that was not let in. */
+    /** Sends an error for a request that was not admitted. */
     void reject(Step s, ActiveRequest r, Failure failure) {
         sendError(s, r, failure);
     }
 
-    /** Gives the request up and answers at once; a begun answer is cut instead. */
+    /**
+     * Fails the request with an error. If part of the answer was sent, the answer is cut off
+     * instead.
+     */
     void fail(Step s, ActiveRequest r, Failure failure) {
-        Failure told = correctCode(r, failure);
-        sendError(s, r, told);
-        close(s, r, told.code());
+        Failure corrected = correctCode(r, failure);
+        sendError(s, r, corrected);
+        close(s, r, corrected.code());
     }
 
-    /** Answers now and lets the attempt go on, whose outcome a resend will ask for. */
+    /**
+     * Sends an error and lets the attempt continue. A resend of the request asks for its outcome.
+     */
     void failAndDetach(Step s, ActiveRequest r, Failure failure) {
         sendError(s, r, correctCode(r, failure));
         r.mDetached = true;
     }
 
-    /** Ends a request that nobody waits for any more. */
+    /** Ends a request without an answer, because its caller is gone. */
     void abandon(Step s, ActiveRequest r, ResultCode code) {
         close(s, r, code);
     }
 
     /**
-     * A code of the 2000s says that the request was not run. It tells of the last attempt only; an
-     * earlier one that ran makes it a lie, after which the caller would send the request again.
+     * Replaces a code that says "not run" (2000s) if another attempt ran or may have run. Such a
+     * code describes the last attempt only, and the caller would resend a request that has already
+     * run.
      */
-    private static Failure correctCode(ActiveRequest r, Failure f) {
-        if (!f.code().isNotRun() || !(r.mMayHaveRun || r.mHeadSent)) {
-            return f;
+    private static Failure correctCode(ActiveRequest r, Failure failure) {
+        if (!failure.code().isNotRun() || !(r.mMayHaveRun || r.mHeadSent)) {
+            return failure;
         }
         ResultCode code = r.mHeadSent ? ResultCode.ANSWER_CUT : ResultCode.OUTCOME_UNKNOWN;
-        return new Failure(code, f.message(), f.retryAfter());
+        return new Failure(code, failure.message(), failure.retryAfter());
     }
 
-    private void sendError(Step s, ActiveRequest r, Failure f) {
+    private void sendError(Step s, ActiveRequest r, Failure failure) {
         if (r.mDetached) {
             return;
         }
-        mDecisionLogger.logGivenUp(s, r, f);
-        s.emit(new RouterEffect.AnswerError(r.mCaller, f.code(), f.message(), retryAfter(r, f)));
+        mDecisionLogger.logGivenUp(s, r, failure);
+        s.emit(
+                new RouterEffect.AnswerError(
+                        r.mCaller, failure.code(), failure.message(), retryAfter(r, failure)));
     }
 
     /**
-     * A client that resends by itself does so where Retry-After stands, so it stands only where a
-     * resend can't run the request a second time.
+     * Returns the Retry-After to send. Clients may resend automatically when they receive it, so it
+     * is sent only if a resend can't run the request a second time.
      */
-    private static Duration retryAfter(ActiveRequest r, Failure f) {
-        boolean harmless = f.code().isNotRun() || r.mRequest.idempotent() || r.needsClaim();
-        if (!harmless || f.code().number() < ResultCode.OVERLOADED.number()) {
+    private static Duration retryAfter(ActiveRequest r, Failure failure) {
+        boolean canResend = failure.code().isNotRun() || r.mRequest.idempotent() || r.needsClaim();
+        if (!canResend || failure.code().number() < ResultCode.OVERLOADED.number()) {
             return Duration.ZERO;
         }
-        return f.retryAfter().isZero() ? DEFAULT_RETRY_AFTER : f.retryAfter();
+        return failure.retryAfter().isZero() ? DEFAULT_RETRY_AFTER : failure.retryAfter();
     }
 
     private void close(Step s, ActiveRequest r, ResultCode code) {
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
@@ -26,12 +26,12 @@
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.WorkEstimate;
 
-/** Chooses the backend server of each attempt, and keeps the hints that earlier answers gave. */
+/** Chooses the backend server of each attempt, and keeps hints from earlier answers. */
 final class Placements {
     /**
-     * How long a sidecar is tried last that said it drains, or turned out to have been restarted.
-     * It refuses anyway; the hint saves the way there, and the retry, until control's word arrives,
-     * and must not outlive an undrain.
+     * How long a sidecar is tried last after it reported that it drains or after it turned out to
+     * have restarted. It refuses requests anyway; this hint saves the round trip and the retry
+     * until control reports the change. It must not outlast an undrain by much.
      */
     private static final Duration AVOIDANCE_DURATION = Duration.ofSeconds(5);
 
@@ -48,11 +48,11 @@
         mLastServers = new ChatDirectory(config.maxChatLocations());
     }
 
-    /** One choice with what it was made from. */
+    /** A choice, the candidates that it was made from, and its reason. */
     record Choice(Target target, List<String> candidates, String reason) {}
 
     /**
-     * Chooses where a request's next attempt goes, leaving out where it has been.
+     * Chooses the target of a request's next attempt among those that it has not tried.
      *
      * @return the choice, or null if no backend server is left to try
      */
@@ -78,8 +78,9 @@
     }
 
     /**
-     * Returns the backend server that a sidecar named, or null if it is not known or has been tried
-     * already.
+     * Chooses the backend server that a sidecar's redirect names.
+     *
+     * @return the choice, or null if that backend server is unknown or already tried
      */
     Choice chooseNamed(ActiveRequest r, String id) {
         Backend b = mMemberships.backend(id);
@@ -90,40 +91,47 @@
     }
 
     private Placement place(Instant now, ActiveRequest r, ServiceView view) {
-        CallerRequest q = r.mRequest;
-        WorkEstimate work = new WorkEstimate(q.cost().promptTokens(), 0, q.cost().outputTokens());
-        Hints hints = new Hints(outliers(q), now);
-        Placement p =
-                mPolicy.place(new PlacementRequest(r.mChatKey, q.account(), work), view, hints);
-        return q.chat() == 0 ? lessLoadedFirst(p) : p;
-    }
-
-    /** A request of no chat may go anywhere: of two picked by chance, the less loaded one. */
-    private Placement lessLoadedFirst(Placement p) {
-        if (p.candidates().size() < 2) {
-            return p;
+        CallerRequest request = r.mRequest;
+        WorkEstimate work =
+                new WorkEstimate(request.cost().promptTokens(), 0, request.cost().outputTokens());
+        Hints hints = new Hints(outliers(request), now);
+        Placement placement =
+                mPolicy.place(
+                        new PlacementRequest(r.mChatKey, request.account(), work), view, hints);
+        return request.chat() == 0 ? lessLoadedFirst(placement) : placement;
+    }
+
+    /**
+     * Puts the less loaded of the first two candidates first. A request without a chat may run
+     * anywhere, and its random key makes the two a random choice.
+     */
+    private Placement lessLoadedFirst(Placement placement) {
+        if (placement.candidates().size() < 2) {
+            return placement;
         }
-        List<Candidate> order = new ArrayList<>(p.candidates());
+        List<Candidate> order = new ArrayList<>(placement.candidates());
         if (load(order.get(1).id()).runningWork() < load(order.get(0).id()).runningWork()) {
             Collections.swap(order, 0, 1);
         }
-        return new Placement(order, PlacementReason.LOAD, p.viewVersion());
+        return new Placement(order, PlacementReason.LOAD, placement.viewVersion());
     }
 
     private static String reasonName(PlacementReason reason) {
         return reason.name().toLowerCase(Locale.ROOT);
     }
 
-    private Outliers outliers(CallerRequest q) {
-        ServiceOutliers e = mOutliersByService.get(q.service());
-        if (e == null || !e.config().equals(q.ejection())) {
-            e = new ServiceOutliers(q.ejection());
-            mOutliersByService.put(q.service(), e);
+    private Outliers outliers(CallerRequest request) {
+        ServiceOutliers entry = mOutliersByService.get(request.service());
+        if (entry == null || !entry.config().equals(request.ejection())) {
+            entry = new ServiceOutliers(request.ejection());
+            mOutliersByService.put(request.service(), entry);
         }
-        return e.outliers();
+        return entry.outliers();
     }
 
-    /** A service's failing backend servers, by the settings under which they were judged. */
+    /**
+     * A service's failing backend servers, and the settings that its failures are counted under.
+     */
     private record ServiceOutliers(OutlierConfig config, Outliers outliers) {
         ServiceOutliers(OutlierConfig config) {
             this(config, new Outliers(config));
@@ -131,16 +139,17 @@
     }
 
     /**
-     * Returns the load that a backend server last told this router. What an earlier run of its
-     * sidecar told ended with that run: a restarted one would count as busy with what it no longer
-     * runs, and never be asked again where others are idle.
+     * Returns the load that a backend server last reported to this router. A load that an earlier
+     * run of its sidecar reported does not count: a restarted sidecar would look busy with requests
+     * that it does not run, and would never be chosen, and so never corrected, while others are
+     * idle.
      */
     LoadHint load(String id) {
         Backend b = mMemberships.backend(id);
         return b == null ? LoadHint.UNKNOWN : mLoads.getOrDefault(b.ref(), LoadHint.UNKNOWN);
     }
 
-    /** Returns the mean load of a service as control last told it, or 0. */
+    /** Returns the mean load of a service as control last reported it, or 0. */
     double meanWork(String service) {
         return mMeanWorkByService.getOrDefault(service, 0.0);
     }
@@ -159,12 +168,12 @@
         }
     }
 
-    /** Notes that a sidecar is another run than this router knows of. */
+    /** Handles a refusal by a sidecar whose run differs from the one that this router knows. */
     void onOtherIncarnation(Instant now, ActiveRequest r) {
         mAvoidedUntil.put(r.mTarget.ref().id(), now.plus(AVOIDANCE_DURATION));
     }
 
-    /** Notes that a backend server began to answer a request. */
+    /** Handles the beginning of an answer from a backend server. */
     void onAnswer(ActiveRequest r) {
         String id = r.mTarget.ref().id();
         outliers(r.mRequest).onSuccess(id);
@@ -173,23 +182,26 @@
         }
     }
 
-    /** Notes that a backend server broke off or stayed silent. */
+    /** Handles a backend server that failed or stayed silent. */
     void onFailure(Instant now, ActiveRequest r) {
         String service = r.mRequest.service();
         int servers = mMemberships.view(service).size();
         outliers(r.mRequest).onFailure(r.mTarget.ref().id(), servers, now);
     }
 
-    /** Forgets the hints about backend servers that are gone; only when the membership changed. */
+    /**
+     * Removes the hints about backend servers that have left. Needed only after a membership
+     * change.
+     */
     void prune() {
         mLoads.keySet().removeIf(ref -> !isPresent(ref));
         mAvoidedUntil.keySet().removeIf(id -> mMemberships.backend(id) == null);
         mOutliersByService.forEach(
-                (service, e) ->
+                (service, entry) ->
                         mMemberships
                                 .view(service)
                                 .departed()
-                                .forEach(c -> e.outliers().onLeave(c.id())));
+                                .forEach(c -> entry.outliers().onLeave(c.id())));
     }
 
     private boolean isPresent(BackendRef ref) {
@@ -201,8 +213,8 @@
         private final Outliers mOutliers;
         private final Instant mNow;
 
-        Hints(Outliers of, Instant now) {
-            mOutliers = of;
+        Hints(Outliers outliers, Instant now) {
+            mOutliers = outliers;
             mNow = now;
         }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Recovery.java
@@ -5,14 +5,14 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Finds an attempt again after contact with its sidecar was lost, always over a new connection:
- * something between the two ends may have lost track of the old one.
+ * Recovers an attempt after contact with its sidecar was lost. Always uses a new connection: a
+ * device between the two ends may have lost the state of the old one.
  */
 final class Recovery {
-    /** Tries to reach an attempt before its outcome is called unknown. */
+    /** Maximum tries to reconnect to an attempt before its outcome counts as unknown. */
     private static final int MAX_TRIES = 6;
 
-    /** Tries where the request may as well run elsewhere. */
+    /** Maximum tries if the request may be run elsewhere instead. */
     private static final int MAX_TRIES_IDEMPOTENT = 2;
 
     private final Placements mPlacements;
@@ -20,14 +20,18 @@
     private final Retries mRetries;
     private final DecisionLogger mDecisionLogger;
 
-    Recovery(Placements placements, Attempts attempts, Retries retries, DecisionLogger decisions) {
+    Recovery(
+            Placements placements,
+            Attempts attempts,
+            Retries retries,
+            DecisionLogger decisionLogger) {
         mPlacements = placements;
         mAttempts = attempts;
         mRetries = retries;
-        mDecisionLogger = decisions;
+        mDecisionLogger = decisionLogger;
     }
 
-    /** The stream is silent, ended early or has left something out. */
+    /** Handles a stream that is silent, ended early or skipped bytes. */
     void onContactLost(Step s, ActiveRequest r, String reason) {
         mAttempts.dropStream(s, r);
         mPlacements.onFailure(s.now(), r);
@@ -35,7 +39,7 @@
         retry(s, r);
     }
 
-    /** The time of the next try has come. */
+    /** Tries again when the wait is over. */
     void onWake(Step s, ActiveRequest r) {
         if (r.mAccepted) {
             mAttempts.resume(s, r);
@@ -44,7 +48,7 @@
         }
     }
 
-    /** Asks the sidecar to make sure that the attempt never starts, and what its state is. */
+    /** Asks the sidecar to prevent the attempt from starting, and to report its state. */
     void revoke(Step s, ActiveRequest r) {
         r.enterPhase(ActiveRequest.Phase.REVOKING, s.now().plus(r.policy().silenceTimeout()));
         s.emit(
@@ -52,7 +56,10 @@
                         r.mCaller, r.mTarget.address(), r.mAttempt, r.mTarget.ref()));
     }
 
-    /** A stream that follows the attempt was refused; only a revocation tells what that means. */
+    /**
+     * Handles the refusal of a stream, which does not tell the attempt's state. Only a revocation
+     * does.
+     */
     void onStreamRefused(Step s, ActiveRequest r) {
         r.mAccepted = false;
         retry(s, r);
@@ -66,14 +73,15 @@
             case RUNNING -> onRunning(s, r);
             case FINISHED -> resume(s, r);
             case NEVER_STARTED -> onNeverStarted(s, r);
-            default -> onOutcomeUnknown(s, r, "the sidecar was restarted while it had the request");
+            default -> onOutcomeUnknown(s, r, "the sidecar restarted while it had the request");
         }
     }
 
     /**
-     * One stream at a time follows an attempt. While another caller's request runs, following it
-     * would take the stream from that caller's router, which would take it back, without end; so
-     * this one waits until the attempt has finished and its output can be had at once.
+     * Handles an attempt that is running. Only one stream at a time can read an attempt. If the
+     * attempt belongs to another caller's request, resuming it here would take the stream from that
+     * caller's router, which would take it back, and so on without end. So this router waits until
+     * the attempt has finished and its output is available at once.
      */
     private void onRunning(Step s, ActiveRequest r) {
         if (!r.mFollowing) {
@@ -100,7 +108,10 @@
 
     private void onNeverStarted(Step s, ActiveRequest r) {
         if (r.mHeadSent) {
-            onOutcomeUnknown(s, r, "the sidecar denies an answer that it began");
+            onOutcomeUnknown(
+                    s,
+                    r,
+                    "the sidecar reports the attempt as never started after its answer began");
             return;
         }
         mRetries.onNeverStarted(s, r);
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RequestPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RequestPolicy.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * The settings that bind one request, taken when it arrives.
+ * The settings that apply to one request, taken when it arrives.
  *
- * @param boundFactor running work may reach this multiple of the service's mean
- * @param maxAttempts most attempts, the first included
- * @param retryBudgetShare retries allowed as a share of first attempts
- * @param backoffMin shortest wait before a retry
- * @param backoffMax longest wait before a retry
- * @param accountWeight the client account's share when accounts compete
- * @param accountMaxRunning most requests of the account in flight in the deployment
- * @param accountRate requests a second that the account may start in the deployment
- * @param claimRetention how long past its deadline a claim on an idempotency key holds
- * @param silenceTimeout longest time without a frame before the connection is taken as lost
+ * @param boundFactor a backend server's running work may reach this multiple of the service's mean
+ * @param maxAttempts maximum attempts, the first one included
+ * @param retryBudgetShare allowed retries per first attempt
+ * @param backoffMin minimum wait before a retry
+ * @param backoffMax maximum wait before a retry
+ * @param accountWeight the client account's weight when accounts compete
+ * @param accountMaxRunning maximum requests of the account in flight in the deployment
+ * @param accountRate requests per second that the account may start in the deployment
+ * @param claimRetention how long a claim on an idempotency key holds past the request's deadline
+ * @param silenceTimeout maximum time without a frame before the connection counts as lost
  */
 public record RequestPolicy(
         double boundFactor,
@@ -27,7 +27,7 @@
         double accountRate,
         Duration claimRetention,
         Duration silenceTimeout) {
-    /** What holds until settings arrive. */
+    /** The policy until settings arrive. */
     public static final RequestPolicy DEFAULT =
             new RequestPolicy(
                     1.25,
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Requests.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Requests.java
@@ -19,12 +19,14 @@
         return mByCaller.get(caller);
     }
 
-    /** Returns the request that reads from a stream, or null if none does any more. */
+    /** Returns the request that reads from a stream, or null if none does. */
     ActiveRequest byStream(long stream) {
         return mByStream.get(stream);
     }
 
-    /** Gives the request a new stream; frames of its former one are dropped from now on. */
+    /**
+     * Opens a new stream for the request. Frames of its previous stream are ignored from now on.
+     */
     long openStream(ActiveRequest request) {
         closeStream(request);
         request.mStream = ++mLastStream;
@@ -44,7 +46,7 @@
         mByCaller.remove(request.mCaller);
     }
 
-    /** Returns the requests as they are now, so that handling one may end others. */
+    /** Returns a copy, so that handling a request may end others. */
     List<ActiveRequest> all() {
         return new ArrayList<>(mByCaller.values());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Retries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Retries.java
@@ -7,9 +7,9 @@
 import org.laurelweir.lib.AttemptId;
 import org.laurelweir.lib.ResultCode;
 
-/** Decides whether a request is tried again, when, and where. */
+/** Decides whether, when and where a request is retried. */
 final class Retries {
-    /** How often a sidecar's redirect is followed; later ones give way to the router's ranking. */
+    /** Maximum redirects followed per request. After that the router chooses by its own ranking. */
     static final int MAX_REDIRECTS = 2;
 
     private static final int MAX_BACKOFF_SHIFT = 10;
@@ -29,24 +29,25 @@
             Attempts attempts,
             Claims claims,
             Outcomes outcomes,
-            DecisionLogger decisions) {
+            DecisionLogger decisionLogger) {
         mConfig = config;
         mPlacements = placements;
         mAttempts = attempts;
         mClaims = claims;
         mOutcomes = outcomes;
-        mDecisionLogger = decisions;
+        mDecisionLogger = decisionLogger;
         mRandom = new SplittableRandom(config.seed());
     }
 
     /** Sends a request's first attempt. */
     void sendFirst(Step s, ActiveRequest r) {
         mBudget.earn(r.policy().retryBudgetShare());
-        r.mLastFailure = new Failure(ResultCode.NO_BACKEND_SERVER, "no backend server takes work");
+        r.mLastFailure =
+                new Failure(ResultCode.NO_BACKEND_SERVER, "no backend server accepts requests");
         sendNext(s, r);
     }
 
-    /** Sends a request's next attempt to where its placement says, or gives it up. */
+    /** Sends a request's next attempt, or fails the request if no backend server is left. */
     void sendNext(Step s, ActiveRequest r) {
         Placements.Choice choice = mPlacements.choose(s.now(), r);
         if (choice == null) {
@@ -56,20 +57,20 @@
         sendAttempt(s, r, choice);
     }
 
-    /** A sidecar refused the present attempt: it was not run and will not be. */
-    void onRefused(Step s, ActiveRequest r, Frame.Refused f) {
-        r.mLastFailure = new Failure(f.code(), f.message(), f.retryAfter());
+    /** Handles a sidecar's refusal of the current attempt, which did not run and never will. */
+    void onRefused(Step s, ActiveRequest r, Frame.Refused refused) {
+        r.mLastFailure = new Failure(refused.code(), refused.message(), refused.retryAfter());
         replaceClaim(r);
-        if (f.code() == ResultCode.CHAT_ELSEWHERE) {
-            // It would have taken the request, and is the one to ask where the named one is
-            // leaving.
+        if (refused.code() == ResultCode.CHAT_ELSEWHERE) {
+            // This sidecar would take the request itself. It is the one to try again if the sidecar
+            // that it names is leaving.
             r.mTriedTargets.remove(r.mTarget.ref());
         }
-        if (!f.redirectTo().isEmpty() && r.mRedirectCount < MAX_REDIRECTS) {
-            followRedirect(s, r, f.redirectTo());
+        if (!refused.redirectTo().isEmpty() && r.mRedirectCount < MAX_REDIRECTS) {
+            followRedirect(s, r, refused.redirectTo());
             return;
         }
-        if (f.redirectTo().isEmpty() && isFinal(f.code())) {
+        if (refused.redirectTo().isEmpty() && isFinal(refused.code())) {
             mOutcomes.fail(s, r, r.mLastFailure);
             return;
         }
@@ -77,13 +78,13 @@
     }
 
     /**
-     * Follows a redirect. Where it leads to a backend server that this router does not know, or has
-     * tried, the router's own ranking takes its place: the sidecar may know of others, or be the
-     * one that does not know yet that the named one is gone.
+     * Follows a redirect. If it names a backend server that this router does not know or has tried,
+     * the router's own ranking decides instead. The sidecar may know backend servers that this
+     * router does not, or may not know yet that the named one has left.
      */
-    private void followRedirect(Step s, ActiveRequest r, String named) {
+    private void followRedirect(Step s, ActiveRequest r, String server) {
         r.mRedirectCount++;
-        Placements.Choice choice = mPlacements.chooseNamed(r, named);
+        Placements.Choice choice = mPlacements.chooseNamed(r, server);
         if (choice == null) {
             sendNext(s, r);
         } else {
@@ -91,26 +92,29 @@
         }
     }
 
-    /** Where no sidecar has room or time, asking more of them only adds to the load. */
+    /** Returns whether a retry would only add load, because no sidecar has capacity or time. */
     private static boolean isFinal(ResultCode code) {
         return code == ResultCode.OVERLOADED || code == ResultCode.DEADLINE_UNREACHABLE;
     }
 
-    /** No byte of the present attempt left this router. */
+    /** Handles a current attempt of which no byte left this router. */
     void onNotSent(Step s, ActiveRequest r, String message) {
         r.mLastFailure = new Failure(ResultCode.NO_BACKEND_SERVER, message);
         replaceClaim(r);
         scheduleRetry(s, r, false);
     }
 
-    /** A sidecar made sure that the present attempt never starts. */
+    /** Handles a current attempt that its sidecar has prevented from ever starting. */
     void onNeverStarted(Step s, ActiveRequest r) {
-        r.mLastFailure = new Failure(ResultCode.REVOKED, "contact lost before the request was run");
+        r.mLastFailure =
+                new Failure(
+                        ResultCode.REVOKED,
+                        "lost contact with the sidecar before the request was run");
         replaceClaim(r);
         scheduleRetry(s, r, true);
     }
 
-    /** The present attempt ran, or nobody can tell whether it did. */
+    /** Handles a current attempt that ran, or may have run. */
     void onMayHaveRun(Step s, ActiveRequest r, Failure failure) {
         r.mLastFailure = failure;
         r.mMayHaveRun = true;
@@ -121,7 +125,7 @@
         scheduleRetry(s, r, true);
     }
 
-    /** The claim's holder is proved not to have run: the next attempt takes its place. */
+    /** Lets the next attempt take over the claim of a holder that is known not to have run. */
     private static void replaceClaim(ActiveRequest r) {
         r.mReplacedAttempt = r.mClaimHolder;
         if (r.mFollowing) {
@@ -130,10 +134,10 @@
     }
 
     /**
-     * Tries again after a wait, within the limits.
+     * Schedules a retry after a backoff, or fails the request if its limits allow none.
      *
-     * @param reached whether the last attempt may have cost a sidecar anything; one that never left
-     *     this router adds no load, so it takes nothing out of the budget
+     * @param reached whether the last attempt may have reached a sidecar. One that never left this
+     *     router added no load, so its retry costs no budget
      */
     private void scheduleRetry(Step s, ActiveRequest r, boolean reached) {
         Instant at = s.now().plus(backoff(r.policy(), r.mRetryCount));
@@ -146,7 +150,9 @@
         r.enterPhase(ActiveRequest.Phase.BACKING_OFF, at);
     }
 
-    /** Returns a wait picked by chance below a ceiling that doubles, so that retries spread out. */
+    /**
+     * Returns a random wait below a ceiling that doubles with each try, so that retries spread out.
+     */
     Duration backoff(RequestPolicy policy, int tries) {
         long min = policy.backoffMin().toNanos();
         long ceiling = min << Math.min(MAX_BACKOFF_SHIFT, tries);
@@ -154,7 +160,7 @@
         return Duration.ofNanos(mRandom.nextLong(min, ceiling));
     }
 
-    /** Returns a key that places a request of no chat. */
+    /** Returns a random chat key for a request without a chat. */
     long randomChatKey() {
         return mRandom.nextLong();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RetryBudget.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RetryBudget.java
@@ -1,25 +1,29 @@
 package org.laurelweir.routing;
 
 /**
- * Bounds how much load this router's retries add: each first attempt earns a share of a retry, each
- * retry spends a whole one.
+ * Bounds the load of this router's retries: each first attempt adds a share of a token, each retry
+ * takes a whole one.
  *
- * <p>Without it a failing service gets every request {@code maxAttempts} times, just when it can
- * take least. With it the retries are at most the share of the first attempts and a small reserve,
- * whatever fails.
+ * <p>Without a budget, a failing service receives every request {@code maxAttempts} times, just
+ * when its capacity is lowest. With it, retries never exceed that share of the first attempts plus
+ * a small reserve, whatever fails.
  */
 final class RetryBudget {
-    /** Retries that a router with little traffic may spend at once. */
+    /** Maximum tokens, which a router with little traffic may spend at once. */
     static final double MAX_TOKENS = 10;
 
     private double mTokens = MAX_TOKENS;
 
-    /** Notes a first attempt. */
+    /** Adds the share of a token that a first attempt earns. */
     void earn(double share) {
         mTokens = Math.min(MAX_TOKENS, mTokens + share);
     }
 
-    /** Takes one retry out of the budget, if it holds one. */
+    /**
+     * Takes a token for a retry.
+     *
+     * @return false if there is no whole token left
+     */
     boolean trySpend() {
         if (mTokens < 1) {
             return false;
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterConfig.java
@@ -4,14 +4,14 @@
 import org.laurelweir.direct.RetryLimits;
 
 /**
- * What a router's decisions depend on from its start on.
+ * The configuration of a router, fixed at its start.
  *
  * @param name the router's name
- * @param incarnation rises with every start of the router
- * @param seed of the jitter
- * @param exchangeInterval how often control is asked
- * @param maxChatLocations how many chats the router remembers the last backend server of
- * @param retryLimits what all routers together may repeat at services without sidecars
+ * @param incarnation increases with every start of the router
+ * @param seed seed of the random numbers for jitter
+ * @param exchangeInterval interval between exchanges with control
+ * @param maxChatLocations maximum number of chats whose last backend server the router remembers
+ * @param retryLimits retry limits of all routers together for services without sidecars
  */
 public record RouterConfig(
         String name,
@@ -20,7 +20,7 @@
         Duration exchangeInterval,
         int maxChatLocations,
         RetryLimits retryLimits) {
-    /** Creates a configuration with the usual limits of retries. */
+    /** Creates a configuration with the default retry limits. */
     public RouterConfig(
             String name,
             long incarnation,
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterCount.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterCount.java
@@ -3,21 +3,29 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** How many routers share the deployment's limits, and what this one's share is. */
+/** Tracks how many routers share the deployment's limits, and computes this router's share. */
 final class RouterCount {
-    /** Callers don't spread evenly; without this, routers refuse before the limit is reached. */
+    /**
+     * Callers don't spread evenly over the routers. Without this factor, a router would reject
+     * requests before the deployment's limit is reached.
+     */
     static final double HEADROOM_FACTOR = 1.25;
 
     /**
-     * A control instance that has just started has heard few routers yet. Believed at once, its low
-     * count would give each router nearly the whole limit; within this time it hears the rest.
+     * How long a lower count is ignored. A control instance that has just started has received
+     * reports of few routers. If its low count took effect at once, each router would take nearly
+     * the whole limit. Within this time the control instance receives the reports of the other
+     * routers.
      */
     static final Duration DECREASE_DELAY = Duration.ofSeconds(30);
 
     private int mCount = 1;
     private Instant mNoDecreaseBefore = Instant.MIN;
 
-    /** Takes a higher count at once, a lower one once no higher was told for the hold time. */
+    /**
+     * Applies an equal or higher count at once, and a lower one only when no such count arrived for
+     * {@link #DECREASE_DELAY}.
+     */
     void update(Instant now, int count) {
         if (count <= 0 || (count < mCount && now.isBefore(mNoDecreaseBefore))) {
             return;
@@ -30,7 +38,7 @@
         return mCount;
     }
 
-    /** Returns this router's share of a limit; the whole limit where it is the only router. */
+    /** Returns this router's share of a limit; the whole limit if it is the only router. */
     double share(double limit) {
         return mCount == 1 ? limit : limit * HEADROOM_FACTOR / mCount;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEffect.java
@@ -13,16 +13,16 @@
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.quarantine.CrashReport;
 
-/** Everything that a router's reducer wants done. */
+/** The effects of a router's reducer, which the I/O code carries out. */
 public sealed interface RouterEffect {
     /** Open a stream to a sidecar and begin an attempt on it. */
     record BeginAttempt(long stream, String address, AttemptRequest request)
             implements RouterEffect {}
 
     /**
-     * Open a stream to a sidecar and follow an attempt that may run already.
+     * Open a stream to a sidecar and resume an attempt that may already run.
      *
-     * @param newConnection whether the present connection is suspect, so that a new one is needed
+     * @param newConnection whether the current connection is suspect, so that a new one is needed
      */
     record ResumeAttempt(
             long stream,
@@ -33,24 +33,25 @@
             boolean newConnection)
             implements RouterEffect {}
 
-    /** Tell the sidecar that output below the offset may be dropped. */
+    /** Acknowledge output to the sidecar, which may drop the output below the offset. */
     record Acknowledge(long stream, long offset) implements RouterEffect {}
 
-    /** Tell the sidecar that the answer is no longer wanted, and end the stream. */
+    /** Cancel an attempt whose answer is not needed, and end the stream. */
     record CancelAttempt(long stream) implements RouterEffect {}
 
-    /** Drop a stream without a word: the connection under it is suspect. */
+    /** Drop a stream without a message to the sidecar, because its connection is suspect. */
     record DropStream(long stream) implements RouterEffect {}
 
     /**
-     * Ask over a new connection that an attempt never starts.
+     * Ask a sidecar over a new connection to prevent an attempt from starting and report its state.
      *
-     * @param caller for whom it is asked; several may ask about one attempt of another router
+     * @param caller the caller on whose behalf the router asks; several may ask about one attempt
+     *     of another router
      */
     record Revoke(long caller, String address, AttemptId attempt, BackendRef target)
             implements RouterEffect {}
 
-    /** Ask the control leader for the claim on an idempotency key. */
+    /** Request the claim on an idempotency key from the control leader. */
     record Claim(
             AttemptId attempt,
             String account,
@@ -72,19 +73,19 @@
     /** Send a piece of the answer's body to the caller. */
     record AnswerData(long caller, byte[] bytes) implements RouterEffect {}
 
-    /** The answer to the caller is whole. */
+    /** End the answer to the caller, which is complete. */
     record AnswerEnd(long caller) implements RouterEffect {}
 
     /**
-     * Answer with an error; after the head was sent, the shell cuts the connection instead, so that
-     * a shortened answer is never taken for a whole one.
+     * Answer with an error. If the head was already sent, the I/O code cuts the connection instead,
+     * so that the caller does not take a shortened answer for a complete one.
      *
-     * @param retryAfter when to come back, or zero for no advice
+     * @param retryAfter when the caller may retry, or zero for no advice
      */
     record AnswerError(long caller, ResultCode code, String message, Duration retryAfter)
             implements RouterEffect {}
 
-    /** Do something for a request that is routed without sidecars. */
+    /** Carry out an effect for a request that is routed without sidecars. */
     record Direct(DirectEffect effect) implements RouterEffect {}
 
     /** Exchange with a control instance. */
@@ -94,6 +95,6 @@
     /** Log a decision and keep it for {@code explain}. */
     record LogDecision(Decision decision) implements RouterEffect {}
 
-    /** Everything in flight has ended: the process may exit. */
+    /** Report that nothing is in flight, so that the process may exit. */
     record Stopped() implements RouterEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterEvent.java
@@ -12,18 +12,18 @@
 import org.laurelweir.membership.ServiceLoad;
 import org.laurelweir.quarantine.CrashDelta;
 
-/** Everything that a router's reducer reacts to. */
+/** The events that a router's reducer handles. */
 public sealed interface RouterEvent {
-    /** Time has passed; the shell sends one every few milliseconds. */
+    /** Time has passed. The I/O code sends one tick every few milliseconds. */
     record Tick() implements RouterEvent {}
 
-    /** A caller's request has been read whole. */
+    /** A caller's request has been read completely. */
     record RequestArrived(long caller, CallerRequest request) implements RouterEvent {}
 
-    /** The caller hung up. */
+    /** The caller closed its connection. */
     record CallerGone(long caller) implements RouterEvent {}
 
-    /** The caller took all output up to a byte offset. */
+    /** The caller consumed all output up to a byte offset. */
     record OutputConsumed(long caller, long offset) implements RouterEvent {}
 
     /** A frame arrived on a stream to a sidecar. */
@@ -46,11 +46,11 @@
     /**
      * The control leader answered a claim.
      *
-     * @param code OK where the attempt holds the claim now or another attempt held it before
+     * @param code OK if this attempt holds the claim now, or if another attempt already held it
      * @param holder the attempt that holds the claim
-     * @param target where that attempt was sent
-     * @param settled whether its end is recorded
-     * @param settledCode how it ended
+     * @param target the target that the holder was sent to
+     * @param settled whether the holder's end is recorded
+     * @param settledCode how the holder ended
      */
     record ClaimAnswered(
             AttemptId attempt,
@@ -64,10 +64,11 @@
     /**
      * A control instance answered an exchange.
      *
-     * @param crashes under which requests backend servers ended, as far as this router lacks it
-     * @param digest what all routers have at backend servers
-     * @param loads the mean work of services behind sidecars
-     * @param routers routers that serve, this one included, or 0 if not told
+     * @param crashes crash records that this router lacks: the requests under which backend servers
+     *     crashed
+     * @param digest the load of all routers at backend servers
+     * @param loads the mean work of services with sidecars
+     * @param routers the number of routers that serve, this one included, or 0 if unknown
      */
     record ExchangeAnswered(
             MembershipDelta membership,
@@ -77,12 +78,12 @@
             int routers)
             implements RouterEvent {}
 
-    /** Something happened to a request that is routed without sidecars. */
+    /** An event of a request that is routed without sidecars. */
     record Direct(DirectEvent event) implements RouterEvent {}
 
     /** No control instance answered. */
     record ExchangeFailed(String message) implements RouterEvent {}
 
-    /** The process was asked to stop: finish what runs, take nothing new. */
+    /** The process should stop: finish running requests and accept no new ones. */
     record StopRequested() implements RouterEvent {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -14,7 +14,7 @@
 import org.laurelweir.quarantine.CrashTable;
 import org.laurelweir.quarantine.QuarantineNotes;
 
-/** Decides for one router: hands each event to the class that it concerns. */
+/** The decision logic of one router. Passes each event to the class that handles it. */
 public final class RouterReducer implements Reducer<RouterEvent, RouterEffect> {
     private final ExchangeScheduler mExchanges;
     private final Requests mRequests = new Requests();
@@ -40,7 +40,7 @@
     /**
      * Creates the reducer of a router that has just started and knows no backend server.
      *
-     * @param config what the decisions depend on
+     * @param config the router's configuration
      */
     public RouterReducer(RouterConfig config) {
         mExchanges = new ExchangeScheduler(config.exchangeInterval());
@@ -55,13 +55,14 @@
                         mCrashes,
                         mLoads,
                         config.seed());
-        DecisionLogger decisions = new DecisionLogger(config, mPlacements);
+        DecisionLogger decisionLogger = new DecisionLogger(config, mPlacements);
         Claims claims = new Claims();
         Attempts attempts = new Attempts(mRequests);
-        mOutcomes = new Outcomes(mRequests, claims, mLimits, decisions);
-        mRetries = new Retries(config, mPlacements, attempts, claims, mOutcomes, decisions);
-        mRecovery = new Recovery(mPlacements, attempts, mRetries, decisions);
-        mClaimAnswers = new ClaimAnswers(mMemberships, attempts, mRecovery, mOutcomes, decisions);
+        mOutcomes = new Outcomes(mRequests, claims, mLimits, decisionLogger);
+        mRetries = new Retries(config, mPlacements, attempts, claims, mOutcomes, decisionLogger);
+        mRecovery = new Recovery(mPlacements, attempts, mRetries, decisionLogger);
+        mClaimAnswers =
+                new ClaimAnswers(mMemberships, attempts, mRecovery, mOutcomes, decisionLogger);
         mStreams = new Streams(mRequests, mPlacements, mRetries, mRecovery, mOutcomes);
         mTimers = new Timers(mRequests, mStreams, mRetries, mRecovery, mClaimAnswers, mOutcomes);
     }
@@ -115,7 +116,7 @@
         mLoads.onDigest(answer.digest(), mLimits.routerCount(), this::serviceOf);
     }
 
-    /** Returns the service of a backend server, null if that very run of it is not known. */
+    /** Returns the service of a backend server, or null if this run of it is unknown. */
     private String serviceOf(BackendRef ref) {
         Backend b = mMemberships.backend(ref.id());
         return b == null || !b.ref().equals(ref) ? null : b.service();
@@ -157,7 +158,8 @@
     private void onRequestArrived(Step s, long caller, CallerRequest request) {
         Duration wait = mLimits.admit(s.now(), request.account(), request.policy());
         if (!wait.isZero()) {
-            String message = "the client account has reached this router's share of its limit";
+            String message =
+                    "the client account has reached this router's share of its request limit";
             s.emit(new RouterEffect.AnswerError(caller, ResultCode.ACCOUNT_LIMIT, message, wait));
             return;
         }
@@ -168,14 +170,15 @@
     }
 
     /**
-     * Ends what nobody waits for. A call that may not be repeated is left to finish: cancelled half
-     * way, its outcome would be unknown for good, and the caller may yet ask for it again.
+     * Handles a caller that is gone. A running call that may not be repeated continues: if it were
+     * cancelled half way, its outcome would be unknown for good, and the caller may still ask for
+     * it again.
      */
     private void onCallerGone(Step s, ActiveRequest r) {
-        boolean begun =
+        boolean started =
                 r.mPhase != ActiveRequest.Phase.CLAIMING
                         && r.mPhase != ActiveRequest.Phase.BACKING_OFF;
-        if (begun && !r.mRequest.idempotent()) {
+        if (started && !r.mRequest.idempotent()) {
             r.mDetached = true;
             mStreams.onOutputConsumed(s, r, r.mForwardedBytes);
             return;
@@ -183,6 +186,6 @@
         if (r.mStream != 0) {
             s.emit(new RouterEffect.CancelAttempt(r.mStream));
         }
-        mOutcomes.abandon(s, r, begun ? ResultCode.CANCELLED : ResultCode.REVOKED);
+        mOutcomes.abandon(s, r, started ? ResultCode.CANCELLED : ResultCode.REVOKED);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Step.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Step.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.function.Consumer;
 
-/** One event's time, and where its effects go. */
+/** The time of one event, and the consumer of its effects. */
 record Step(Instant now, Consumer<? super RouterEffect> effects) {
     void emit(RouterEffect effect) {
         effects.accept(effect);
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Streams.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Streams.java
@@ -5,7 +5,7 @@
 import org.laurelweir.attempt.Frame;
 import org.laurelweir.lib.ResultCode;
 
-/** Turns the frames of sidecars into the answers to callers. */
+/** Turns frames from sidecars into answers to callers. */
 final class Streams {
     private final Requests mRequests;
     private final Placements mPlacements;
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Takes a frame. One on a stream that was left, or of another attempt than the stream is for,
-     * is late or crossed: its bytes would end up in an answer that they are no part of.
+     * Handles a frame. Ignores a frame on a closed stream or of another attempt than the stream's:
+     * it is late or misrouted, and its bytes would corrupt the answer.
      */
     void onFrame(Step s, long stream, AttemptFrame f) {
         ActiveRequest r = mRequests.byStream(stream);
@@ -53,15 +53,15 @@
         }
     }
 
-    /** The stream ended without a closing frame. */
+    /** Handles a stream that ended without a closing frame. */
     void onStreamLost(Step s, RouterEvent.StreamLost lost) {
         ActiveRequest r = mRequests.byStream(lost.stream());
         if (r == null) {
             return;
         }
-        boolean begun = r.mResumed || lost.sent() || r.mAccepted;
+        boolean mayHaveStarted = r.mResumed || lost.sent() || r.mAccepted;
         mRequests.closeStream(r);
-        if (begun) {
+        if (mayHaveStarted) {
             mRecovery.onContactLost(s, r, "stream_lost");
             return;
         }
@@ -69,7 +69,10 @@
         mRetries.onNotSent(s, r, lost.message());
     }
 
-    /** The caller took output; a stream that waited for it is heard from again. */
+    /**
+     * Handles output that the caller consumed. Restarts the silence timeout of a stream that waited
+     * for the caller.
+     */
     void onOutputConsumed(Step s, ActiveRequest r, long offset) {
         r.mConsumedBytes = Math.max(r.mConsumedBytes, offset);
         r.mLastActivityAt = s.now();
@@ -98,7 +101,7 @@
             mRecovery.onContactLost(s, r, "gap");
             return;
         }
-        int known = (int) (r.mForwardedBytes - d.offset());
+        int overlap = (int) (r.mForwardedBytes - d.offset());
         r.mForwardedBytes = end;
         r.mRecoveryCount = 0;
         if (r.mDetached) {
@@ -106,9 +109,9 @@
             acknowledge(s, r);
             return;
         }
-        byte[] fresh =
-                known == 0 ? d.bytes() : Arrays.copyOfRange(d.bytes(), known, d.bytes().length);
-        s.emit(new RouterEffect.AnswerData(r.mCaller, fresh));
+        byte[] newBytes =
+                overlap == 0 ? d.bytes() : Arrays.copyOfRange(d.bytes(), overlap, d.bytes().length);
+        s.emit(new RouterEffect.AnswerData(r.mCaller, newBytes));
     }
 
     private static void acknowledge(Step s, ActiveRequest r) {
@@ -118,9 +121,9 @@
     }
 
     /**
-     * Completes the answer if its length is what was passed on. Where bytes are missing they are
-     * asked for once; otherwise the caller's connection is cut, for a shortened answer that ends
-     * well would be taken for the whole one.
+     * Completes the answer if its length is what was forwarded. If bytes are missing, asks for them
+     * once. Otherwise cuts the caller's connection: the caller would take a shortened answer that
+     * ends normally for a complete one.
      */
     private void onEnd(Step s, ActiveRequest r, Frame.End e) {
         if (r.mHeadSent && e.length() == r.mForwardedBytes) {
@@ -141,10 +144,10 @@
 
     private void onRefused(Step s, ActiveRequest r, Frame.Refused f) {
         mRequests.closeStream(r);
-        // Refusing a stream that follows an attempt says nothing of the attempt itself, and a
-        // second message of the same attempt is refused while the first one runs.
-        boolean ofAttempt = f.code().isNotRun() && f.code() != ResultCode.DUPLICATE_ATTEMPT;
-        if (r.mResumed || r.mHeadSent || !ofAttempt) {
+        // The refusal of a stream that resumes an attempt says nothing about the attempt itself,
+        // and a second begin message of the same attempt is refused while the first one runs.
+        boolean isAttemptRefused = f.code().isNotRun() && f.code() != ResultCode.DUPLICATE_ATTEMPT;
+        if (r.mResumed || r.mHeadSent || !isAttemptRefused) {
             mRecovery.onStreamRefused(s, r);
             return;
         }
@@ -160,8 +163,8 @@
         if (code == ResultCode.BACKEND_FAILED) {
             mPlacements.onFailure(s.now(), r);
         }
-        boolean outputGone = code == ResultCode.OUTPUT_NOT_KEPT || r.mHolderCompleted;
-        if (r.mFollowing && outputGone) {
+        boolean hasNoOutput = code == ResultCode.OUTPUT_NOT_KEPT || r.mHolderCompleted;
+        if (r.mFollowing && hasNoOutput) {
             code = ResultCode.ALREADY_RUN;
         }
         mRetries.onMayHaveRun(s, r, new Failure(code, f.message()));
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Target.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Target.java
@@ -2,5 +2,5 @@
 
 import org.laurelweir.lib.BackendRef;
 
-/** Where an attempt is sent: the run of the sidecar that is meant, and where it listens. */
+/** The target of an attempt: a run of a sidecar, and the address that it listens on. */
 record Target(BackendRef ref, String address) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Timers.java
@@ -4,9 +4,12 @@
 import java.time.Instant;
 import org.laurelweir.lib.ResultCode;
 
-/** Watches the requests in flight: deadlines, silent streams, and waits that are over. */
+/** Checks the requests in flight for deadlines, silent streams and waits that are over. */
 final class Timers {
-    /** Looking at all requests at every tick would cost more than their timers are worth. */
+    /**
+     * Interval between scans of all requests. A scan at every tick would cost more than the
+     * precision of the timers is worth.
+     */
     private static final Duration SCAN_INTERVAL = Duration.ofMillis(10);
 
     private final Requests mRequests;
@@ -53,19 +56,21 @@
     }
 
     /**
-     * Silence counts only while the caller has taken everything: a stream is not read on for a slow
-     * caller, and what is not read can't be heard.
+     * Treats a stream as lost after the silence timeout. Silence counts only while the caller has
+     * consumed all output: for a slow caller the stream is not read, so that no frame can arrive.
      */
     private void checkSilence(Step s, ActiveRequest r) {
-        Instant limit = r.mLastActivityAt.plus(r.policy().silenceTimeout());
-        if (r.mConsumedBytes >= r.mForwardedBytes && !s.now().isBefore(limit)) {
+        Instant timeoutAt = r.mLastActivityAt.plus(r.policy().silenceTimeout());
+        if (r.mConsumedBytes >= r.mForwardedBytes && !s.now().isBefore(timeoutAt)) {
             mRecovery.onContactLost(s, r, "silent");
         }
     }
 
     private void onWake(Step s, ActiveRequest r) {
         switch (r.mPhase) {
-            case CLAIMING -> mClaimAnswers.failUnavailable(s, r, "no answer in time");
+            case CLAIMING ->
+                    mClaimAnswers.failUnavailable(
+                            s, r, "no answer from control within the silence timeout");
             case BACKING_OFF -> mRetries.sendNext(s, r);
             case REVOKING -> mRecovery.onRevokeFailed(s, r, r.mAttempt);
             default -> mRecovery.onWake(s, r);
@@ -75,7 +80,7 @@
     private void onDeadline(Step s, ActiveRequest r) {
         switch (r.mPhase) {
             case CLAIMING, BACKING_OFF -> {
-                String message = "the deadline came before the request could be run";
+                String message = "the deadline expired before the request could be run";
                 mOutcomes.fail(s, r, new Failure(ResultCode.DEADLINE_UNREACHABLE, message));
             }
             default -> expireStarted(s, r);
@@ -83,7 +88,7 @@
     }
 
     private void expireStarted(Step s, ActiveRequest r) {
-        String message = "the deadline came before the whole answer";
+        String message = "the deadline expired before the answer was complete";
         Failure failure = new Failure(ResultCode.DEADLINE_EXCEEDED, message);
         if (!r.mRequest.idempotent()) {
             mOutcomes.failAndDetach(s, r, failure);
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a router decides: where a request goes, when it is tried again, when a silent connection is
- * given up, and what the caller is told.
+ * Routing decisions of a router: the backend server of each request, retries, the timeout of silent
+ * connections, and the answer to the caller.
  */
 package org.laurelweir.routing;
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/AccountShareTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/AccountShareTest.java
@@ -25,7 +25,10 @@
 import org.laurelweir.placement.OutlierConfig;
 import org.laurelweir.quarantine.CrashDelta;
 
-/** One client account's limits, held by several routers that don't talk to each other. */
+/**
+ * Tests the limits of one client account, which several routers enforce without exchanging
+ * messages.
+ */
 class AccountShareTest {
     private static final MembershipDelta ONE_BACKEND =
             new MembershipDelta(
@@ -52,9 +55,10 @@
         mNow = Instant.EPOCH;
     }
 
-    // The account's callers see: together at most 1.25 times the limit runs, and one for each
-    // router. Order: routers join one by one and hear of it late; requests come to any of them and
-    // end at any time. Why: each holds its share of the count that it heard last.
+    // Guards against more running requests than 1.25 times the limit plus one per router, once all
+    // routers know the router count. Routers join one by one and learn the count late. Requests
+    // arrive at any router and end at any time. Each router enforces its share according to the
+    // count that it received last.
     @Property(seed = "11", tries = 300, shrinking = ShrinkingMode.OFF)
     void runningRequestsStayUnderTheLimitOnceAllRoutersKnowTheCount(
             @ForAll long seed,
@@ -63,12 +67,12 @@
         SplittableRandom random = new SplittableRandom(seed);
         RequestPolicy policy = policy(limit, 1_000_000);
         for (int i = 1; i <= routers; i++) {
-            Router joined = new Router(i);
-            mRouters.add(joined);
-            joined.receiveRouterCount(i);
+            Router router = new Router(i);
+            mRouters.add(router);
+            router.receiveRouterCount(i);
             startAndCancelRandomly(random, policy, 50);
         }
-        // What began under an older, larger share ends; it is never cut.
+        // Requests that started under an older, larger share finish; they are never cut off.
         mRouters.forEach(r -> r.receiveRouterCount(routers));
         mRouters.forEach(Router::cancelAll);
         for (int i = 0; i < 20; i++) {
@@ -79,8 +83,8 @@
         assertThat(runningRequests()).isGreaterThanOrEqualTo(limit);
     }
 
-    // The same for the rate: over any time from an idle start, 1.25 times the rate and what each
-    // router may start at once.
+    // Guards against more starts than 1.25 times the rate allows. From an idle start, each router
+    // may also start its burst at once.
     @Property(seed = "12", tries = 300, shrinking = ShrinkingMode.OFF)
     void startsStayUnderTheRateOnceAllRoutersKnowTheCount(
             @ForAll long seed,
@@ -102,8 +106,9 @@
         }
     }
 
-    // Callers see: no surge. Order: a control instance restarts and tells of the one router that it
-    // has heard yet, then of all. Why: a lower count counts once no higher came for half a minute.
+    // Guards against a surge of requests after a control instance restarts. The instance first
+    // reports only the one router that it knows so far, then all of them. The router applies a
+    // lower count only after it received no higher count for half a minute.
     @Example
     void lowCountOfRestartedControlInstanceDoesNotRaiseShares() {
         Router r = new Router(1);
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/ControlRestartTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/ControlRestartTest.java
@@ -16,8 +16,9 @@
 import org.laurelweir.placement.Candidate;
 
 /**
- * Where a router sends work after control, started anew as a whole, has forgotten who leaves. One
- * instance stands for all of control; the server that leaves says so once.
+ * Tests which backend servers a router uses after all control instances restarted and lost the
+ * record of departures. One instance stands for all of control. A departing server announces its
+ * departure once.
  */
 class ControlRestartTest {
     private static final Duration STEP = Duration.ofMillis(100);
@@ -26,7 +27,7 @@
     private static final Duration WARM_UP = Duration.ofSeconds(6);
     private static final Duration DOWNTIME = Duration.ofSeconds(1);
 
-    /** This long after the last fault the bounds on departures hold again. */
+    /** Time after the last fault within which the router has the right view again. */
     private static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
     private static final int SERVER_COUNT = 12;
@@ -108,8 +109,8 @@
         return List.copyOf(names);
     }
 
-    // The word that a server leaves was acknowledged and lost with all of control before a router
-    // asked.
+    // Guards against requests to a departed server. Control acknowledges the departure and loses it
+    // in a restart before the router asks.
     @Test
     void acknowledgedDepartureSurvivesControlRestart() {
         startControl();
@@ -131,7 +132,8 @@
         assertThat(servingIds()).isEqualTo(REMAINING_SERVERS);
     }
 
-    // Servers that stay went out of use while control, started anew, had not heard them yet.
+    // Guards against remaining servers that receive no requests, because restarted control answers
+    // before they have announced themselves again.
     @Test
     void remainingServersAreKeptAfterControlRestart() {
         startControl();
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeControl.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeControl.java
@@ -6,7 +6,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 
-/** The claims of the replicated log, without the log. */
+/** A fake of control's claims, without a replicated log. */
 final class FakeControl {
     private final Map<String, Claim> mClaims = new HashMap<>();
 
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeFleet.java
@@ -22,8 +22,8 @@
 import org.laurelweir.quarantine.CrashDelta;
 
 /**
- * Two routers, three sidecars and control's claims, and the record of what callers saw and engines
- * ran. All of it runs on one thread, as a seed says.
+ * A fake fleet of two routers, three sidecars and control's claims. Records what callers received
+ * and what engines ran. All of it runs on one thread, in an order that a seed determines.
  */
 final class FakeFleet {
     static final RequestPolicy POLICY =
@@ -55,7 +55,7 @@
     private Instant mNow = Instant.EPOCH;
     private long mVersion;
 
-    /** What one caller asked and saw. */
+    /** A caller, its request, and what it received. */
     static final class Caller {
         final int mRouter;
         final CallerRequest mRequest;
@@ -70,7 +70,10 @@
         }
     }
 
-    /** One stream: either direction may go silent for good, or the whole be lost. */
+    /**
+     * A stream. From some point on, either direction may drop all messages, or the stream may be
+     * lost.
+     */
     private static final class Stream {
         private AttemptId mAttempt;
         private FakeSidecar mSidecar;
@@ -93,17 +96,17 @@
         announceSidecars();
     }
 
-    void setFaults(double rate, boolean troubled) {
+    void setFaults(double rate, boolean flaky) {
         mNetwork.setFaultRate(rate);
-        mSidecars.forEach(s -> s.setFlaky(troubled));
+        mSidecars.forEach(s -> s.setFlaky(flaky));
     }
 
-    /** Has some sidecars' engines fail everything. */
+    /** Makes the engines of some sidecars fail every request. */
     void breakEngines(int count) {
         mSidecars.subList(0, count).forEach(FakeSidecar::breakEngine);
     }
 
-    /** Tells the routers of all sidecars. */
+    /** Sends a full view with all sidecars to each router. */
     void announceSidecars() {
         mVersion++;
         List<Backend> backends =
@@ -123,7 +126,9 @@
 
     private static final Backend.State SERVING = Backend.State.SERVING;
 
-    /** Sends a request; a key makes it one that may not be repeated, as does "once". */
+    /**
+     * Sends a request. It must run at most once if it has a key or if {@code idempotent} is false.
+     */
     Caller sendRequest(int router, String body, boolean idempotent, String key) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call(
@@ -148,15 +153,15 @@
         return c;
     }
 
-    /** Lets a little happen. */
+    /** Runs one random step: time passes, a sidecar works or a message arrives. */
     void step() {
-        int what = mRandom.nextInt(10);
-        if (what < 3) {
+        int choice = mRandom.nextInt(10);
+        if (choice < 3) {
             mNow = mNow.plusMillis(1 + mRandom.nextInt(30));
             for (int i = 0; i < ROUTERS; i++) {
                 stepRouter(i, new RouterEvent.Tick());
             }
-        } else if (what < 6) {
+        } else if (choice < 6) {
             mSidecars.get(mRandom.nextInt(SIDECARS)).advanceOne();
         } else {
             mNetwork.deliverOne();
@@ -166,6 +171,7 @@
         }
     }
 
+    /** Returns whether every caller has its answer or is gone, and no message is in flight. */
     boolean isSettled() {
         return mCallers.stream().allMatch(c -> c.mGone || c.mFinalAnswers > 0)
                 && mNetwork.isEmpty();
@@ -205,13 +211,14 @@
             default -> {
                 mStreams.remove(name);
                 s.mLost = true;
-                // Only a stream whose first message can't arrive any more may be called unsent.
+                // The router may be told that nothing was sent only if the first message can't
+                // arrive.
                 s.mDropsToSidecar = !s.mBeginDelivered && mRandom.nextBoolean();
-                String[] parts = name.split("/");
+                String[] nameParts = name.split("/");
                 stepRouter(
-                        Integer.parseInt(parts[0]),
+                        Integer.parseInt(nameParts[0]),
                         new RouterEvent.StreamLost(
-                                Long.parseLong(parts[1]), !s.mDropsToSidecar, "lost"));
+                                Long.parseLong(nameParts[1]), !s.mDropsToSidecar, "lost"));
             }
         }
     }
@@ -260,14 +267,14 @@
 
     private void onBegin(int router, RouterEffect.BeginAttempt e) {
         Stream s = openStream(router, e.stream(), e.request().id(), e.address());
-        String other = mSidecars.get(mRandom.nextInt(SIDECARS)).ref().id();
+        String otherSidecar = mSidecars.get(mRandom.nextInt(SIDECARS)).ref().id();
         Consumer<Frame> reader = frameSender(router, e.stream(), s);
         sendToSidecar(
                 s,
                 () -> {
                     s.mBeginDelivered = true;
                     mDeliveredAttempts++;
-                    s.mSidecar.begin(e.request(), other, reader);
+                    s.mSidecar.begin(e.request(), otherSidecar, reader);
                 });
     }
 
@@ -295,18 +302,19 @@
                     s.mAttempt,
                     () -> {
                         if (!s.mDropsToRouter && !s.mLost) {
-                            long to = mNetwork.drawsFault() ? 1 + mRandom.nextInt(20) : stream;
-                            stepRouter(router, toEvent(s, to, frame));
+                            long targetStream =
+                                    mNetwork.drawsFault() ? 1 + mRandom.nextInt(20) : stream;
+                            stepRouter(router, toEvent(s, targetStream, frame));
                         }
                     });
         };
     }
 
-    private static RouterEvent toEvent(Stream s, long to, Frame frame) {
+    private static RouterEvent toEvent(Stream s, long targetStream, Frame frame) {
         if (frame == FakeSidecar.STREAM_CLOSED) {
-            return new RouterEvent.StreamLost(to, true, "closed");
+            return new RouterEvent.StreamLost(targetStream, true, "closed");
         }
-        return new RouterEvent.FrameArrived(to, FakeSidecar.frame(s.mAttempt, frame));
+        return new RouterEvent.FrameArrived(targetStream, FakeSidecar.frame(s.mAttempt, frame));
     }
 
     private void onRevoke(int router, RouterEffect.Revoke e) {
@@ -326,9 +334,13 @@
         if (effect instanceof RouterEffect.AnswerData e) {
             Caller c = mCallers.get((int) e.caller() - 1);
             c.mBytes.writeBytes(e.bytes());
-            long taken = c.mBytes.size();
+            long consumedBytes = c.mBytes.size();
             mNetwork.send(
-                    c, () -> stepRouter(router, new RouterEvent.OutputConsumed(e.caller(), taken)));
+                    c,
+                    () ->
+                            stepRouter(
+                                    router,
+                                    new RouterEvent.OutputConsumed(e.caller(), consumedBytes)));
         } else if (effect instanceof RouterEffect.AnswerEnd e) {
             finish(e.caller(), ResultCode.OK);
         } else if (effect instanceof RouterEffect.AnswerError e) {
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeNetwork.java
@@ -5,8 +5,9 @@
 import java.util.Random;
 
 /**
- * Messages on their way. A seed decides when each arrives, and which are lost, sent twice or
- * overtaken while faults are on; later every message arrives once and in order.
+ * A fake network. A seed determines when each message arrives, and which messages are lost,
+ * duplicated or overtaken while faults are enabled. Without faults every message arrives once and
+ * in order.
  */
 final class FakeNetwork {
     private final Random mRandom;
@@ -27,12 +28,14 @@
         return mRandom.nextDouble() < mFaultRate;
     }
 
-    /** Sends over a channel that keeps the order and loses nothing but by being lost itself. */
+    /**
+     * Sends over a channel that keeps the order of its messages and loses none of them on its own.
+     */
     void send(Object channel, Runnable arrival) {
         mInFlight.add(new Message(channel, false, arrival));
     }
 
-    /** Sends what may also be lost alone, doubled or overtaken. */
+    /** Sends a message that may be lost, duplicated or overtaken on its own. */
     void sendUnreliably(Object channel, Runnable arrival) {
         mInFlight.add(new Message(channel, true, arrival));
     }
@@ -41,7 +44,7 @@
         return mInFlight.isEmpty();
     }
 
-    /** Lets one message arrive, or meet its fault. */
+    /** Delivers one message, or applies a fault to it. */
     void deliverOne() {
         if (mInFlight.isEmpty()) {
             return;
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/FakeSidecar.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/FakeSidecar.java
@@ -17,9 +17,9 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 
-/** A sidecar with its engine, reduced to what routers can tell apart. */
+/** A fake sidecar with its engine, reduced to the behaviour that routers can observe. */
 final class FakeSidecar {
-    /** Stands for the end of a stream: one stream at a time follows an attempt. */
+    /** Marks the end of a stream. Only one stream at a time reads an attempt. */
     static final Frame STREAM_CLOSED = null;
 
     private static final int CHUNK_BYTES = 16;
@@ -32,7 +32,7 @@
     private boolean mFlaky;
     private boolean mBroken;
 
-    /** One run of a call on an engine: what really happened. */
+    /** One run of a call on an engine, with the output that it really produced. */
     record Execution(AttemptRequest request, byte[] output) {}
 
     FakeSidecar(String id, Random random, List<Execution> executions) {
@@ -54,12 +54,12 @@
         return new BackendRef(mId, mIncarnation);
     }
 
-    /** Whether engines fail and sidecars refuse now and then. */
-    void setFlaky(boolean troubled) {
-        mFlaky = troubled;
+    /** Sets whether the engine fails and the sidecar refuses requests now and then. */
+    void setFlaky(boolean flaky) {
+        mFlaky = flaky;
     }
 
-    /** Has the engine fail everything that it begins. */
+    /** Makes the engine fail every request. */
     void breakEngine() {
         mBroken = true;
     }
@@ -73,22 +73,22 @@
         return new AttemptFrame(id, LoadHint.UNKNOWN, f);
     }
 
-    void begin(AttemptRequest request, String other, Consumer<Frame> reader) {
+    void begin(AttemptRequest request, String otherSidecar, Consumer<Frame> reader) {
         if (!request.target().equals(ref())) {
             reader.accept(refused(ResultCode.OTHER_INCARNATION, ""));
             return;
         }
-        Attempt known = mAttempts.get(request.id());
-        if (known != null) {
+        Attempt existing = mAttempts.get(request.id());
+        if (existing != null) {
             ResultCode code =
-                    known.mNeverStarts ? ResultCode.REVOKED : ResultCode.DUPLICATE_ATTEMPT;
+                    existing.mNeverStarts ? ResultCode.REVOKED : ResultCode.DUPLICATE_ATTEMPT;
             reader.accept(refused(code, ""));
             return;
         }
         if (mFlaky && mRandom.nextInt(4) == 0) {
-            boolean redirects = mRandom.nextBoolean();
-            ResultCode code = redirects ? ResultCode.OVERLOADED : ResultCode.DRAINING;
-            reader.accept(refused(code, redirects ? other : ""));
+            boolean isRedirect = mRandom.nextBoolean();
+            ResultCode code = isRedirect ? ResultCode.OVERLOADED : ResultCode.DRAINING;
+            reader.accept(refused(code, isRedirect ? otherSidecar : ""));
             return;
         }
         Attempt a = new Attempt();
@@ -138,18 +138,18 @@
         }
     }
 
-    /** Goes on with one attempt that is not over. */
+    /** Advances one random attempt that has not ended. */
     void advanceOne() {
-        List<Attempt> open = new ArrayList<>();
+        List<Attempt> unfinished = new ArrayList<>();
         for (Attempt a : mAttempts.values()) {
             if (a.mRequest != null
                     && !a.mNeverStarts
                     && (a.mFinalFrame == null || isEndUnsent(a))) {
-                open.add(a);
+                unfinished.add(a);
             }
         }
-        if (!open.isEmpty()) {
-            advance(open.get(mRandom.nextInt(open.size())));
+        if (!unfinished.isEmpty()) {
+            advance(unfinished.get(mRandom.nextInt(unfinished.size())));
         }
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
@@ -12,7 +12,7 @@
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.membership.MembershipDelta;
 
-/** What a router's log tells of the backend servers that it believes in. */
+/** Tests the log lines about changes of a router's view of the backend servers. */
 class MembershipNotesTest {
     private static final Instant NOW = Instant.EPOCH;
 
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipsTest.java
@@ -14,7 +14,7 @@
 import org.laurelweir.placement.Candidate;
 
 /**
- * What a router believes of the backend servers as it goes from one control instance to another.
+ * Tests a router's view of the backend servers as it moves from one control instance to another.
  */
 class MembershipsTest {
     private static final Instant NOW = Instant.EPOCH;
@@ -31,7 +31,8 @@
         mMemberships.apply(NOW, new MembershipDelta(cursor, full, List.of(b)));
     }
 
-    // A server that had left came back with the view of an instance that was cut off before.
+    // Guards against requests to a departed server. A control instance that was cut off before the
+    // departure still lists the server as serving.
     @Test
     void olderViewDoesNotRestoreADepartedServer() {
         applyDelta("a", true, backend(0, Backend.State.SERVING, 3));
@@ -52,12 +53,13 @@
         assertThat(mMemberships.backend("w")).isNotNull();
     }
 
-    // A server that drained came back with an announcement from before, once no view had named it.
+    // Guards against requests to a draining server. Restarted control does not name it, the router
+    // removes it, and then an announcement from before the drain arrives.
     @Test
     void olderAnnouncementDoesNotRestoreADrainedMissingServer() {
         applyDelta("a", true, backend(0, Backend.State.DRAINING, 6));
-        MembershipCursor startedAnew = new MembershipCursor("a", 2, 1);
-        mMemberships.apply(NOW, new MembershipDelta(startedAnew, true, List.of()));
+        MembershipCursor afterRestart = new MembershipCursor("a", 2, 1);
+        mMemberships.apply(NOW, new MembershipDelta(afterRestart, true, List.of()));
         mMemberships.onTick(NOW.plusSeconds(6));
         applyDelta("a", false, backend(0, Backend.State.SERVING, 5));
         assertThat(mMemberships.view("s").candidates()).noneMatch(c -> !c.draining());
@@ -66,8 +68,8 @@
     @Test
     void missingServerReturnsWithItsOldAnnouncement() {
         applyDelta("a", true, backend(0, Backend.State.SERVING, 5));
-        MembershipCursor startedAnew = new MembershipCursor("a", 2, 1);
-        mMemberships.apply(NOW, new MembershipDelta(startedAnew, true, List.of()));
+        MembershipCursor afterRestart = new MembershipCursor("a", 2, 1);
+        mMemberships.apply(NOW, new MembershipDelta(afterRestart, true, List.of()));
         mMemberships.onTick(NOW.plusSeconds(6));
         applyDelta("a", false, backend(0, Backend.State.SERVING, 5));
         assertThat(mMemberships.view("s").size()).isOne();
@@ -82,7 +84,8 @@
         assertThat(mMemberships.backend("w")).isNotNull();
     }
 
-    // A server that control did not hear for a moment after its start got no work for good.
+    // Guards against a server that receives no requests any more. Control, just restarted, does not
+    // name it for a moment and later names it again unchanged.
     @Test
     void suspendedServerThatIsNamedAgainServesAgain() {
         applyFullView(1, "v", "w", "x");
@@ -95,7 +98,8 @@
         assertThat(servingIds()).containsExactly("v", "w", "x");
     }
 
-    // A control instance that hardly anybody reached took most of a service out of use.
+    // Guards against the loss of most of a service. A control instance that few servers can reach
+    // answers with these few only.
     @Test
     void noServerIsSuspendedWhereMostAreMissing() {
         applyFullView(1, "v", "w", "x");
@@ -104,7 +108,7 @@
         assertThat(servingIds()).containsExactly("v", "w", "x");
     }
 
-    /** Tells the whole view of an instance that has been started so many times. */
+    /** Applies the full view of a control instance that has started {@code start} times. */
     private void applyFullView(int start, String... names) {
         List<Backend> backends =
                 Stream.of(names)
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/PlacementsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/PlacementsTest.java
@@ -12,13 +12,13 @@
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.membership.MembershipDelta;
 
-/** What a router knows of backend servers when it chooses among them. */
+/** Tests what a router knows about backend servers when it chooses among them. */
 class PlacementsTest {
     private static final Instant NOW = Instant.EPOCH;
 
-    // Callers of a service see one of its two servers do all the work. The other one's sidecar was
-    // killed while it ran a request, and is back. Its last word, "one running", would stand against
-    // it for good: the idle one goes first, so that no answer ever corrects it.
+    // Guards against a server that receives no requests after its sidecar was killed and restarted.
+    // The last load that the killed run reported, one running request, would remain: the router
+    // always chooses the idle server first, so that no answer ever corrects the load.
     @Test
     void restartedSidecarHasNoKnownLoad() {
         Memberships memberships = new Memberships(b -> {});
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RequestPolicies.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RequestPolicies.java
@@ -1,10 +1,10 @@
 package org.laurelweir.routing;
 
-/** Request policies that differ from another one in a few values. */
+/** Creates variants of request policies. */
 final class RequestPolicies {
     private RequestPolicies() {}
 
-    /** Returns a policy with other limits of a client account. */
+    /** Returns a copy of a policy with other limits for the client account. */
     static RequestPolicy withAccountLimits(RequestPolicy p, int maxRunning, double rate) {
         return new RequestPolicy(
                 p.boundFactor(),
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RouterPropertiesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RouterPropertiesTest.java
@@ -15,18 +15,20 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * What holds for every caller, whatever messages are lost, doubled, late or crossed, whichever
- * streams go silent or end, and whenever sidecars restart.
+ * Tests what every caller can rely on while messages are lost, duplicated, delayed or misrouted,
+ * streams go silent or end, and sidecars restart.
  */
 class RouterPropertiesTest {
     private static final int REQUESTS = 14;
     private static final int FAULTY_STEPS = 2_500;
     private static final int MAX_STEPS = 40_000;
 
-    // The caller sends one request and waits; the same key may go to both routers. Meanwhile a seed
-    // breaks streams in either direction at any step, loses claims and revocations, restarts
-    // sidecars, has engines fail and callers hang up. Then the faults end, and whoever still waits
-    // must be answered: nothing but the router's own timers can free it from a silent stream.
+    // Guards against callers that receive no answer, several answers, or an answer that does not
+    // match what engines ran. Each caller sends one request; requests with the same key may go to
+    // both routers. A seed breaks streams in either direction at any step, loses claims and
+    // revocations, restarts sidecars, makes engines fail and disconnects callers. Then the faults
+    // end, and every caller still waiting must receive an answer: on a silent stream, only the
+    // router's own timers can cause it.
     @Property(seed = "20261202", tries = 1_000, shrinking = ShrinkingMode.OFF)
     void callersGetOneAnswerThatMatchesTheExecutions(@ForAll long seed) {
         FakeFleet fleet = new FakeFleet(seed);
@@ -53,11 +55,11 @@
     }
 
     private static void sendRandomRequest(FakeFleet fleet, Random random) {
-        int n = fleet.mCallers.size();
+        int count = fleet.mCallers.size();
         int router = random.nextInt(2);
         switch (random.nextInt(3)) {
-            case 0 -> fleet.sendRequest(router, "idempotent " + n, true, "");
-            case 1 -> fleet.sendRequest(router, "once " + n, false, "");
+            case 0 -> fleet.sendRequest(router, "idempotent " + count, true, "");
+            case 1 -> fleet.sendRequest(router, "once " + count, false, "");
             default -> {
                 int key = random.nextInt(3);
                 String body = (random.nextInt(8) == 0 ? "other " : "keyed ") + key;
@@ -67,33 +69,40 @@
     }
 
     private static void checkCaller(FakeFleet fleet, int index) {
-        FakeFleet.Caller c = fleet.mCallers.get(index);
-        assertThat(c.mFinalAnswers).as("final answers to %d", index).isEqualTo(c.mGone ? 0 : 1);
-        byte[] seen = c.mBytes.toByteArray();
-        boolean whole = c.mCode == ResultCode.OK;
-        boolean own =
-                executionsOfCall(fleet, c).stream()
-                        .anyMatch(e -> matchesOutput(e.output(), seen, whole));
-        assertThat(own || (seen.length == 0 && !whole)).as("own bytes of %d", index).isTrue();
-        if (c.mCode != null && c.mCode.isNotRun()) {
+        FakeFleet.Caller caller = fleet.mCallers.get(index);
+        assertThat(caller.mFinalAnswers)
+                .as("final answers to caller %d", index)
+                .isEqualTo(caller.mGone ? 0 : 1);
+        byte[] received = caller.mBytes.toByteArray();
+        boolean complete = caller.mCode == ResultCode.OK;
+        boolean matchesExecution =
+                executionsOfCall(fleet, caller).stream()
+                        .anyMatch(e -> matchesOutput(e.output(), received, complete));
+        assertThat(matchesExecution || (received.length == 0 && !complete))
+                .as("bytes received by caller %d match an execution of its call", index)
+                .isTrue();
+        if (caller.mCode != null && caller.mCode.isNotRun()) {
             assertThat(executionsOfRequest(fleet, index))
-                    .as("runs of %d, not run", index)
+                    .as("executions of request %d, which was answered as not run", index)
                     .isEmpty();
         }
     }
 
-    private static boolean matchesOutput(byte[] output, byte[] seen, boolean whole) {
-        if (whole) {
-            return Arrays.equals(output, seen);
+    private static boolean matchesOutput(byte[] output, byte[] received, boolean complete) {
+        if (complete) {
+            return Arrays.equals(output, received);
         }
-        return seen.length <= output.length
-                && Arrays.equals(Arrays.copyOf(output, seen.length), seen);
+        return received.length <= output.length
+                && Arrays.equals(Arrays.copyOf(output, received.length), received);
     }
 
-    /** Runs of the same call; each request has a body of its own, but for resends of one key. */
+    /**
+     * Returns the executions of the same call. Each request has its own body, except for resends of
+     * one key.
+     */
     private static List<FakeSidecar.Execution> executionsOfCall(
-            FakeFleet fleet, FakeFleet.Caller c) {
-        byte[] body = c.mRequest.call().body();
+            FakeFleet fleet, FakeFleet.Caller caller) {
+        byte[] body = caller.mRequest.call().body();
         return fleet.mExecutions.stream()
                 .filter(e -> Arrays.equals(e.request().call().body(), body))
                 .toList();
@@ -106,21 +115,25 @@
     }
 
     private static void checkNonIdempotentExecutions(FakeFleet fleet) {
-        Map<String, Integer> runs = new HashMap<>();
+        Map<String, Integer> executions = new HashMap<>();
         for (FakeSidecar.Execution e : fleet.mExecutions) {
-            AttemptRequest q = e.request();
-            if (!q.idempotent()) {
-                String body = new String(q.call().body(), StandardCharsets.UTF_8);
-                runs.merge(
-                        q.idempotencyKey().isEmpty() ? body : q.idempotencyKey(), 1, Integer::sum);
+            AttemptRequest request = e.request();
+            if (!request.idempotent()) {
+                String body = new String(request.call().body(), StandardCharsets.UTF_8);
+                executions.merge(
+                        request.idempotencyKey().isEmpty() ? body : request.idempotencyKey(),
+                        1,
+                        Integer::sum);
             }
         }
-        assertThat(runs.values()).as("runs of what may not be repeated").allMatch(n -> n == 1);
+        assertThat(executions.values())
+                .as("executions of each request that may not be repeated")
+                .allMatch(count -> count == 1);
     }
 
-    // Two of three engines fail whatever they begin, so that most requests would be tried again
-    // and again. Each caller still gets one final answer, and the attempts beyond the first stay
-    // within the budget: an outage adds no more load than that.
+    // Guards against retries that multiply the load in an outage. Two of three engines fail every
+    // request, so that most requests would be retried again and again. Each caller still receives
+    // one final answer, and the attempts after the first stay within the retry budget.
     @Property(seed = "20261202", tries = 20, shrinking = ShrinkingMode.OFF)
     void retriesStayWithinTheBudget(@ForAll long seed) {
         FakeFleet fleet = new FakeFleet(seed);
@@ -132,7 +145,7 @@
             }
             fleet.step();
         }
-        assertThat(fleet.mCallers).hasSize(requests).allMatch(c -> c.mFinalAnswers == 1);
+        assertThat(fleet.mCallers).hasSize(requests).allMatch(caller -> caller.mFinalAnswers == 1);
         double budget = 2 * RetryBudget.MAX_TOKENS + requests * FakeFleet.POLICY.retryBudgetShare();
         assertThat((double) fleet.mDeliveredAttempts - requests).isBetween(1.0, budget);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/RouterReducerTest.java
@@ -25,7 +25,7 @@
 import org.laurelweir.routing.RouterEffect.AnswerError;
 import org.laurelweir.routing.RouterEffect.BeginAttempt;
 
-/** Single decisions of a router, event by event. */
+/** Tests single decisions of a router, event by event. */
 class RouterReducerTest {
     private static final RequestPolicy POLICY = FakeFleet.POLICY;
 
@@ -123,9 +123,9 @@
     void redirectsAreFollowedTwiceBeforeTheRoutersOwnRanking() {
         sendRequest(1, true, "", POLICY);
         for (int i = 1; i <= 2; i++) {
-            String named = untriedSidecar();
-            refuseLastAttempt(ResultCode.OVERLOADED, named);
-            assertThat(lastEffect(BeginAttempt.class).address()).isEqualTo(named);
+            String target = untriedSidecar();
+            refuseLastAttempt(ResultCode.OVERLOADED, target);
+            assertThat(lastEffect(BeginAttempt.class).address()).isEqualTo(target);
             assertThat(lastEffect(BeginAttempt.class).request().redirects()).isEqualTo(i);
         }
         refuseLastAttempt(ResultCode.OVERLOADED, untriedSidecar());
@@ -134,9 +134,9 @@
         assertThat(effects(BeginAttempt.class)).hasSize(4);
     }
 
-    // A sidecar sends the request on to a backend server that is gone, which this router knows
-    // already. Counted as a retry, the caller would be refused once the budget is spent, although
-    // others have room; the router's own ranking takes the redirect's place.
+    // Guards against requests that fail although other servers have capacity. A sidecar redirects
+    // to a backend server that the router already knows to be gone. The router uses its own ranking
+    // instead of the redirect. A retry would fail once the retry budget is spent.
     @Test
     void redirectToAnUnknownServerFallsBackToTheRoutersRanking() {
         sendRequest(1, true, "", POLICY);
@@ -158,9 +158,9 @@
         return RequestPolicies.withAccountLimits(POLICY, maxRunning, rate);
     }
 
-    // An account asks so often that its refills of a tenth each add up to a hair less than one
-    // start. What is missing takes less than a nanosecond, and must not count as nothing missing:
-    // all that came at that moment would start.
+    // Guards against requests over the rate limit. Ten refills of a tenth of a token add up to
+    // slightly less than one token. The wait for the rest is below a nanosecond. Rounded down to
+    // zero, it would admit every request that arrives at that moment.
     @Test
     void tokensJustBelowOneDoNotAdmitARequest() {
         RequestPolicy slow = withAccountLimits(100, 1);
@@ -177,19 +177,19 @@
 
     @Test
     void accountLimitsAreEnforced() {
-        RequestPolicy narrow = withAccountLimits(1, 2);
-        sendRequest(1, true, "", narrow);
-        sendRequest(2, true, "", narrow);
+        RequestPolicy limited = withAccountLimits(1, 2);
+        sendRequest(1, true, "", limited);
+        sendRequest(2, true, "", limited);
         assertThat(lastEffect(AnswerError.class).code()).isEqualTo(ResultCode.ACCOUNT_LIMIT);
         refuseLastAttempt(ResultCode.OVERLOADED, "");
-        sendRequest(3, true, "", narrow);
+        sendRequest(3, true, "", limited);
         refuseLastAttempt(ResultCode.OVERLOADED, "");
-        sendRequest(4, true, "", narrow);
+        sendRequest(4, true, "", limited);
         AnswerError error = lastEffect(AnswerError.class);
         assertThat(error.caller()).isEqualTo(4);
         assertThat(error.retryAfter()).isEqualTo(Duration.ofMillis(500));
         advance(Duration.ofMillis(500));
-        sendRequest(5, true, "", narrow);
+        sendRequest(5, true, "", limited);
         assertThat(lastEffect(BeginAttempt.class).request().id().request()).isEqualTo(5);
     }
 
@@ -213,20 +213,21 @@
         assertThat(second.replaces()).isEqualTo(first.attempt());
     }
 
-    // The caller resends just before its time to do so is over, counted from its deadline. The
-    // claim must still stand then: it is asked for as long, and longer than the attempt may run.
+    // Guards against a claim that expires too early. The caller may resend until the retention
+    // after its deadline is over, and the claim must hold until then, longer than the attempt may
+    // run.
     @Test
     void claimOutlastsTheAttemptByTheRetention() {
         sendRequest(1, false, "key", POLICY);
-        Duration asked = lastEffect(RouterEffect.Claim.class).retention();
-        assertThat(asked).isEqualTo(Duration.ofMinutes(1).plus(POLICY.claimRetention()));
+        Duration retention = lastEffect(RouterEffect.Claim.class).retention();
+        assertThat(retention).isEqualTo(Duration.ofMinutes(1).plus(POLICY.claimRetention()));
     }
 
-    // The caller sends its order again, through another router than the first time, while the first
-    // attempt still runs for that one. Nothing is sent a second time. This router waits until the
-    // attempt has ended, for taking its only stream would have the two take it from each other;
-    // then it hands on the first outcome. The output is gone by then, so that is "already run".
-    // The claim is not settled by a router that knows the end only from hearsay.
+    // Guards against a second run of a request that the caller resends through another router while
+    // the first attempt still runs. This router sends nothing. It waits until the attempt has
+    // ended, because the two routers would otherwise take its only stream from each other. Then it
+    // reports the first outcome, which is "already run" because the output is gone. It does not
+    // settle the claim, because it did not see the attempt's end itself.
     @Test
     void resendWaitsForTheFirstAttemptAndReportsItsOutcome() {
         sendRequest(1, false, "key", POLICY);
@@ -252,8 +253,9 @@
         assertThat(effects(RouterEffect.SettleClaim.class)).isEmpty();
     }
 
-    // The message that begins an attempt arrives twice, and the second is refused as a duplicate.
-    // The first may run: only asking for the attempt's state tells.
+    // Guards against the report "not run" for a request that runs. The begin message arrives twice,
+    // and the sidecar refuses the second as a duplicate. Only a revocation tells the attempt's
+    // state.
     @Test
     void duplicateRefusalDoesNotMeanNotRun() {
         sendRequest(1, false, "", POLICY);
@@ -269,9 +271,9 @@
                         id, ResultCode.OK, id, claim.target(), false, ResultCode.OK));
     }
 
-    // The caller has half of its answer when the stream falls silent, as something between the
-    // ends lost track of the connection. The router leaves it, follows the same attempt over a new
-    // one from the first byte that is missing, and the caller gets the rest.
+    // Guards against a stuck answer. The stream goes silent after half of the answer, because a
+    // device between the two ends lost the state of the connection. The router drops the stream and
+    // resumes the attempt over a new connection at the first missing byte.
     @Test
     void silentStreamIsResumedAtItsOffset() {
         sendRequest(1, false, "", POLICY);
@@ -291,8 +293,9 @@
         assertThat(effects(RouterEffect.AnswerEnd.class)).hasSize(1);
     }
 
-    // A caller that reads slowly keeps its stream from being read, so no frame is heard. That is
-    // no silence of the connection: leaving it would only repeat the wait over new ones.
+    // Guards against the loss of a stream that only waits for its caller. A slow caller stops the
+    // router from reading the stream, so that no frame arrives. A new connection would only repeat
+    // that.
     @Test
     void slowCallerDoesNotMakeAStreamSilent() {
         sendRequest(1, true, "", POLICY);
@@ -302,9 +305,9 @@
         assertThat(effects(RouterEffect.DropStream.class)).isEmpty();
     }
 
-    // The stream of a request that may not be repeated is lost before any answer, and then the
-    // sidecar turns out to have been restarted. Nobody can tell whether it ran; the caller learns
-    // just that, at once, and without advice to send it again.
+    // Guards against a false outcome. The stream of a request that may not be repeated is lost
+    // before any answer, and the sidecar turns out to have restarted. No component can tell whether
+    // the request ran. The caller receives "outcome unknown" at once, without advice to resend.
     @Test
     void restartedSidecarLeavesTheOutcomeUnknown() {
         sendRequest(1, false, "", POLICY);
@@ -318,8 +321,8 @@
         assertThat(effects(BeginAttempt.class)).hasSize(1);
     }
 
-    // The control leader can't be reached. The request has not been sent, and without a claim it
-    // must not be: the caller is told at once that it was not run and when to come back.
+    // Guards against sending a request without a claim. The control leader is unreachable. The
+    // caller learns at once that the request was not run and when to retry.
     @Test
     void requestIsNotSentWithoutAClaim() {
         sendRequest(1, false, "key", POLICY);
@@ -333,8 +336,8 @@
         assertThat(effects(BeginAttempt.class)).isEmpty();
     }
 
-    // The caller of a keyed order hangs up while it runs. The order is not cancelled half way; it
-    // ends, and its claim is settled, so that the caller's resend finds the first outcome.
+    // Guards against cancelling a keyed request half way. Its caller disconnects while it runs. The
+    // attempt finishes and its claim is settled, so that a resend finds the first outcome.
     @Test
     void keyedRequestFinishesAfterItsCallerDisconnects() {
         sendRequest(1, false, "key", POLICY);
@@ -360,9 +363,10 @@
         assertThat(lastEffect(BeginAttempt.class).address()).isNotEqualTo(home);
     }
 
-    // The caller is answered although the home of its chat leaves. A sidecar that has room sends
-    // the chat on to its home, which refuses, and names that sidecar as the next in rank. It is
-    // asked again: sending on is not refusing, and with two servers nobody else is left.
+    // Guards against a request without an answer while the home of its chat leaves. A sidecar with
+    // capacity redirects the request to the chat's home, which refuses it and names that sidecar as
+    // the next in rank. The router tries that sidecar again: a redirect is not a refusal, and of
+    // two servers no other is left.
     @Test
     void redirectingSidecarIsTriedAgain() {
         sendRequest(1, true, "", POLICY);
@@ -382,9 +386,9 @@
         assertThat(lastEffect(BeginAttempt.class).address()).isNotEqualTo(home);
     }
 
-    // The router turns to a control instance that has just started and has heard of one sidecar so
-    // far. Taken at its word, the others' chats would all move there; they stay for a while, and
-    // go only if nobody names them again.
+    // Guards against moving all chats to one server. The router asks a control instance that has
+    // just started and knows one sidecar so far. The other sidecars stay for a while, and are
+    // removed only if control does not name them again.
     @Test
     void missingBackendServersAreKeptForAWhile() {
         step(exchange(true, List.of(backend("s0", Backend.State.SERVING))));
