--- a/org.laurelweir/src/main/java/org/laurelweir/placement/AffinityPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/AffinityPolicy.java
@@ -10,16 +10,16 @@
  */
 public final class AffinityPolicy implements PlacementPolicy {
     /** Home and what two redirects may reach. */
-    public static final int CANDIDATES = 3;
+    public static final int MAX_CANDIDATES = 3;
 
     @Override
     public Placement place(PlacementRequest request, ServiceView view, PlacementHints hints) {
-        List<Candidate> ranked = view.ranking().top(request.chat(), CANDIDATES);
+        List<Candidate> ranked = view.ranking().top(request.chat(), MAX_CANDIDATES);
         if (ranked.isEmpty()) {
             return new Placement(ranked, PlacementReason.NO_BACKEND_SERVER, view.version());
         }
         Candidate home = ranked.get(0);
-        Candidate seat = seat(request.chat(), view, hints);
+        Candidate seat = lastServer(request.chat(), view, hints);
         List<Candidate> order = new ArrayList<>(ranked);
         if (seat != null) {
             order.remove(seat);
@@ -29,7 +29,7 @@
         return new Placement(order, reason(order.get(0), home, seat), view.version());
     }
 
-    private static Candidate seat(ChatKey chat, ServiceView view, PlacementHints hints) {
+    private static Candidate lastServer(ChatKey chat, ServiceView view, PlacementHints hints) {
         String id = hints.lastServer(chat);
         Candidate seat = id == null ? null : view.candidate(id);
         return seat == null || seat.draining() ? null : seat;
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
@@ -20,14 +20,14 @@
         double capacityFloor,
         double prefillWeight,
         int maxRedirects) {
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /** Checks the factors. */
     public BoundConfig {
         if (factor < 1 || uncachedFactor < 1 || uncachedFactor > factor) {
             throw new IllegalArgumentException("factors: " + uncachedFactor + ", " + factor);
         }
-        if (headroom < 0 || factor * (1 - headroom) < 1 - ROUNDING) {
+        if (headroom < 0 || factor * (1 - headroom) < 1 - ROUNDING_TOLERANCE) {
             throw new IllegalArgumentException("headroom: " + headroom);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
@@ -10,7 +10,7 @@
  */
 public final class BoundPolicy {
     /** Cached share of the prompt from which a chat is kept where it is. */
-    private static final double AFFINE_SHARE = 0.5;
+    private static final double MIN_CACHED_SHARE = 0.5;
 
     private final BoundConfig mConfig;
 
@@ -28,26 +28,27 @@
      * @param meanWork the service's mean, as last heard
      */
     public BoundDecision decide(BoundQuery query, double runningWork, double meanWork) {
-        boolean canRedirect = query.hasNext() && query.redirects() < mConfig.maxRedirects();
+        boolean canRedirect = query.hasNextServer() && query.redirects() < mConfig.maxRedirects();
         BoundDecision elsewhere = canRedirect ? BoundDecision.REDIRECT : BoundDecision.REJECT;
         if (!query.deadlineReachable()) {
             return elsewhere;
         }
         boolean stays = hasCacheAffinity(query.work()) || !canRedirect;
-        double factor = stays ? mConfig.effectiveFactor() : openFactor();
+        double factor = stays ? mConfig.effectiveFactor() : uncachedFactor();
         double units = query.work().units(mConfig.prefillWeight());
         if (LoadBound.admits(runningWork, units, meanWork, factor, mConfig.capacityFloor())) {
             return BoundDecision.ADMIT;
         }
-        return stays && !query.waited() ? BoundDecision.WAIT : elsewhere;
+        return stays && !query.hasWaited() ? BoundDecision.WAIT : elsewhere;
     }
 
-    private double openFactor() {
+    private double uncachedFactor() {
         return Math.min(mConfig.uncachedFactor(), mConfig.effectiveFactor());
     }
 
     /** Returns whether enough of the prompt is cached for the chat to be kept where it is. */
     public static boolean hasCacheAffinity(WorkEstimate work) {
-        return work.cachedTokens() > 0 && work.cachedTokens() >= AFFINE_SHARE * work.promptTokens();
+        return work.cachedTokens() > 0
+                && work.cachedTokens() >= MIN_CACHED_SHARE * work.promptTokens();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Candidate.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Candidate.java
@@ -29,7 +29,7 @@
     }
 
     /** Returns the same backend server, leaving. */
-    public Candidate drained() {
+    public Candidate withDraining() {
         return new Candidate(ref, dataCentre, weight, true);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatDirectory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatDirectory.java
@@ -25,9 +25,9 @@
 
     private static final int INITIAL_SLOTS = 8;
 
-    private final int mHalf;
+    private final int mGenerationSize;
     private final List<String> mServers = new ArrayList<>();
-    private final Map<String, Integer> mIndexes = new HashMap<>();
+    private final Map<String, Integer> mServerIndexes = new HashMap<>();
     private Long2LongHashMap mYoung = newGeneration();
     private Long2LongHashMap mOld = newGeneration();
 
@@ -40,7 +40,7 @@
         if (capacity < 2) {
             throw new IllegalArgumentException("capacity: " + capacity);
         }
-        mHalf = capacity / 2;
+        mGenerationSize = capacity / 2;
     }
 
     private static Long2LongHashMap newGeneration() {
@@ -73,7 +73,7 @@
      */
     public void put(ChatKey chat, String server) {
         mOld.remove(chat.hash());
-        insert(chat.hash(), mIndexes.computeIfAbsent(server, this::newIndex));
+        insert(chat.hash(), mServerIndexes.computeIfAbsent(server, this::newIndex));
     }
 
     private int newIndex(String server) {
@@ -83,7 +83,7 @@
 
     private void insert(long hash, long index) {
         mYoung.put(hash, index);
-        if (mYoung.size() >= mHalf) {
+        if (mYoung.size() >= mGenerationSize) {
             mOld = mYoung;
             mYoung = newGeneration();
         }
@@ -97,7 +97,7 @@
 
     /** Drops the entries that lead to a backend server, after it left. */
     public void removeServer(String server) {
-        Integer index = mIndexes.get(server);
+        Integer index = mServerIndexes.get(server);
         if (index == null) {
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
@@ -12,12 +12,12 @@
  */
 public final class ChatLocator {
     /** How many ranks after a lost home are asked; a bound redirects at most twice. */
-    static final int RANKS_ASKED = 2;
+    static final int MAX_RANKS_ASKED = 2;
 
     private final String mSelf;
     private final ChatDirectory mDirectory;
     private final int mMaxAsked;
-    private final LongHashSet mAsked = new LongHashSet();
+    private final LongHashSet mAskedChats = new LongHashSet();
 
     /**
      * Creates the look-up of one sidecar.
@@ -41,7 +41,7 @@
      */
     public ChatLocation locate(ChatLocationQuery query, ServiceView view) {
         if (!query.fromRouter()) {
-            return hereOrUnknown(query);
+            return localOrUnknown(query);
         }
         String elsewhere = mDirectory.find(query.chat());
         if (elsewhere != null && !elsewhere.equals(mSelf) && view.candidate(elsewhere) != null) {
@@ -49,20 +49,20 @@
         }
         Candidate home = view.ranking().home(query.chat());
         if (home == null) {
-            return hereOrUnknown(query);
+            return localOrUnknown(query);
         }
         if (!home.id().equals(mSelf)) {
             // The router's view is older or newer than this one, or its memory of the chat is old.
             return query.cachedLocally() ? ChatLocation.LOCAL : new ChatLocation.Remote(home.id());
         }
         List<Candidate> asked = previousHolders(query, view, home);
-        if (asked.isEmpty() || !remember(query.chat())) {
-            return hereOrUnknown(query);
+        if (asked.isEmpty() || !markAsked(query.chat())) {
+            return localOrUnknown(query);
         }
         return new ChatLocation.AskPeers(asked);
     }
 
-    private static ChatLocation hereOrUnknown(ChatLocationQuery query) {
+    private static ChatLocation localOrUnknown(ChatLocationQuery query) {
         return query.cachedLocally() ? ChatLocation.LOCAL : ChatLocation.UNKNOWN;
     }
 
@@ -73,7 +73,7 @@
             asked.addAll(view.ranking().topWithout(query.chat(), mSelf, 1));
         }
         if (!query.cachedLocally() && isHomeDeparted(query.chat(), view, home)) {
-            for (Candidate c : view.ranking().topWithout(query.chat(), mSelf, RANKS_ASKED)) {
+            for (Candidate c : view.ranking().topWithout(query.chat(), mSelf, MAX_RANKS_ASKED)) {
                 if (!asked.contains(c)) {
                     asked.add(c);
                 }
@@ -90,20 +90,20 @@
         return view.departed().stream().anyMatch(d -> Ranking.distance(chat, d) < own);
     }
 
-    private boolean remember(ChatKey chat) {
-        if (mAsked.size() >= mMaxAsked) {
-            mAsked.clear();
+    private boolean markAsked(ChatKey chat) {
+        if (mAskedChats.size() >= mMaxAsked) {
+            mAskedChats.clear();
         }
-        return mAsked.add(chat.hash());
+        return mAskedChats.add(chat.hash());
     }
 
     /** Forgets what was asked, after a membership change that may have moved homes here. */
     public void onMembershipChange() {
-        mAsked.clear();
+        mAskedChats.clear();
     }
 
     /** Returns how many chats it remembers to have asked for. */
     public int askedCount() {
-        return mAsked.size();
+        return mAskedChats.size();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Outliers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Outliers.java
@@ -41,10 +41,10 @@
             return false;
         }
         h.mFailures++;
-        if (h.mFailures < mConfig.failures() || ejectedCount(now) >= ceiling(servers)) {
+        if (h.mFailures < mConfig.failures() || ejectedCount(now) >= maxEjected(servers)) {
             return false;
         }
-        h.mCooldown = h.mCooldown == null ? mConfig.cooldown() : longer(h.mCooldown);
+        h.mCooldown = h.mCooldown == null ? mConfig.cooldown() : nextCooldown(h.mCooldown);
         h.mEjectedUntil = now.plus(h.mCooldown);
         return true;
     }
@@ -71,12 +71,12 @@
     }
 
     /** A service of two or more may always have one ejected, and never all. */
-    private int ceiling(int servers) {
+    private int maxEjected(int servers) {
         int share = Math.max(1, (int) (servers * mConfig.maxShare()));
         return Math.min(servers - 1, share);
     }
 
-    private Duration longer(Duration cooldown) {
+    private Duration nextCooldown(Duration cooldown) {
         Duration doubled = cooldown.multipliedBy(2);
         return doubled.compareTo(mConfig.maxCooldown()) > 0 ? mConfig.maxCooldown() : doubled;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Ranking.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Ranking.java
@@ -26,7 +26,7 @@
     static final int POINTS_PER_WEIGHT = 8;
 
     private static final LongHashFunction XXH3 = LongHashFunction.xx3();
-    private static final long STEP = 0x9E3779B97F4A7C15L;
+    private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
     private static final int CIRCLE_BITS = 63;
 
     private final Candidate[] mCandidates;
@@ -34,7 +34,7 @@
     private final int[] mOwners;
 
     /** Index of the first point in each equal slice of the circle, to find a successor at once. */
-    private final int[] mSlices;
+    private final int[] mSliceStarts;
 
     private final int mSliceShift;
 
@@ -45,7 +45,7 @@
         mOwners = Arrays.stream(sorted[1]).mapToInt(o -> (int) o).toArray();
         int bits = Math.max(1, Long.SIZE - Long.numberOfLeadingZeros(mPoints.length));
         mSliceShift = CIRCLE_BITS - bits;
-        mSlices = slices(mPoints, bits, mSliceShift);
+        mSliceStarts = sliceStarts(mPoints, bits, mSliceShift);
     }
 
     /**
@@ -64,7 +64,7 @@
         for (int i = 0; i < candidates.length; i++) {
             long seed = seed(candidates[i]);
             for (int p = 0; p < pointCount(candidates[i]); p++) {
-                all.add(new long[] {place(seed, p), i});
+                all.add(new long[] {circlePosition(seed, p), i});
             }
         }
         all.sort(Comparator.<long[]>comparingLong(a -> a[0]).thenComparingLong(a -> a[1]));
@@ -73,7 +73,7 @@
         return new long[][] {points, owners};
     }
 
-    private static int[] slices(long[] points, int bits, int shift) {
+    private static int[] sliceStarts(long[] points, int bits, int shift) {
         int[] slices = new int[1 << bits];
         int next = 0;
         for (int s = 0; s < slices.length; s++) {
@@ -104,7 +104,7 @@
         }
         Nearest nearest = new Nearest(wanted);
         for (int i = 0; i < PROBES; i++) {
-            walk(place(chat.hash(), i), nearest);
+            collectNearest(circlePosition(chat.hash(), i), nearest);
         }
         List<Candidate> top = new ArrayList<>(nearest.mCount);
         for (int i = 0; i < nearest.mCount; i++) {
@@ -148,16 +148,16 @@
         long least = Long.MAX_VALUE;
         long seed = seed(candidate);
         for (int p = 0; p < pointCount(candidate); p++) {
-            long point = place(seed, p);
+            long point = circlePosition(seed, p);
             for (int i = 0; i < PROBES; i++) {
-                least = Math.min(least, forward(place(chat.hash(), i), point));
+                least = Math.min(least, forwardDistance(circlePosition(chat.hash(), i), point));
             }
         }
         return least;
     }
 
-    private void walk(long probe, Nearest nearest) {
-        int at = mSlices[(int) (probe >>> mSliceShift)];
+    private void collectNearest(long probe, Nearest nearest) {
+        int at = mSliceStarts[(int) (probe >>> mSliceShift)];
         while (at < mPoints.length && mPoints[at] < probe) {
             at++;
         }
@@ -165,8 +165,8 @@
             if (at == mPoints.length) {
                 at = 0;
             }
-            long distance = forward(probe, mPoints[at]);
-            if (distance >= nearest.worst()) {
+            long distance = forwardDistance(probe, mPoints[at]);
+            if (distance >= nearest.maxDistance()) {
                 return;
             }
             nearest.offer(distance, mOwners[at]);
@@ -185,13 +185,13 @@
         return XXH3.hashChars(candidate.id());
     }
 
-    private static long forward(long from, long to) {
+    private static long forwardDistance(long from, long to) {
         return (to - from) & Long.MAX_VALUE;
     }
 
     /** Returns a place on the circle: the finalizer of SplitMix64 over a seed's i-th successor. */
-    private static long place(long seed, int i) {
-        long z = seed + (i + 1) * STEP;
+    private static long circlePosition(long seed, int i) {
+        long z = seed + (i + 1) * GOLDEN_GAMMA;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
         z = (z ^ (z >>> 27)) * 0x94D049BB133111EBL;
         return (z ^ (z >>> 31)) & Long.MAX_VALUE;
@@ -208,7 +208,7 @@
             mOwners = new int[k];
         }
 
-        long worst() {
+        long maxDistance() {
             return mCount < mOwners.length ? Long.MAX_VALUE : mDistances[mCount - 1];
         }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
@@ -24,7 +24,7 @@
     private final NavigableMap<String, Candidate> mMembers;
     private final List<Candidate> mDeparted;
     private final Ranking mRanking;
-    private Ranking mRankingOfAll;
+    private Ranking mRankingWithDraining;
 
     private ServiceView(
             String service,
@@ -74,7 +74,7 @@
             return;
         }
         if (change instanceof ViewChange.Drain drain) {
-            members.computeIfPresent(drain.id(), (id, c) -> c.drained());
+            members.computeIfPresent(drain.id(), (id, c) -> c.withDraining());
             return;
         }
         Candidate gone = members.remove(change.id());
@@ -122,11 +122,11 @@
      * a chat was at home before the first of them began to leave. Made when it is first asked for.
      */
     public Ranking rankingWithDraining() {
-        if (mRankingOfAll == null) {
+        if (mRankingWithDraining == null) {
             boolean isLeaving = mMembers.values().stream().anyMatch(Candidate::draining);
-            mRankingOfAll = isLeaving ? Ranking.of(mMembers.values()) : mRanking;
+            mRankingWithDraining = isLeaving ? Ranking.of(mMembers.values()) : mRanking;
         }
-        return mRankingOfAll;
+        return mRankingWithDraining;
     }
 
     /** Returns the ranking of the backend servers that take new work. */
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/Placements.java
@@ -60,7 +60,7 @@
         ServiceView view = mMemberships.view(r.mRequest.service());
         Placement placement = place(now, r, view);
         List<Candidate> order = new ArrayList<>(placement.candidates());
-        int wanted = r.mTriedTargets.size() + AffinityPolicy.CANDIDATES;
+        int wanted = r.mTriedTargets.size() + AffinityPolicy.MAX_CANDIDATES;
         view.ranking().top(r.mChatKey, wanted).stream()
                 .filter(c -> !order.contains(c))
                 .forEach(order::add);
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
@@ -12,28 +12,30 @@
             new PlacementRequest(CHAT, "nordhavn", new WorkEstimate(100, 0, 100));
 
     private final ServiceView mView = Candidates.view(6);
-    private final List<Candidate> mRanks = mView.ranking().top(CHAT, 6);
+    private final List<Candidate> mRankedServers = mView.ranking().top(CHAT, 6);
     private final AffinityPolicy mPolicy = new AffinityPolicy();
 
     @Test
-    void homeComesFirstThenTheRanks() {
+    void homeIsFollowedByTheNextInRank() {
         Placement p = mPolicy.place(REQUEST, mView, PlacementHints.NONE);
-        assertThat(p.candidates()).isEqualTo(mRanks.subList(0, 3));
+        assertThat(p.candidates()).isEqualTo(mRankedServers.subList(0, 3));
         assertThat(p.reason()).isEqualTo(PlacementReason.HOME);
     }
 
     @Test
-    void rememberedSeatComesBeforeTheHome() {
-        Placement p = mPolicy.place(REQUEST, mView, hints(mRanks.get(4).id(), null));
-        assertThat(p.first()).isEqualTo(mRanks.get(4));
-        assertThat(p.candidates().get(1)).isEqualTo(mRanks.get(0));
+    void lastServerComesBeforeTheHome() {
+        Placement p = mPolicy.place(REQUEST, mView, hints(mRankedServers.get(4).id(), null));
+        assertThat(p.first()).isEqualTo(mRankedServers.get(4));
+        assertThat(p.candidates().get(1)).isEqualTo(mRankedServers.get(0));
         assertThat(p.reason()).isEqualTo(PlacementReason.SEAT_HINT);
     }
 
     @Test
     void ejectedHomeIsTriedLast() {
-        Placement p = mPolicy.place(REQUEST, mView, hints(null, mRanks.get(0).id()));
-        assertThat(p.candidates()).containsExactly(mRanks.get(1), mRanks.get(2), mRanks.get(0));
+        Placement p = mPolicy.place(REQUEST, mView, hints(null, mRankedServers.get(0).id()));
+        assertThat(p.candidates())
+                .containsExactly(
+                        mRankedServers.get(1), mRankedServers.get(2), mRankedServers.get(0));
         assertThat(p.reason()).isEqualTo(PlacementReason.HOME_EJECTED);
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/BoundPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/BoundPolicyTest.java
@@ -22,13 +22,13 @@
     }
 
     @Test
-    void roomBetweenTheBoundsIsForCachedChats() {
+    void onlyCachedChatsAreAdmittedBetweenTheBounds() {
         assertThat(decide(CACHED, 0, true, false, 1300)).isEqualTo(ADMIT);
         assertThat(decide(FRESH, 0, true, false, 1300)).isEqualTo(REDIRECT);
     }
 
     @Test
-    void headroomIsLeftForAMeanThatFalls() {
+    void headroomLowersTheBound() {
         BoundPolicy policy = new BoundPolicy(new BoundConfig(1.5, 0.1, 1.1, 10, 0.1, 2));
         BoundQuery query = new BoundQuery(CACHED, 0, true, false, true);
         assertThat(policy.decide(query, 1200, 1000)).isEqualTo(ADMIT);
@@ -36,13 +36,13 @@
     }
 
     @Test
-    void cachedChatWaitsBeforeItMoves() {
+    void cachedChatWaitsBeforeItIsRedirected() {
         assertThat(decide(CACHED, 0, true, false, 1450)).isEqualTo(WAIT);
         assertThat(decide(CACHED, 0, true, true, 1450)).isEqualTo(REDIRECT);
     }
 
     @Test
-    void lastServerUsesTheWholeBoundThenRejects() {
+    void serverThatCannotRedirectUsesTheWholeBoundThenRejects() {
         assertThat(decide(FRESH, 2, true, false, 1300)).isEqualTo(ADMIT);
         assertThat(decide(FRESH, 2, true, false, 1450)).isEqualTo(WAIT);
         assertThat(decide(FRESH, 2, true, true, 1450)).isEqualTo(REJECT);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void requestThatWouldComeTooLateIsNeverHeld() {
+    void requestWithUnreachableDeadlineNeverWaits() {
         BoundQuery late = new BoundQuery(CACHED, 0, true, false, false);
         BoundQuery last = new BoundQuery(CACHED, 2, true, false, false);
         assertThat(mPolicy.decide(late, 0, 1000)).isEqualTo(REDIRECT);
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/Candidates.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/Candidates.java
@@ -8,12 +8,12 @@
 final class Candidates {
     private Candidates() {}
 
-    static Candidate named(String id) {
+    static Candidate withId(String id) {
         return new Candidate(new BackendRef(id, 1), "bergen", 1);
     }
 
     static List<Candidate> of(int n) {
-        return IntStream.range(0, n).mapToObj(i -> named("worker-" + i)).toList();
+        return IntStream.range(0, n).mapToObj(i -> withId("worker-" + i)).toList();
     }
 
     static ServiceView view(int n) {
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/ChatDirectoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/ChatDirectoryTest.java
@@ -14,7 +14,7 @@
 /** The directory against a plain map, and its bounds. */
 class ChatDirectoryTest {
     @Property(tries = 200, seed = "41")
-    void answersLikeAMapAndStaysBounded(
+    void matchesAMapAndStaysBounded(
             @ForAll @Size(max = 400) List<@IntRange(min = 0, max = 60) Integer> chats,
             @ForAll @IntRange(min = 2, max = 40) int capacity) {
         ChatDirectory directory = new ChatDirectory(capacity);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void entriesOfALeavingServerGo() {
+    void entriesOfADepartedServerAreRemoved() {
         ChatDirectory directory = new ChatDirectory(100);
         directory.put(new ChatKey(1), "a");
         directory.put(new ChatKey(2), "b");
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenDeadlineTest.java
@@ -6,17 +6,17 @@
 import org.junit.jupiter.api.Test;
 
 /** The check of a first token's deadline. */
-class FirstTokenTest {
+class FirstTokenDeadlineTest {
     private static final Duration GRACE = Duration.ofMillis(200);
 
     @Test
-    void promptThatIsLateAnywhereIsStillRun() {
+    void promptThatIsLateOnAnyServerIsStillRun() {
         assertThat(isReachable(200, 5000, 1100)).isTrue();
         assertThat(isReachable(201, 5000, 1100)).isFalse();
     }
 
     @Test
-    void whatIsAheadMayUseTheRestOfTheDeadline() {
+    void earlierPromptsMayUseTheRestOfTheDeadline() {
         assertThat(isReachable(1000, 100, 1100)).isTrue();
         assertThat(isReachable(1001, 100, 1100)).isFalse();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/HeldChatsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/HeldChatsTest.java
@@ -12,34 +12,40 @@
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
     private final ServiceView mView = Candidates.view(5);
-    private final List<Candidate> mRanks = mView.ranking().top(CHAT, 5);
-    private final ServiceView mAfter =
-            mView.apply(2, List.of(new ViewChange.Leave(mRanks.get(0).id())));
+    private final List<Candidate> mRankedServers = mView.ranking().top(CHAT, 5);
+    private final ServiceView mViewAfterDeparture =
+            mView.apply(2, List.of(new ViewChange.Leave(mRankedServers.get(0).id())));
 
     // The caller sees a first token as fast as before. A chat was sent on from its home, which then
     // crashes with its directory. The server that holds the chat tells the next in rank, which is
     // the home from now on, before the chat returns there.
     @Test
-    void newHomeIsToldOnceAfterACrash() {
+    void newHomeIsNotifiedOnceAfterACrash() {
         Map<ChatKey, Candidate> told = new HashMap<>();
-        HeldChats held = new HeldChats(mRanks.get(3).id(), 100);
-        held.onAdmit(CHAT, mRanks.get(0));
-        held.onLeave("another", mAfter, (home, chat) -> told.put(chat, home));
+        HeldChats held = new HeldChats(mRankedServers.get(3).id(), 100);
+        held.onAdmit(CHAT, mRankedServers.get(0));
+        held.onLeave("another", mViewAfterDeparture, (home, chat) -> told.put(chat, home));
         assertThat(told).isEmpty();
-        held.onLeave(mRanks.get(0).id(), mAfter, (home, chat) -> told.put(chat, home));
-        assertThat(told).containsOnly(Map.entry(CHAT, mRanks.get(1)));
+        held.onLeave(
+                mRankedServers.get(0).id(),
+                mViewAfterDeparture,
+                (home, chat) -> told.put(chat, home));
+        assertThat(told).containsOnly(Map.entry(CHAT, mRankedServers.get(1)));
         told.clear();
-        held.onLeave(mRanks.get(0).id(), mAfter, (home, chat) -> told.put(chat, home));
+        held.onLeave(
+                mRankedServers.get(0).id(),
+                mViewAfterDeparture,
+                (home, chat) -> told.put(chat, home));
         assertThat(told).isEmpty();
     }
 
     @Test
-    void holderThatBecomesTheHomeTellsNobody() {
-        HeldChats held = new HeldChats(mRanks.get(1).id(), 100);
-        held.onAdmit(CHAT, mRanks.get(0));
+    void holderThatBecomesTheHomeNotifiesNoServer() {
+        HeldChats held = new HeldChats(mRankedServers.get(1).id(), 100);
+        held.onAdmit(CHAT, mRankedServers.get(0));
         held.onLeave(
-                mRanks.get(0).id(),
-                mAfter,
+                mRankedServers.get(0).id(),
+                mViewAfterDeparture,
                 (home, chat) -> {
                     throw new AssertionError("told " + home);
                 });
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/LoadBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/LoadBoundTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void floorHoldsWhileTheMeanIsSmall() {
+    void floorAppliesWhileTheMeanIsSmall() {
         assertThat(LoadBound.admits(60, 40, 1, 1.25, FLOOR)).isTrue();
         assertThat(LoadBound.admits(60, 41, 1, 1.25, FLOOR)).isFalse();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/OutliersTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/OutliersTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void onlyServerIsNeverEjected() {
+    void singleServerIsNeverEjected() {
         mOutliers.onFailure("a", 1, START);
         assertThat(mOutliers.onFailure("a", 1, START)).isFalse();
         assertThat(mOutliers.isEjected("a", START)).isFalse();
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/RankingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/RankingTest.java
@@ -17,10 +17,10 @@
 
 /** Stability, evenness and weights of the ranking. */
 class RankingTest {
-    private static final int CHATS = 20_000;
+    private static final int CHAT_COUNT = 20_000;
 
     @Property(tries = 200, seed = "11")
-    void leavingOneKeepsTheOrderOfTheOthers(
+    void departureKeepsTheOrderOfTheOthers(
             @ForAll @IntRange(min = 2, max = 60) int n,
             @ForAll @IntRange(min = 0, max = 59) int gone,
             @ForAll long hash) {
@@ -57,12 +57,12 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 10, 100, 1000})
-    void joinMovesOnlyItsOwnShare(int n) {
+    void joinMovesOnlyTheShareOfTheNewServer(int n) {
         Ranking before = Ranking.of(Candidates.of(n));
         Ranking after = Ranking.of(Candidates.of(n + 1));
         String joined = "worker-" + n;
         long moved = 0;
-        for (long i = 0; i < CHATS; i++) {
+        for (long i = 0; i < CHAT_COUNT; i++) {
             ChatKey chat = ChatKey.of("account", "chat-" + i);
             Candidate home = after.home(chat);
             if (home.equals(before.home(chat))) {
@@ -71,7 +71,7 @@
             assertThat(home.id()).isEqualTo(joined);
             moved++;
         }
-        assertThat(moved).isLessThan(2L * CHATS / (n + 1));
+        assertThat(moved).isLessThan(2L * CHAT_COUNT / (n + 1));
     }
 
     @ParameterizedTest
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/RedirectPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/RedirectPolicyTest.java
@@ -12,18 +12,18 @@
 
     private final ServiceView mView =
             Candidates.view(4).apply(2, List.of(new ViewChange.Drain("worker-3")));
-    private final List<Candidate> mRanks = mView.ranking().top(CHAT, 3);
+    private final List<Candidate> mRankedServers = mView.ranking().top(CHAT, 3);
 
     @Test
-    void openServerComesBeforeTheRanks() {
-        String last = mRanks.get(2).id();
+    void openServerComesBeforeTheNextInRank() {
+        String last = mRankedServers.get(2).id();
         assertThat(choose(List.of("gone", "worker-3", last), Set.of()).id()).isEqualTo(last);
     }
 
     @Test
-    void rankIsFollowedWhereNoOpenServerIsLeft() {
-        String home = mRanks.get(0).id();
-        assertThat(choose(List.of(home), Set.of(home))).isEqualTo(mRanks.get(1));
+    void nextInRankIsUsedWhereNoOpenServerIsLeft() {
+        String home = mRankedServers.get(0).id();
+        assertThat(choose(List.of(home), Set.of(home))).isEqualTo(mRankedServers.get(1));
         assertThat(choose(List.of(), Set.of("worker-0", "worker-1", "worker-2"))).isNull();
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/ServiceViewTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/ServiceViewTest.java
@@ -15,7 +15,7 @@
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
     @Property(tries = 50, seed = "31")
-    void orderOfLearningDoesNotMatter(@ForAll long seed) {
+    void joinOrderDoesNotChangeTheRanking(@ForAll long seed) {
         List<ViewChange> joins = new ArrayList<>();
         Candidates.of(20).forEach(c -> joins.add(new ViewChange.Join(c)));
         ServiceView one = ServiceView.empty("s").apply(1, joins);
@@ -47,7 +47,7 @@
         ServiceView view =
                 Candidates.view(3)
                         .apply(2, List.of(new ViewChange.Leave("worker-0")))
-                        .apply(3, List.of(new ViewChange.Join(Candidates.named("worker-0"))));
+                        .apply(3, List.of(new ViewChange.Join(Candidates.withId("worker-0"))));
         assertThat(view.departed()).isEmpty();
         assertThat(view.size()).isEqualTo(3);
     }
