--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundConfig.java
@@ -1,17 +1,18 @@
 package org.laurelweir.placement;
 
 /**
- * How much a backend server takes on before its sidecar sends requests on.
+ * Settings of the bound on a backend server's load, above which its sidecar redirects requests.
  *
- * @param factor the set multiple of the mean that no server exceeds, at least 1
- * @param headroom the share of {@code factor} that admission leaves unused, in 0 to 1. What was
- *     admitted stays while the mean falls, and the mean that a sidecar knows is a second or two
- *     old; without it a server is over the factor whenever the others' requests end first
- * @param uncachedFactor the multiple up to which requests without cached history are taken; between
- *     it and {@code factor} lies the room kept for chats whose history is cached
- * @param capacityFloor the least bound, see {@link LoadBound}
- * @param prefillWeight the cost of an uncached prompt token against an output token's
- * @param maxRedirects how many times a request may be sent on
+ * @param factor the multiple of the service's mean work that no backend server may exceed, at least
+ *     1
+ * @param headroom the share of {@code factor} that admission leaves unused, from 0 to 1. Admitted
+ *     work stays while the mean falls, and the mean that a sidecar knows is one or two seconds old.
+ *     Without headroom a backend server exceeds the factor whenever the others' requests end first
+ * @param uncachedFactor the multiple up to which requests without cached history are admitted. The
+ *     capacity between it and {@code factor} is reserved for chats whose history is cached
+ * @param capacityFloor the minimum bound, see {@link LoadBound}
+ * @param prefillWeight the cost of an uncached prompt token, relative to an output token
+ * @param maxRedirects the maximum number of redirects per request
  */
 public record BoundConfig(
         double factor,
@@ -22,17 +23,25 @@
         int maxRedirects) {
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** Checks the factors. */
+    /** Validates the factors and the headroom. */
     public BoundConfig {
         if (factor < 1 || uncachedFactor < 1 || uncachedFactor > factor) {
-            throw new IllegalArgumentException("factors: " + uncachedFactor + ", " + factor);
+            throw new IllegalArgumentException(
+                    "bound factors must satisfy 1 <= uncachedFactor <= factor: "
+                            + uncachedFactor
+                            + ", "
+                            + factor);
         }
         if (headroom < 0 || factor * (1 - headroom) < 1 - ROUNDING_TOLERANCE) {
-            throw new IllegalArgumentException("headroom: " + headroom);
+            throw new IllegalArgumentException(
+                    "headroom must be in [0, 1 - 1 / factor]: " + headroom);
         }
     }
 
-    /** Returns the multiple up to which a server admits chats whose history is cached there. */
+    /**
+     * Returns the factor less the headroom: the multiple up to which a server admits chats whose
+     * history is cached there.
+     */
     public double effectiveFactor() {
         return factor * (1 - headroom);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundDecision.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundDecision.java
@@ -1,13 +1,13 @@
 package org.laurelweir.placement;
 
-/** What a sidecar does with a request that reached the server where it is to run. */
+/** A sidecar's decision about a request that reached the server where it should run. */
 public enum BoundDecision {
-    /** Run it here now. */
+    /** Run the request here now. */
     ADMIT,
-    /** Send it to the next in rank. */
+    /** Redirect the request to another server. */
     REDIRECT,
-    /** Hold it for a short time until a running request ends. */
+    /** Hold the request for a short time, until a running request ends. */
     WAIT,
-    /** Answer at once that it was not run, with the time to come back. */
+    /** Reject the request at once as not run, with the time after which to retry. */
     REJECT
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundPolicy.java
@@ -1,37 +1,38 @@
 package org.laurelweir.placement;
 
 /**
- * Decides whether a server takes a request, by what really runs beside it.
+ * Decides whether a server admits a request, from the work that runs there.
  *
- * <p>Two bounds share one rule. A request whose history is cached here is worth a wait and the full
- * factor, since elsewhere its whole prompt is computed again. One without cached history runs as
- * well on any server, so it goes on to the next in rank from a lower bound; that evens the load out
- * with work that loses nothing by moving.
+ * <p>Two bounds apply. A request whose history is cached here may wait and use the effective
+ * factor, because any other server computes its whole prompt again. A request without cached
+ * history runs equally well anywhere, so it is redirected from a lower bound on. This balances the
+ * load with requests that lose nothing by moving.
  */
 public final class BoundPolicy {
-    /** Cached share of the prompt from which a chat is kept where it is. */
+    /** Minimum cached share of the prompt at which a chat stays on its server. */
     private static final double MIN_CACHED_SHARE = 0.5;
 
     private final BoundConfig mConfig;
 
-    /** Creates a policy. */
+    /** Creates a policy with the given bounds. */
     public BoundPolicy(BoundConfig config) {
         mConfig = config;
     }
 
     /**
-     * Decides. A request whose deadline cannot be met here is sent on, or rejected at once where
-     * there is nowhere to send it: run late it would help nobody and delay others.
+     * Decides about a request. A request whose deadline can't be met here is redirected, or
+     * rejected at once if it can't be redirected: run too late, it would only delay others.
      *
      * @param query the request
-     * @param runningWork what runs here
-     * @param meanWork the service's mean, as last heard
+     * @param runningWork the work that runs here
+     * @param meanWork the service's mean work, as last reported
      */
     public BoundDecision decide(BoundQuery query, double runningWork, double meanWork) {
         boolean canRedirect = query.hasNextServer() && query.redirects() < mConfig.maxRedirects();
-        BoundDecision elsewhere = canRedirect ? BoundDecision.REDIRECT : BoundDecision.REJECT;
+        BoundDecision redirectOrReject =
+                canRedirect ? BoundDecision.REDIRECT : BoundDecision.REJECT;
         if (!query.deadlineReachable()) {
-            return elsewhere;
+            return redirectOrReject;
         }
         boolean stays = hasCacheAffinity(query.work()) || !canRedirect;
         double factor = stays ? mConfig.effectiveFactor() : uncachedFactor();
@@ -39,14 +40,14 @@
         if (LoadBound.admits(runningWork, units, meanWork, factor, mConfig.capacityFloor())) {
             return BoundDecision.ADMIT;
         }
-        return stays && !query.hasWaited() ? BoundDecision.WAIT : elsewhere;
+        return stays && !query.hasWaited() ? BoundDecision.WAIT : redirectOrReject;
     }
 
     private double uncachedFactor() {
         return Math.min(mConfig.uncachedFactor(), mConfig.effectiveFactor());
     }
 
-    /** Returns whether enough of the prompt is cached for the chat to be kept where it is. */
+    /** Returns whether enough of the prompt is cached for the chat to stay on its server. */
     public static boolean hasCacheAffinity(WorkEstimate work) {
         return work.cachedTokens() > 0
                 && work.cachedTokens() >= MIN_CACHED_SHARE * work.promptTokens();
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/BoundQuery.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/BoundQuery.java
@@ -3,12 +3,12 @@
 /**
  * A request at the server where it may run.
  *
- * @param work its estimate with what is cached here
- * @param redirects how often it was sent on already
- * @param hasNextServer whether there is a next server in rank that it has not been to
- * @param hasWaited whether it has waited here already
- * @param deadlineReachable whether its first token can come in time after the prompts that are
- *     ahead of it here
+ * @param work its estimated work, with the tokens cached here
+ * @param redirects how often it has been redirected
+ * @param hasNextServer whether there is another server to which it has not been sent yet
+ * @param hasWaited whether it has already waited here
+ * @param deadlineReachable whether its first token can arrive in time after the prompts queued
+ *     before it here
  */
 public record BoundQuery(
         WorkEstimate work,
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Candidate.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Candidate.java
@@ -3,22 +3,24 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * A backend server that may take a chat.
+ * A backend server that may serve a chat.
  *
  * @param ref the run of its sidecar
- * @param dataCentre where it stands
- * @param weight its share of the chats against a plain backend server's 1; 0 takes none
- * @param draining whether it is leaving and takes no new work
+ * @param dataCentre its data centre
+ * @param weight its share of the chats, relative to a backend server of weight 1; one of weight 0
+ *     is never ranked
+ * @param draining whether it is leaving and accepts no new requests
  */
 public record Candidate(BackendRef ref, String dataCentre, double weight, boolean draining) {
-    /** Checks the weight. */
+    /** Validates the weight. */
     public Candidate {
         if (!(weight >= 0) || Double.isInfinite(weight)) {
-            throw new IllegalArgumentException("weight of " + ref + ": " + weight);
+            throw new IllegalArgumentException(
+                    "weight of " + ref + " must be finite and not negative: " + weight);
         }
     }
 
-    /** Creates a candidate that takes new work. */
+    /** Creates a candidate that is not draining. */
     public Candidate(BackendRef ref, String dataCentre, double weight) {
         this(ref, dataCentre, weight, false);
     }
@@ -28,7 +30,7 @@
         return ref.id();
     }
 
-    /** Returns the same backend server, leaving. */
+    /** Returns a copy that is draining. */
     public Candidate withDraining() {
         return new Candidate(ref, dataCentre, weight, true);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatDirectory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatDirectory.java
@@ -8,19 +8,21 @@
 import org.agrona.collections.Long2LongHashMap;
 
 /**
- * A home's record of the chats that sit on other backend servers. A chat without an entry sits at
- * its home, or is new, so that the directory grows with what the bound displaced, not with the
- * chats.
+ * A home's record of the chats whose history is on other backend servers. A chat without an entry
+ * is at its home, or is new. The directory's size therefore grows with the number of chats that the
+ * load bound displaced, not with all chats.
  *
- * <p>The size is bounded without a scan: entries go into a young generation; once that holds half
- * of the capacity, the old one is dropped and the young one takes its place. A look-up moves an old
- * entry to the young ones. So what is dropped was not used while half a capacity of others was.
- * Losing an entry costs a cache miss, never an answer.
+ * <p>The size is bounded without a scan. Entries are added to a young generation. Once it holds
+ * half of the capacity, the old generation is dropped and the young one takes its place. A look-up
+ * moves an old entry to the young generation. So a dropped entry was not used while half a capacity
+ * of others was. Losing an entry costs a cache miss, never an answer.
  */
 public final class ChatDirectory {
     private static final long MISSING = -1;
 
-    /** Agrona's maps hold two longs a slot and double when two thirds full. */
+    /**
+     * Agrona's maps hold two longs per slot, and double when two thirds of the slots are in use.
+     */
     private static final float LOAD_FACTOR = 0.65f;
 
     private static final int INITIAL_SLOTS = 8;
@@ -34,11 +36,12 @@
     /**
      * Creates an empty directory.
      *
-     * @param capacity the most chats that it holds, at least 2
+     * @param capacity the maximum number of chats, at least 2
      */
     public ChatDirectory(int capacity) {
         if (capacity < 2) {
-            throw new IllegalArgumentException("capacity: " + capacity);
+            throw new IllegalArgumentException(
+                    "directory capacity must be at least 2: " + capacity);
         }
         mGenerationSize = capacity / 2;
     }
@@ -48,7 +51,7 @@
     }
 
     /**
-     * Returns where a chat sits.
+     * Returns the backend server that holds a chat's history, and marks the entry as used.
      *
      * @param chat the chat
      * @return the backend server's name, or null if the directory has no entry
@@ -66,10 +69,10 @@
     }
 
     /**
-     * Notes that a chat sits elsewhere.
+     * Records the backend server that holds a chat's history.
      *
      * @param chat the chat
-     * @param server the name of the backend server that holds its history
+     * @param server the name of the backend server
      */
     public void put(ChatKey chat, String server) {
         mOld.remove(chat.hash());
@@ -89,13 +92,13 @@
         }
     }
 
-    /** Notes that a chat sits at its home again. */
+    /** Removes a chat's entry, because its history is at its home again. */
     public void remove(ChatKey chat) {
         mYoung.remove(chat.hash());
         mOld.remove(chat.hash());
     }
 
-    /** Drops the entries that lead to a backend server, after it left. */
+    /** Removes the entries of a backend server that has left. */
     public void removeServer(String server) {
         Integer index = mServerIndexes.get(server);
         if (index == null) {
@@ -105,18 +108,18 @@
         mOld.values().removeIf(i -> i.intValue() == index);
     }
 
-    /** Gives each entry once: the chat and the backend server's name. */
+    /** Passes each entry to the consumer once: the chat and the backend server's name. */
     public void forEach(BiConsumer<ChatKey, String> consumer) {
         mYoung.longForEach((h, i) -> consumer.accept(new ChatKey(h), mServers.get((int) i)));
         mOld.longForEach((h, i) -> consumer.accept(new ChatKey(h), mServers.get((int) i)));
     }
 
-    /** Returns how many chats have an entry. */
+    /** Returns the number of chats that have an entry. */
     public int size() {
         return mYoung.size() + mOld.size();
     }
 
-    /** Returns the bytes that the entries' tables take. */
+    /** Returns the size of the entries' tables, in bytes. */
     public long tableBytes() {
         return 2L * Long.BYTES * (mYoung.capacity() + mOld.capacity());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatKey.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatKey.java
@@ -3,7 +3,7 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Names a chat by a 64-bit hash, the same on every instance.
+ * A chat's 64-bit hash, the same on every instance.
  *
  * @param hash XXH3 of the client account and the chat's name
  */
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocation.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocation.java
@@ -2,34 +2,35 @@
 
 import java.util.List;
 
-/** Where a chat's history is, as far as the sidecar knows that got its request. */
+/** Where a chat's history is, as far as the sidecar that received its request knows. */
 public sealed interface ChatLocation {
-    /** The engine here has it. */
+    /** The engine of this server has the history. */
     ChatLocation LOCAL = new Local();
 
-    /** Nobody is known to have it: the chat is new or its history is lost. */
+    /** No server is known to have the history: the chat is new or its history is lost. */
     ChatLocation UNKNOWN = new Unknown();
 
-    /** The engine here has it. */
+    /** The engine of this server has the history. */
     record Local() implements ChatLocation {}
 
-    /** Nobody is known to have it. */
+    /** No server is known to have the history. */
     record Unknown() implements ChatLocation {}
 
     /**
-     * Another backend server has it.
+     * Another backend server has the history.
      *
-     * @param server its name
+     * @param server the server's name
      */
     record Remote(String server) implements ChatLocation {}
 
     /**
-     * This server became the chat's home and has to ask once.
+     * This server has become the chat's home and has to ask other servers once.
      *
-     * @param candidates who may know, in order; all can be asked at the same time
+     * @param candidates the servers that may know the location, in order; all can be asked at the
+     *     same time
      */
     record AskPeers(List<Candidate> candidates) implements ChatLocation {
-        /** Copies the list. */
+        /** Copies the candidates. */
         public AskPeers {
             candidates = List.copyOf(candidates);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ChatLocator.java
@@ -5,13 +5,16 @@
 import org.agrona.collections.LongHashSet;
 
 /**
- * What a sidecar does to find a chat's history when a request reaches it, by the rank that it holds
- * for the chat. Only the home knows where a chat sits; a server that became a chat's home asks,
- * once, those that may know: the previous home if this server joined, the servers next in rank if
- * the previous home left without handing over.
+ * Locates a chat's history for a sidecar that receives a request of the chat. Only the chat's home
+ * records where the history is. A server that has become a chat's home asks, once, the servers that
+ * may know: the previous home if this server joined, or the servers next in rank if the previous
+ * home left without handing over its directory.
  */
 public final class ChatLocator {
-    /** How many ranks after a lost home are asked; a bound redirects at most twice. */
+    /**
+     * Maximum number of servers next in rank to ask after a home was lost. The load bound redirects
+     * a request at most twice.
+     */
     static final int MAX_RANKS_ASKED = 2;
 
     private final String mSelf;
@@ -20,12 +23,12 @@
     private final LongHashSet mAskedChats = new LongHashSet();
 
     /**
-     * Creates the look-up of one sidecar.
+     * Creates the locator of one sidecar.
      *
-     * @param self its backend server's name
+     * @param self the name of its backend server
      * @param directory its directory
-     * @param maxAsked how many chats it remembers to have asked for; over that it forgets them all
-     *     and may ask a second time
+     * @param maxAsked maximum number of chats remembered as asked for. Beyond it the locator
+     *     forgets them all and may ask a second time
      */
     public ChatLocator(String self, ChatDirectory directory, int maxAsked) {
         mSelf = self;
@@ -43,23 +46,24 @@
         if (!query.fromRouter()) {
             return localOrUnknown(query);
         }
-        String elsewhere = mDirectory.find(query.chat());
-        if (elsewhere != null && !elsewhere.equals(mSelf) && view.candidate(elsewhere) != null) {
-            return new ChatLocation.Remote(elsewhere);
+        String server = mDirectory.find(query.chat());
+        if (server != null && !server.equals(mSelf) && view.candidate(server) != null) {
+            return new ChatLocation.Remote(server);
         }
         Candidate home = view.ranking().home(query.chat());
         if (home == null) {
             return localOrUnknown(query);
         }
         if (!home.id().equals(mSelf)) {
-            // The router's view is older or newer than this one, or its memory of the chat is old.
+            // The router's view differs from this one, or its last server for the chat is out of
+            // date.
             return query.cachedLocally() ? ChatLocation.LOCAL : new ChatLocation.Remote(home.id());
         }
-        List<Candidate> asked = previousHolders(query, view, home);
-        if (asked.isEmpty() || !markAsked(query.chat())) {
+        List<Candidate> peers = previousHolders(query, view, home);
+        if (peers.isEmpty() || !markAsked(query.chat())) {
             return localOrUnknown(query);
         }
-        return new ChatLocation.AskPeers(asked);
+        return new ChatLocation.AskPeers(peers);
     }
 
     private static ChatLocation localOrUnknown(ChatLocationQuery query) {
@@ -68,18 +72,18 @@
 
     private List<Candidate> previousHolders(
             ChatLocationQuery query, ServiceView view, Candidate home) {
-        List<Candidate> asked = new ArrayList<>();
+        List<Candidate> peers = new ArrayList<>();
         if (query.recentlyJoined()) {
-            asked.addAll(view.ranking().topWithout(query.chat(), mSelf, 1));
+            peers.addAll(view.ranking().topWithout(query.chat(), mSelf, 1));
         }
         if (!query.cachedLocally() && isHomeDeparted(query.chat(), view, home)) {
             for (Candidate c : view.ranking().topWithout(query.chat(), mSelf, MAX_RANKS_ASKED)) {
-                if (!asked.contains(c)) {
-                    asked.add(c);
+                if (!peers.contains(c)) {
+                    peers.add(c);
                 }
             }
         }
-        return asked;
+        return peers;
     }
 
     private static boolean isHomeDeparted(ChatKey chat, ServiceView view, Candidate home) {
@@ -97,12 +101,14 @@
         return mAskedChats.add(chat.hash());
     }
 
-    /** Forgets what was asked, after a membership change that may have moved homes here. */
+    /**
+     * Forgets which chats were asked for, because a membership change may have moved homes here.
+     */
     public void onMembershipChange() {
         mAskedChats.clear();
     }
 
-    /** Returns how many chats it remembers to have asked for. */
+    /** Returns the number of chats remembered as asked for. */
     public int askedCount() {
         return mAskedChats.size();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/HeldChats.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/HeldChats.java
@@ -5,9 +5,10 @@
 import java.util.function.BiConsumer;
 
 /**
- * The chats that sit at a backend server away from their home: the other end of the homes' {@link
- * ChatDirectory}. A home that crashes takes its directory with it; the servers that hold its chats
- * then tell the chats' new homes. Each has few of them, so a crash costs each one a message or two.
+ * The chats whose history a backend server holds although another server is their home; the
+ * counterpart of the homes' {@link ChatDirectory}. A home that crashes loses its directory. The
+ * servers that hold its chats then notify the chats' new homes. Each server holds few chats of one
+ * home, so a crash costs it only one or two messages.
  */
 public final class HeldChats {
     private final String mSelf;
@@ -17,7 +18,7 @@
      * Creates an empty record.
      *
      * @param self the backend server's name
-     * @param capacity the most chats that it remembers
+     * @param capacity the maximum number of chats that it remembers
      */
     public HeldChats(String self, int capacity) {
         mSelf = self;
@@ -25,10 +26,10 @@
     }
 
     /**
-     * Notes that a chat was admitted here.
+     * Records that a chat was admitted here.
      *
      * @param chat the chat
-     * @param home its home, as this server's view has it
+     * @param home its home in this server's view
      */
     public void onAdmit(ChatKey chat, Candidate home) {
         if (home == null || home.id().equals(mSelf)) {
@@ -39,21 +40,21 @@
     }
 
     /**
-     * Names the new homes of the chats whose home left.
+     * Finds the new homes of the chats whose home left.
      *
-     * @param left the home that left
-     * @param view the view without it
-     * @param announce takes each new home that has to be told, and the chat
+     * @param left the name of the home that left
+     * @param view the view without that home
+     * @param announce receives each new home to notify, and the chat
      */
     public void onLeave(String left, ServiceView view, BiConsumer<Candidate, ChatKey> announce) {
-        List<ChatKey> orphans = new ArrayList<>();
+        List<ChatKey> chatsOfLeftHome = new ArrayList<>();
         mHomes.forEach(
                 (chat, home) -> {
                     if (home.equals(left)) {
-                        orphans.add(chat);
+                        chatsOfLeftHome.add(chat);
                     }
                 });
-        for (ChatKey chat : orphans) {
+        for (ChatKey chat : chatsOfLeftHome) {
             Candidate home = view.ranking().home(chat);
             onAdmit(chat, home);
             if (home != null && !home.id().equals(mSelf)) {
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/LoadBound.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/LoadBound.java
@@ -1,14 +1,14 @@
 package org.laurelweir.placement;
 
 /**
- * Says whether a backend server may take more work: none may carry more than a set multiple of the
- * mean of its service. All amounts are in the unit of {@link WorkEstimate#units}.
+ * The bound on a backend server's work: a multiple of the mean work of its service. All amounts are
+ * in the unit of {@link WorkEstimate#units}.
  *
- * <p>Two rules keep small loads from being refused for nothing. The bound is never below a floor,
- * what one engine carries without harm: with one request running on ten engines the mean is a tenth
- * of a request, and a bare multiple of it would admit nothing. And an idle server takes any one
- * request: else a request larger than every bound would run nowhere. So a server carries at most
- * the larger of {@code factor * mean}, the floor, and one request.
+ * <p>Two rules keep small loads from being rejected needlessly. First, the bound is never below a
+ * floor, which one engine carries without harm: with one request running on ten engines the mean is
+ * a tenth of a request, and a plain multiple of it would admit nothing. Second, an idle server
+ * admits any one request: otherwise a request larger than every bound would run nowhere. So a
+ * server carries at most the largest of {@code factor * mean}, the floor, and one request.
  */
 public final class LoadBound {
     private LoadBound() {}
@@ -16,11 +16,11 @@
     /**
      * Returns whether a request may be admitted.
      *
-     * @param runningWork what the server carries now
-     * @param addedWork what the request would add
-     * @param meanWork the mean over the service's servers, as last heard
-     * @param factor the set multiple, at least 1
-     * @param capacityFloor the least bound
+     * @param runningWork the work that the server carries now
+     * @param addedWork the work that the request adds
+     * @param meanWork the mean work of the service's servers, as last reported
+     * @param factor the multiple of the mean, at least 1
+     * @param capacityFloor the minimum bound
      */
     public static boolean admits(
             double runningWork,
@@ -34,7 +34,7 @@
         return runningWork + addedWork <= bound(meanWork, factor, capacityFloor);
     }
 
-    /** Returns the most work that a server may carry, but for one request larger than that. */
+    /** Returns the maximum work of a server. A single request larger than that may exceed it. */
     public static double bound(double meanWork, double factor, double capacityFloor) {
         return Math.max(factor * meanWork, capacityFloor);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/OutlierConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/OutlierConfig.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * When a failing backend server is passed over, and for how long.
+ * When a failing backend server is ejected, and for how long.
  *
  * @param failures consecutive failures that eject it
- * @param cooldown how long the first ejection lasts; each further one doubles it
- * @param maxCooldown the longest ejection
- * @param maxShare the share of a service's servers that may be ejected at once, in 0 to 1
+ * @param cooldown duration of the first ejection; each further one lasts twice as long
+ * @param maxCooldown maximum duration of an ejection
+ * @param maxShare maximum share of a service's servers that are ejected at once, from 0 to 1
  */
 public record OutlierConfig(
         int failures, Duration cooldown, Duration maxCooldown, double maxShare) {
-    /** The defaults. */
+    /** The values until settings arrive. */
     public static final OutlierConfig DEFAULT =
             new OutlierConfig(3, Duration.ofSeconds(2), Duration.ofMinutes(2), 0.1);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Outliers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Outliers.java
@@ -6,50 +6,52 @@
 import java.util.Map;
 
 /**
- * Remembers which backend servers of a service fail, as a router sees it. An ejection is a hint:
- * the server is tried last. After its cooldown the server is tried again, and a single failure then
- * ejects it for twice as long; a success clears its record.
+ * Records which backend servers of a service fail, as a router sees it. An ejection is a hint: the
+ * server is tried last. After its cooldown the server is tried again. A single failure then ejects
+ * it for twice as long; a success clears its record.
  *
- * <p>At most a share of the servers is ejected at once. If most fail, the fault lies between them
- * and this router, or in the requests; passing all of them over would pile the load on the last.
+ * <p>At most a share of the servers is ejected at once. If most servers fail, the fault is probably
+ * between them and this router, or in the requests. Ejecting them all would move the whole load to
+ * the last one.
  */
 public final class Outliers {
     private final OutlierConfig mConfig;
     private final Map<String, Health> mHealth = new HashMap<>();
 
-    /** Creates an empty record. */
+    /** Creates a record without failures. */
     public Outliers(OutlierConfig config) {
         mConfig = config;
     }
 
-    /** Notes that a backend server answered. */
+    /** Clears the record of a backend server that answered. */
     public void onSuccess(String id) {
         mHealth.remove(id);
     }
 
     /**
-     * Notes that a backend server refused, broke off or stayed silent.
+     * Counts a failure of a backend server: it refused, broke off or stayed silent.
      *
      * @param id its name
-     * @param servers how many backend servers the service has
+     * @param servers the number of backend servers of the service
      * @param now when the failure was seen
      * @return whether this failure ejected it
      */
     public boolean onFailure(String id, int servers, Instant now) {
-        Health h = mHealth.computeIfAbsent(id, i -> new Health());
-        if (h.isEjected(now)) {
+        Health health = mHealth.computeIfAbsent(id, i -> new Health());
+        if (health.isEjected(now)) {
             return false;
         }
-        h.mFailures++;
-        if (h.mFailures < mConfig.failures() || ejectedCount(now) >= maxEjected(servers)) {
+        health.mFailures++;
+        if (health.mFailures < mConfig.failures() || ejectedCount(now) >= maxEjected(servers)) {
             return false;
         }
-        h.mCooldown = h.mCooldown == null ? mConfig.cooldown() : nextCooldown(h.mCooldown);
-        h.mEjectedUntil = now.plus(h.mCooldown);
+        health.mCooldown =
+                health.mCooldown == null ? mConfig.cooldown() : nextCooldown(health.mCooldown);
+        health.mEjectedUntil = now.plus(health.mCooldown);
         return true;
     }
 
-    /** Forgets a backend server that left. */
+    /** Removes the record of a backend server that left. */
     public void onLeave(String id) {
         mHealth.remove(id);
     }
@@ -59,18 +61,21 @@
         return mHealth.containsKey(id);
     }
 
-    /** Returns whether a backend server is passed over now. */
+    /** Returns whether a backend server is ejected at a given time. */
     public boolean isEjected(String id, Instant now) {
-        Health h = mHealth.get(id);
-        return h != null && h.isEjected(now);
+        Health health = mHealth.get(id);
+        return health != null && health.isEjected(now);
     }
 
-    /** Returns how many backend servers are passed over now. */
+    /** Returns the number of backend servers that are ejected at a given time. */
     public int ejectedCount(Instant now) {
-        return (int) mHealth.values().stream().filter(h -> h.isEjected(now)).count();
+        return (int) mHealth.values().stream().filter(health -> health.isEjected(now)).count();
     }
 
-    /** A service of two or more may always have one ejected, and never all. */
+    /**
+     * Returns the maximum number of ejected servers: at least one for a service of two or more, and
+     * never all of them.
+     */
     private int maxEjected(int servers) {
         int share = Math.max(1, (int) (servers * mConfig.maxShare()));
         return Math.min(servers - 1, share);
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Placement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Placement.java
@@ -7,11 +7,11 @@
  * A router's decision about one request.
  *
  * @param candidates the backend servers to try, in order
- * @param reason why the first comes first
- * @param viewVersion the version of the view that the decision was made on
+ * @param reason why the first candidate comes first
+ * @param viewVersion the version of the view that the decision was made from
  */
 public record Placement(List<Candidate> candidates, PlacementReason reason, long viewVersion) {
-    /** Copies the list. */
+    /** Copies the candidates. */
     public Placement {
         candidates = List.copyOf(candidates);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementHints.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementHints.java
@@ -1,24 +1,24 @@
 package org.laurelweir.placement;
 
 /**
- * What a router remembers from earlier answers. Every hint may be old or absent; the sidecar that
- * gets the request decides, so a wrong hint costs a redirect and never correctness.
+ * What a router remembers from earlier answers. Any hint may be outdated or absent. The sidecar
+ * that receives the request decides, so that a wrong hint costs a redirect but never correctness.
  */
 public interface PlacementHints {
     /** Hints of a router that has just started. */
     PlacementHints NONE = new PlacementHints() {};
 
     /**
-     * Returns the work that a backend server last said it carries.
+     * Returns the work that a backend server last reported as running.
      *
      * @param id the backend server's name
-     * @return the work, or NaN if nothing is known
+     * @return the work, or NaN if unknown
      */
     default double runningWork(String id) {
         return Double.NaN;
     }
 
-    /** Returns whether a backend server failed lately and is better tried last. */
+    /** Returns whether a backend server failed recently and is to be tried last. */
     default boolean isEjected(String id) {
         return false;
     }
@@ -27,7 +27,7 @@
      * Returns the backend server that last answered a chat.
      *
      * @param chat the chat
-     * @return its name, or null if this router does not know
+     * @return its name, or null if this router does not know it
      */
     default String lastServer(ChatKey chat) {
         return null;
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementReason.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementReason.java
@@ -4,12 +4,12 @@
 public enum PlacementReason {
     /** It is the chat's home. */
     HOME,
-    /** It answered the chat last, as far as this router knows. */
+    /** It last answered the chat through this router. */
     SEAT_HINT,
-    /** The chat's home is ejected for its failures; this is the next in rank. */
+    /** The chat's home is ejected because it failed; this is the next in rank. */
     HOME_EJECTED,
-    /** It has the least load that the policy saw. */
+    /** It has the lowest load among the backend servers that the policy compared. */
     LOAD,
-    /** No backend server takes new work. */
+    /** There is no candidate: no backend server accepts new requests. */
     NO_BACKEND_SERVER
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/PlacementRequest.java
@@ -1,10 +1,10 @@
 package org.laurelweir.placement;
 
 /**
- * What a policy is told of a request.
+ * The properties of a request that a placement policy uses.
  *
- * @param chat the chat it belongs to
+ * @param chat the chat that it belongs to
  * @param account its client account
- * @param work what it is expected to cost
+ * @param work its estimated work
  */
 public record PlacementRequest(ChatKey chat, String account, WorkEstimate work) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/Ranking.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/Ranking.java
@@ -9,20 +9,27 @@
 
 /**
  * Ranks the backend servers of a service for a chat, by multi-probe consistent hashing. A backend
- * server has {@value #POINTS_PER_WEIGHT} points on a circle of 63 bits for each unit of weight, a
- * chat has {@value #PROBES} probes; the server's distance is the least way from any probe forward
- * to any of its points, and the nearest ranks first.
+ * server has {@value #POINTS_PER_WEIGHT} points per unit of weight on a circle of 2^63 positions; a
+ * chat has {@value #PROBES} probes. The distance of a server is the smallest distance forward from
+ * any probe to any of its points. The nearest server ranks first.
  *
- * <p>A server's distance does not depend on the other servers. So the order of the rest stays when
- * one joins or leaves, and a join moves only the chats that the new server ranks first for, as with
- * rendezvous hashing. Unlike that, the nearest few are found without looking at every server: a
- * ranking costs the same at 100 servers and at 4,000. docs/design/placement.md has the figures.
+ * <p>A server's distance does not depend on the other servers. When a server joins or leaves, the
+ * order of the others therefore stays the same, and a join moves only the chats that rank the new
+ * server first, as with rendezvous hashing. Unlike rendezvous hashing, the nearest few are found
+ * without a look at every server: a ranking costs the same with 100 servers as with 4,000.
+ * docs/design/placement.md has the measurements.
  */
 public final class Ranking {
-    /** Probes of a chat: more even the shares out and cost time in proportion. */
+    /**
+     * Probes per chat. More probes make the servers' shares more even and cost proportionally more
+     * time.
+     */
     static final int PROBES = 21;
 
-    /** Points of a backend server of weight 1; the inverse is the finest step of a weight. */
+    /**
+     * Points of a backend server of weight 1. The inverse is the smallest difference in weight that
+     * has an effect.
+     */
     static final int POINTS_PER_WEIGHT = 8;
 
     private static final LongHashFunction XXH3 = LongHashFunction.xx3();
@@ -33,7 +40,10 @@
     private final long[] mPoints;
     private final int[] mOwners;
 
-    /** Index of the first point in each equal slice of the circle, to find a successor at once. */
+    /**
+     * The index of the first point in each of equal slices of the circle. It finds the next point
+     * after a probe without a search of all points.
+     */
     private final int[] mSliceStarts;
 
     private final int mSliceShift;
@@ -49,7 +59,7 @@
     }
 
     /**
-     * Returns the ranking of some backend servers.
+     * Creates the ranking of a set of backend servers.
      *
      * @param candidates in any order; those of weight 0 are never ranked
      */
@@ -85,7 +95,7 @@
         return slices;
     }
 
-    /** Returns how many backend servers can be ranked at most. */
+    /** Returns the number of backend servers, those of weight 0 included. */
     public int size() {
         return mCandidates.length;
     }
@@ -94,8 +104,8 @@
      * Returns the first backend servers for a chat.
      *
      * @param chat the chat
-     * @param k how many at most
-     * @return at most {@code k} different backend servers, the home first
+     * @param k the maximum number to return
+     * @return up to {@code k} different backend servers, the home first
      */
     public List<Candidate> top(ChatKey chat, int k) {
         int wanted = Math.min(k, mCandidates.length);
@@ -114,11 +124,11 @@
     }
 
     /**
-     * Returns the first backend servers for a chat as if one were absent.
+     * Returns the first backend servers for a chat, without one of them.
      *
      * @param chat the chat
-     * @param absent the name of the backend server to pass over
-     * @param k how many at most
+     * @param absent the name of the backend server to leave out
+     * @param k the maximum number to return
      */
     public List<Candidate> topWithout(ChatKey chat, String absent, int k) {
         List<Candidate> top = new ArrayList<>(top(chat, k + 1));
@@ -138,39 +148,40 @@
     }
 
     /**
-     * Returns how far a backend server is from a chat, whether it is a member or not. Of two, the
-     * one with the smaller distance ranks first.
+     * Returns the distance of a backend server from a chat, whether it is in the ranking or not. Of
+     * two servers, the one with the smaller distance ranks first.
      *
      * @param chat the chat
-     * @param candidate a present or former backend server
+     * @param candidate a current or former backend server
      */
     public static long distance(ChatKey chat, Candidate candidate) {
-        long least = Long.MAX_VALUE;
+        long smallest = Long.MAX_VALUE;
         long seed = seed(candidate);
         for (int p = 0; p < pointCount(candidate); p++) {
             long point = circlePosition(seed, p);
             for (int i = 0; i < PROBES; i++) {
-                least = Math.min(least, forwardDistance(circlePosition(chat.hash(), i), point));
+                smallest =
+                        Math.min(smallest, forwardDistance(circlePosition(chat.hash(), i), point));
             }
         }
-        return least;
+        return smallest;
     }
 
     private void collectNearest(long probe, Nearest nearest) {
-        int at = mSliceStarts[(int) (probe >>> mSliceShift)];
-        while (at < mPoints.length && mPoints[at] < probe) {
-            at++;
+        int index = mSliceStarts[(int) (probe >>> mSliceShift)];
+        while (index < mPoints.length && mPoints[index] < probe) {
+            index++;
         }
         for (int steps = 0; steps < mPoints.length; steps++) {
-            if (at == mPoints.length) {
-                at = 0;
+            if (index == mPoints.length) {
+                index = 0;
             }
-            long distance = forwardDistance(probe, mPoints[at]);
+            long distance = forwardDistance(probe, mPoints[index]);
             if (distance >= nearest.maxDistance()) {
                 return;
             }
-            nearest.offer(distance, mOwners[at]);
-            at++;
+            nearest.offer(distance, mOwners[index]);
+            index++;
         }
     }
 
@@ -189,7 +200,7 @@
         return (to - from) & Long.MAX_VALUE;
     }
 
-    /** Returns a place on the circle: the finalizer of SplitMix64 over a seed's i-th successor. */
+    /** Returns a position on the circle: the SplitMix64 output number {@code i} for a seed. */
     private static long circlePosition(long seed, int i) {
         long z = seed + (i + 1) * GOLDEN_GAMMA;
         z = (z ^ (z >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -197,7 +208,7 @@
         return (z ^ (z >>> 31)) & Long.MAX_VALUE;
     }
 
-    /** The nearest different owners seen so far, in order. */
+    /** The nearest owners found so far, without duplicates, nearest first. */
     private static final class Nearest {
         private final long[] mDistances;
         private final int[] mOwners;
@@ -213,20 +224,20 @@
         }
 
         void offer(long distance, int owner) {
-            int at = indexOf(owner);
-            if (at >= 0 && mDistances[at] <= distance) {
+            int index = indexOf(owner);
+            if (index >= 0 && mDistances[index] <= distance) {
                 return;
             }
-            if (at < 0) {
-                at = mCount < mOwners.length ? mCount++ : mCount - 1;
+            if (index < 0) {
+                index = mCount < mOwners.length ? mCount++ : mCount - 1;
             }
-            while (at > 0 && mDistances[at - 1] > distance) {
-                mDistances[at] = mDistances[at - 1];
-                mOwners[at] = mOwners[at - 1];
-                at--;
+            while (index > 0 && mDistances[index - 1] > distance) {
+                mDistances[index] = mDistances[index - 1];
+                mOwners[index] = mOwners[index - 1];
+                index--;
             }
-            mDistances[at] = distance;
-            mOwners[at] = owner;
+            mDistances[index] = distance;
+            mOwners[index] = owner;
         }
 
         private int indexOf(int owner) {
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/RedirectPolicy.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/RedirectPolicy.java
@@ -4,22 +4,23 @@
 import java.util.Set;
 
 /**
- * Chooses where a sidecar sends a request on to. With each heartbeat it hears of a few servers of
- * its service that lay under the mean, drawn anew for each sidecar so that not all send to the same
- * ones. The first of them takes what has no history to lose; without any, the next in rank does.
- * The order is the draw's: sent to the least loaded of them, long prompts met at the same servers.
+ * Chooses the target of a sidecar's redirect. With each heartbeat a sidecar receives the names of a
+ * few servers of its service whose load is below the mean, drawn separately for each sidecar so
+ * that not all redirect to the same ones. The first of them receives requests without cached
+ * history; without any, the next in rank does. The order of the draw is kept: if each sidecar
+ * redirected to the least loaded of them, long prompts would meet on the same servers.
  */
 public final class RedirectPolicy {
     private RedirectPolicy() {}
 
     /**
-     * Chooses.
+     * Chooses the target of a redirect.
      *
      * @param chat the chat
      * @param view the sidecar's view of its service
-     * @param open names of servers with room, as last heard; may be empty
-     * @param visited names of the servers that the request has been to
-     * @return the server to send it to, or null if there is none left
+     * @param open names of servers with spare capacity, as last received; may be empty
+     * @param visited names of the servers that the request has already been sent to
+     * @return the server to redirect to, or null if none is left
      */
     public static Candidate choose(
             ChatKey chat, ServiceView view, List<String> open, Set<String> visited) {
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ServiceView.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 
 /**
- * What one process knows of one service's backend servers, on one thread. Immutable: a delta gives
- * a new view, at a cost in proportion to the service's size, paid once per membership change and
- * never per request. Views with the same members rank alike, whatever the order in which they
- * learnt of them.
+ * One process's view of the backend servers of a service. Immutable; a delta creates a new view.
+ * That costs time in proportion to the service's size, once per membership change and never per
+ * request. Views with the same members rank alike, whatever the order in which they learned of
+ * them. Used by one thread only.
  */
 public final class ServiceView {
-    /** How many departed backend servers a view remembers, the latest first. */
+    /** Maximum number of departed backend servers that a view remembers, the most recent first. */
     public static final int MAX_DEPARTED = 64;
 
     private final String mService;
@@ -38,7 +38,7 @@
         mRanking = Ranking.of(members.values().stream().filter(c -> !c.draining()).toList());
     }
 
-    /** Returns the view of a service of which nothing is known yet. */
+    /** Returns the view of a service without known backend servers. */
     public static ServiceView empty(String service) {
         return new ServiceView(service, 0, new TreeMap<>(), List.of());
     }
@@ -46,10 +46,10 @@
     /**
      * Returns the view after some changes.
      *
-     * @param version the version that the changes lead to, in the control log's order
+     * @param version the version that the changes lead to, in the order of the control log
      * @param changes applied in their order; several at once cost no more than one
-     * @return the new view, or this one if {@code version} is not above its own: a late delta never
-     *     takes a view back
+     * @return the new view, or this one if {@code version} is not higher than its own: a late delta
+     *     never moves a view back
      */
     public ServiceView apply(long version, Collection<? extends ViewChange> changes) {
         if (version <= mVersion) {
@@ -77,9 +77,9 @@
             members.computeIfPresent(drain.id(), (id, c) -> c.withDraining());
             return;
         }
-        Candidate gone = members.remove(change.id());
-        if (gone != null) {
-            departed.addFirst(gone);
+        Candidate removed = members.remove(change.id());
+        if (removed != null) {
+            departed.addFirst(removed);
         }
     }
 
@@ -92,12 +92,12 @@
         return mVersion;
     }
 
-    /** Returns how many backend servers the view knows, those that are leaving among them. */
+    /** Returns the number of known backend servers, the draining ones included. */
     public int size() {
         return mMembers.size();
     }
 
-    /** Returns all backend servers, by name. */
+    /** Returns all backend servers, sorted by name. */
     public List<Candidate> candidates() {
         return new ArrayList<>(mMembers.values());
     }
@@ -106,30 +106,30 @@
      * Returns one backend server.
      *
      * @param id its name
-     * @return the candidate, or null if the view does not know it
+     * @return the candidate, or null if the view does not contain it
      */
     public Candidate candidate(String id) {
         return mMembers.get(id);
     }
 
-    /** Returns the latest backend servers that left, the latest first. */
+    /** Returns the most recently departed backend servers, the most recent first. */
     public List<Candidate> departed() {
         return mDeparted;
     }
 
     /**
-     * Returns the ranking of all backend servers, those that are leaving among them: it tells where
-     * a chat was at home before the first of them began to leave. Made when it is first asked for.
+     * Returns the ranking of all backend servers, the draining ones included. It tells which server
+     * was a chat's home before the first of them started to drain. Created on the first call.
      */
     public Ranking rankingWithDraining() {
         if (mRankingWithDraining == null) {
-            boolean isLeaving = mMembers.values().stream().anyMatch(Candidate::draining);
-            mRankingWithDraining = isLeaving ? Ranking.of(mMembers.values()) : mRanking;
+            boolean hasDraining = mMembers.values().stream().anyMatch(Candidate::draining);
+            mRankingWithDraining = hasDraining ? Ranking.of(mMembers.values()) : mRanking;
         }
         return mRankingWithDraining;
     }
 
-    /** Returns the ranking of the backend servers that take new work. */
+    /** Returns the ranking of the backend servers that accept new requests. */
     public Ranking ranking() {
         return mRanking;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/ViewChange.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/ViewChange.java
@@ -6,9 +6,9 @@
     String id();
 
     /**
-     * A backend server joined, or joined again with another incarnation, place or weight.
+     * A backend server joined, or joined again with another incarnation, data centre or weight.
      *
-     * @param candidate its present description
+     * @param candidate its current description
      */
     record Join(Candidate candidate) implements ViewChange {
         @Override
@@ -18,14 +18,15 @@
     }
 
     /**
-     * A backend server left or was given up.
+     * A backend server left, or was removed because it is missing.
      *
      * @param id its name
      */
     record Leave(String id) implements ViewChange {}
 
     /**
-     * A backend server is leaving: it takes no new work, but can still be asked about its chats.
+     * A backend server is draining: it accepts no new requests, but can still be asked about its
+     * chats.
      *
      * @param id its name
      */
--- a/org.laurelweir/src/main/java/org/laurelweir/placement/WorkEstimate.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/placement/WorkEstimate.java
@@ -1,18 +1,19 @@
 package org.laurelweir.placement;
 
 /**
- * What a request is expected to cost its engine. Requests are not counted alike: a dossier read
- * afresh costs many times a short query whose history is cached.
+ * The expected work of a request for its engine. Requests are not counted alike: a long document
+ * that is read for the first time costs many times as much as a short query whose history is
+ * cached.
  *
- * @param promptTokens tokens of the whole prompt, the history among them
- * @param cachedTokens how many of them the engine has cached; 0 where that is not known
- * @param outputTokens tokens that the answer is expected to have
+ * @param promptTokens tokens of the whole prompt, history included
+ * @param cachedTokens tokens of the prompt that the engine has cached; 0 if unknown
+ * @param outputTokens expected tokens of the answer
  */
 public record WorkEstimate(int promptTokens, int cachedTokens, int outputTokens) {
-    /** Checks that no part is negative and that no more is cached than asked for. */
+    /** Rejects negative counts, and limits the cached tokens to the prompt's tokens. */
     public WorkEstimate {
         if (promptTokens < 0 || cachedTokens < 0 || outputTokens < 0) {
-            throw new IllegalArgumentException("negative tokens");
+            throw new IllegalArgumentException("token counts must not be negative");
         }
         cachedTokens = Math.min(cachedTokens, promptTokens);
     }
@@ -25,14 +26,14 @@
     /**
      * Returns the work.
      *
-     * @param prefillWeight the cost of one uncached prompt token against one output token's
+     * @param prefillWeight the cost of one uncached prompt token, relative to one output token
      * @return the work, in output tokens
      */
     public double units(double prefillWeight) {
         return uncachedTokens() * prefillWeight + outputTokens;
     }
 
-    /** Returns the estimate at an engine that has {@code tokens} of the prompt cached. */
+    /** Returns the estimate for an engine that has {@code tokens} of the prompt cached. */
     public WorkEstimate withCached(int tokens) {
         return new WorkEstimate(promptTokens, tokens, outputTokens);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/AffinityPolicyTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The router's order of candidates. */
+/** Tests the order of a router's candidates. */
 class AffinityPolicyTest {
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
     private static final PlacementRequest REQUEST =
@@ -46,11 +46,11 @@
         assertThat(p.reason()).isEqualTo(PlacementReason.NO_BACKEND_SERVER);
     }
 
-    private static PlacementHints hints(String seat, String ejected) {
+    private static PlacementHints hints(String lastServer, String ejected) {
         return new PlacementHints() {
             @Override
             public String lastServer(ChatKey chat) {
-                return seat;
+                return lastServer;
             }
 
             @Override
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/BoundPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/BoundPolicyTest.java
@@ -8,23 +8,27 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a sidecar does at each load. */
+/** Tests a sidecar's decisions at different loads. */
 class BoundPolicyTest {
-    private static final WorkEstimate FRESH = new WorkEstimate(1000, 0, 100);
+    private static final WorkEstimate UNCACHED = new WorkEstimate(1000, 0, 100);
     private static final WorkEstimate CACHED = new WorkEstimate(1000, 900, 100);
 
     private final BoundPolicy mPolicy = new BoundPolicy(new BoundConfig(1.5, 0, 1.1, 10, 0.1, 2));
 
     private BoundDecision decide(
-            WorkEstimate work, int redirects, boolean hasNext, boolean waited, double running) {
+            WorkEstimate work,
+            int redirects,
+            boolean hasNextServer,
+            boolean hasWaited,
+            double running) {
         return mPolicy.decide(
-                new BoundQuery(work, redirects, hasNext, waited, true), running, 1000);
+                new BoundQuery(work, redirects, hasNextServer, hasWaited, true), running, 1000);
     }
 
     @Test
     void onlyCachedChatsAreAdmittedBetweenTheBounds() {
         assertThat(decide(CACHED, 0, true, false, 1300)).isEqualTo(ADMIT);
-        assertThat(decide(FRESH, 0, true, false, 1300)).isEqualTo(REDIRECT);
+        assertThat(decide(UNCACHED, 0, true, false, 1300)).isEqualTo(REDIRECT);
     }
 
     @Test
@@ -43,17 +47,17 @@
 
     @Test
     void serverThatCannotRedirectUsesTheWholeBoundThenRejects() {
-        assertThat(decide(FRESH, 2, true, false, 1300)).isEqualTo(ADMIT);
-        assertThat(decide(FRESH, 2, true, false, 1450)).isEqualTo(WAIT);
-        assertThat(decide(FRESH, 2, true, true, 1450)).isEqualTo(REJECT);
-        assertThat(decide(FRESH, 0, false, true, 1450)).isEqualTo(REJECT);
+        assertThat(decide(UNCACHED, 2, true, false, 1300)).isEqualTo(ADMIT);
+        assertThat(decide(UNCACHED, 2, true, false, 1450)).isEqualTo(WAIT);
+        assertThat(decide(UNCACHED, 2, true, true, 1450)).isEqualTo(REJECT);
+        assertThat(decide(UNCACHED, 0, false, true, 1450)).isEqualTo(REJECT);
     }
 
     @Test
     void requestWithUnreachableDeadlineNeverWaits() {
-        BoundQuery late = new BoundQuery(CACHED, 0, true, false, false);
-        BoundQuery last = new BoundQuery(CACHED, 2, true, false, false);
-        assertThat(mPolicy.decide(late, 0, 1000)).isEqualTo(REDIRECT);
-        assertThat(mPolicy.decide(last, 0, 1000)).isEqualTo(REJECT);
+        BoundQuery redirectable = new BoundQuery(CACHED, 0, true, false, false);
+        BoundQuery notRedirectable = new BoundQuery(CACHED, 2, true, false, false);
+        assertThat(mPolicy.decide(redirectable, 0, 1000)).isEqualTo(REDIRECT);
+        assertThat(mPolicy.decide(notRedirectable, 0, 1000)).isEqualTo(REJECT);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/Candidates.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/Candidates.java
@@ -4,7 +4,7 @@
 import java.util.stream.IntStream;
 import org.laurelweir.lib.BackendRef;
 
-/** Backend servers and views for tests. */
+/** Creates backend servers and views for tests. */
 final class Candidates {
     private Candidates() {}
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/ChatDirectoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/ChatDirectoryTest.java
@@ -11,24 +11,24 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** The directory against a plain map, and its bounds. */
+/** Compares the directory with a plain map, and tests its bounds. */
 class ChatDirectoryTest {
     @Property(tries = 200, seed = "41")
     void matchesAMapAndStaysBounded(
             @ForAll @Size(max = 400) List<@IntRange(min = 0, max = 60) Integer> chats,
             @ForAll @IntRange(min = 2, max = 40) int capacity) {
         ChatDirectory directory = new ChatDirectory(capacity);
-        Map<ChatKey, String> all = new HashMap<>();
+        Map<ChatKey, String> expected = new HashMap<>();
         for (int i = 0; i < chats.size(); i++) {
             ChatKey chat = new ChatKey(chats.get(i));
             String found = directory.find(chat);
-            assertThat(found == null || found.equals(all.get(chat))).isTrue();
+            assertThat(found == null || found.equals(expected.get(chat))).isTrue();
             if (i % 5 == 0) {
                 directory.remove(chat);
-                all.remove(chat);
+                expected.remove(chat);
             } else {
                 directory.put(chat, "worker-" + i % 7);
-                all.put(chat, "worker-" + i % 7);
+                expected.put(chat, "worker-" + i % 7);
                 assertThat(directory.find(chat)).isEqualTo("worker-" + i % 7);
             }
             assertThat(directory.size()).isLessThanOrEqualTo(capacity);
@@ -51,9 +51,9 @@
         directory.put(new ChatKey(1), "a");
         directory.put(new ChatKey(2), "b");
         directory.removeServer("a");
-        Map<ChatKey, String> left = new HashMap<>();
-        directory.forEach(left::put);
-        assertThat(left).containsOnly(Map.entry(new ChatKey(2), "b"));
+        Map<ChatKey, String> remaining = new HashMap<>();
+        directory.forEach(remaining::put);
+        assertThat(remaining).containsOnly(Map.entry(new ChatKey(2), "b"));
     }
 
     @Test
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/ChatLocatorTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/ChatLocatorTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Finding a chat's history as homes come and go. */
+/** Tests the location of a chat's history as homes join and leave. */
 class ChatLocatorTest {
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
@@ -28,26 +28,26 @@
 
     @Test
     void joinedHomeAsksThePreviousHomeOnce() {
-        ChatLocator lookup = locator(mRankedServers.get(0));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
+        ChatLocator locator = locator(mRankedServers.get(0));
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
                 .isEqualTo(new ChatLocation.AskPeers(List.of(mRankedServers.get(1))));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, true, true), mView))
                 .isEqualTo(ChatLocation.UNKNOWN);
     }
 
-    // The caller sees only a slower first token. The home crashes; its directory is lost with it.
-    // The next in rank becomes the home and has no entry for a chat that the bound had moved on.
-    // It asks the ranks that a redirect could have reached, so the history is found again.
+    // Guards against the loss of a chat's history when its home crashes. The directory is lost with
+    // the home. The next in rank becomes the home and has no entry for a chat that the load bound
+    // had redirected. It asks the ranks that a redirect could have reached.
     @Test
     void newHomeAfterACrashAsksTheNextRanks() {
-        ServiceView after =
+        ServiceView viewAfterCrash =
                 mView.apply(2, List.of(new ViewChange.Leave(mRankedServers.get(0).id())));
-        ChatLocator lookup = locator(mRankedServers.get(1));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), after))
+        ChatLocator locator = locator(mRankedServers.get(1));
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, true, false), viewAfterCrash))
                 .isEqualTo(new ChatLocation.AskPeers(mRankedServers.subList(2, 4)));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), after))
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, true, false), viewAfterCrash))
                 .isEqualTo(ChatLocation.UNKNOWN);
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), after))
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, true, true, false), viewAfterCrash))
                 .isEqualTo(ChatLocation.LOCAL);
     }
 
@@ -60,17 +60,17 @@
                 .isEqualTo(ChatLocation.UNKNOWN);
     }
 
-    // The caller sees one more hop, never two servers that send its request to and fro. A router
-    // with an old view sends to a server that is no longer the home; that one names the home, and
-    // a request that was sent on once is not sent back.
+    // Guards against two servers that redirect a request to each other. A router with an old view
+    // sends a request to a server that is not the home. That server redirects it to the home; a
+    // request that was redirected once is not sent back.
     @Test
     void requestFromAStaleRouterIsRedirectedToTheHomeOnce() {
-        ChatLocator lookup = locator(mRankedServers.get(2));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, true, false), mView))
+        ChatLocator locator = locator(mRankedServers.get(2));
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, true, false), mView))
                 .isEqualTo(new ChatLocation.Remote(mRankedServers.get(0).id()));
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, false, false, false), mView))
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, false, false, false), mView))
                 .isEqualTo(ChatLocation.UNKNOWN);
-        assertThat(lookup.locate(new ChatLocationQuery(CHAT, true, true, false), mView))
+        assertThat(locator.locate(new ChatLocationQuery(CHAT, true, true, false), mView))
                 .isEqualTo(ChatLocation.LOCAL);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenDeadlineTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/FirstTokenDeadlineTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** The check of a first token's deadline. */
+/** Tests the check of a first token's deadline. */
 class FirstTokenDeadlineTest {
     private static final Duration GRACE = Duration.ofMillis(200);
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/HeldChatsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/HeldChatsTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Telling new homes of the chats held for a home that left. */
+/** Tests the notification of new homes about chats whose home left. */
 class HeldChatsTest {
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
@@ -16,27 +16,27 @@
     private final ServiceView mViewAfterDeparture =
             mView.apply(2, List.of(new ViewChange.Leave(mRankedServers.get(0).id())));
 
-    // The caller sees a first token as fast as before. A chat was sent on from its home, which then
-    // crashes with its directory. The server that holds the chat tells the next in rank, which is
-    // the home from now on, before the chat returns there.
+    // Guards against a slow first token. A chat is redirected from its home, which then crashes and
+    // loses its directory. The server that holds the chat's history notifies the next in rank, the
+    // new home, before the chat returns there.
     @Test
     void newHomeIsNotifiedOnceAfterACrash() {
-        Map<ChatKey, Candidate> told = new HashMap<>();
+        Map<ChatKey, Candidate> notified = new HashMap<>();
         HeldChats held = new HeldChats(mRankedServers.get(3).id(), 100);
         held.onAdmit(CHAT, mRankedServers.get(0));
-        held.onLeave("another", mViewAfterDeparture, (home, chat) -> told.put(chat, home));
-        assertThat(told).isEmpty();
+        held.onLeave("another", mViewAfterDeparture, (home, chat) -> notified.put(chat, home));
+        assertThat(notified).isEmpty();
         held.onLeave(
                 mRankedServers.get(0).id(),
                 mViewAfterDeparture,
-                (home, chat) -> told.put(chat, home));
-        assertThat(told).containsOnly(Map.entry(CHAT, mRankedServers.get(1)));
-        told.clear();
+                (home, chat) -> notified.put(chat, home));
+        assertThat(notified).containsOnly(Map.entry(CHAT, mRankedServers.get(1)));
+        notified.clear();
         held.onLeave(
                 mRankedServers.get(0).id(),
                 mViewAfterDeparture,
-                (home, chat) -> told.put(chat, home));
-        assertThat(told).isEmpty();
+                (home, chat) -> notified.put(chat, home));
+        assertThat(notified).isEmpty();
     }
 
     @Test
@@ -47,7 +47,7 @@
                 mRankedServers.get(0).id(),
                 mViewAfterDeparture,
                 (home, chat) -> {
-                    throw new AssertionError("told " + home);
+                    throw new AssertionError("unexpected notification of " + home);
                 });
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/LoadBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/LoadBoundTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The bound and its rounding at small loads. */
+/** Tests the load bound and its rules for small loads. */
 class LoadBoundTest {
     private static final double FLOOR = 100;
 
@@ -21,28 +21,29 @@
             @ForAll @DoubleRange(min = 1, max = 3) double factor,
             @ForAll long seed) {
         Random random = new Random(seed);
-        List<List<Double>> running = new ArrayList<>();
+        List<List<Double>> workByServer = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            running.add(new ArrayList<>());
+            workByServer.add(new ArrayList<>());
         }
         for (int step = 0; step < 300; step++) {
-            List<Double> at = running.get(random.nextInt(servers));
-            if (!at.isEmpty() && random.nextInt(3) == 0) {
-                at.remove(random.nextInt(at.size()));
+            List<Double> serverWork = workByServer.get(random.nextInt(servers));
+            if (!serverWork.isEmpty() && random.nextInt(3) == 0) {
+                serverWork.remove(random.nextInt(serverWork.size()));
                 continue;
             }
             double added = Math.exp(2 + 2 * random.nextGaussian());
-            double mean = running.stream().mapToDouble(LoadBoundTest::sum).sum() / servers;
-            if (LoadBound.admits(sum(at), added, mean, factor, FLOOR)) {
-                at.add(added);
+            double mean = workByServer.stream().mapToDouble(LoadBoundTest::sum).sum() / servers;
+            if (LoadBound.admits(sum(serverWork), added, mean, factor, FLOOR)) {
+                serverWork.add(added);
                 double bound = Math.max(factor * mean, FLOOR);
-                assertThat(at.size() == 1 || sum(at) <= bound * (1 + 1e-9)).isTrue();
+                assertThat(serverWork.size() == 1 || sum(serverWork) <= bound * (1 + 1e-9))
+                        .isTrue();
             }
         }
     }
 
     @Test
-    void idleServerTakesAnyRequest() {
+    void idleServerAdmitsAnyRequest() {
         assertThat(LoadBound.admits(0, 1e9, 0, 1.25, FLOOR)).isTrue();
         assertThat(LoadBound.admits(1, 1e9, 0, 1.25, FLOOR)).isFalse();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/OutliersTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/OutliersTest.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Ejection, its cooldown and its ceiling. */
+/** Tests ejection, its cooldown, and the maximum share of ejected servers. */
 class OutliersTest {
     private static final Instant START = Instant.EPOCH;
     private static final OutlierConfig CONFIG =
@@ -14,9 +14,10 @@
 
     private final Outliers mOutliers = new Outliers(CONFIG);
 
-    // The caller sees a late answer once, not at each request. A server fails twice in a row and
-    // is passed over; it is tried again after the cooldown, fails once, and is passed over for
-    // twice as long, since a server that is down stays down for longer than it takes to try it.
+    // Guards against a delay at every request while one server is down. The server is ejected after
+    // two failures in a row. After the cooldown it is tried again, fails once, and is ejected for
+    // twice as long, because a server that is down usually stays down for longer than one try
+    // takes.
     @Test
     void cooldownDoublesUpToItsMaximum() {
         Instant now = START;
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/RankingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/RankingTest.java
@@ -15,25 +15,25 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.laurelweir.lib.BackendRef;
 
-/** Stability, evenness and weights of the ranking. */
+/** Tests the stability, the evenness and the weights of the ranking. */
 class RankingTest {
     private static final int CHAT_COUNT = 20_000;
 
     @Property(tries = 200, seed = "11")
     void departureKeepsTheOrderOfTheOthers(
             @ForAll @IntRange(min = 2, max = 60) int n,
-            @ForAll @IntRange(min = 0, max = 59) int gone,
+            @ForAll @IntRange(min = 0, max = 59) int departedIndex,
             @ForAll long hash) {
         List<Candidate> all = Candidates.of(n);
-        Candidate left = all.get(gone % n);
+        Candidate departed = all.get(departedIndex % n);
         ChatKey chat = new ChatKey(hash);
         List<Candidate> before = new ArrayList<>(Ranking.of(all).top(chat, n));
-        List<Candidate> rest = all.stream().filter(c -> c != left).toList();
+        List<Candidate> remaining = all.stream().filter(c -> c != departed).toList();
 
-        before.remove(left);
+        before.remove(departed);
 
-        assertThat(Ranking.of(rest).top(chat, n)).isEqualTo(before);
-        assertThat(Ranking.of(all).topWithout(chat, left.id(), n)).isEqualTo(before);
+        assertThat(Ranking.of(remaining).top(chat, n)).isEqualTo(before);
+        assertThat(Ranking.of(all).topWithout(chat, departed.id(), n)).isEqualTo(before);
     }
 
     @Property(tries = 200, seed = "12")
@@ -95,9 +95,9 @@
 
     @Test
     void emptyRankingHasNoHome() {
-        Ranking none = Ranking.of(List.of());
-        assertThat(none.home(new ChatKey(1))).isNull();
-        assertThat(none.top(new ChatKey(1), 3)).isEmpty();
+        Ranking empty = Ranking.of(List.of());
+        assertThat(empty.home(new ChatKey(1))).isNull();
+        assertThat(empty.top(new ChatKey(1), 3)).isEmpty();
     }
 
     private static Map<Candidate, Integer> homes(Ranking ranking, int chats) {
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/RedirectPolicyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/RedirectPolicyTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Where a request is sent on to. */
+/** Tests the choice of a redirect's target. */
 class RedirectPolicyTest {
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
--- a/org.laurelweir/src/test/java/org/laurelweir/placement/ServiceViewTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/placement/ServiceViewTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Deltas to a view. */
+/** Tests changes of a view. */
 class ServiceViewTest {
     private static final ChatKey CHAT = ChatKey.of("nordhavn", "chat");
 
@@ -18,13 +18,14 @@
     void joinOrderDoesNotChangeTheRanking(@ForAll long seed) {
         List<ViewChange> joins = new ArrayList<>();
         Candidates.of(20).forEach(c -> joins.add(new ViewChange.Join(c)));
-        ServiceView one = ServiceView.empty("s").apply(1, joins);
+        ServiceView joinedAtOnce = ServiceView.empty("s").apply(1, joins);
         Collections.shuffle(joins, new Random(seed));
-        ServiceView other = ServiceView.empty("s");
+        ServiceView joinedOneByOne = ServiceView.empty("s");
         for (int i = 0; i < joins.size(); i++) {
-            other = other.apply(i + 1, joins.subList(i, i + 1));
+            joinedOneByOne = joinedOneByOne.apply(i + 1, joins.subList(i, i + 1));
         }
-        assertThat(other.ranking().top(CHAT, 20)).isEqualTo(one.ranking().top(CHAT, 20));
+        assertThat(joinedOneByOne.ranking().top(CHAT, 20))
+                .isEqualTo(joinedAtOnce.ranking().top(CHAT, 20));
     }
 
     @Test
