--- a/org.laurelweir/src/main/java/org/laurelweir/membership/AddressHolders.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/AddressTable.java
@@ -9,11 +9,11 @@
  * Left in place until it is missed, it would draw requests that its successor refuses; and a late
  * announcement of it must not push the successor out.
  */
-final class AddressHolders {
+final class AddressTable {
     private final SharedMembership mMembership;
     private final Map<String, String> mNames = new HashMap<>();
 
-    AddressHolders(SharedMembership membership) {
+    AddressTable(SharedMembership membership) {
         mMembership = membership;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
@@ -26,8 +26,8 @@
 
     private final SharedMembership mMembership;
     private final Predicate<String> mIsService;
-    private final Map<String, Mark> mNewest = new HashMap<>();
-    private final AddressHolders mAddresses;
+    private final Map<String, AnnouncementVersion> mNewest = new HashMap<>();
+    private final AddressTable mAddresses;
     private boolean mStartsAreTold;
 
     /** What became of an announcement. */
@@ -55,7 +55,7 @@
     public DirectAnnouncements(SharedMembership membership, Predicate<String> isService) {
         mMembership = membership;
         mIsService = isService;
-        mAddresses = new AddressHolders(membership);
+        mAddresses = new AddressTable(membership);
     }
 
     /**
@@ -82,8 +82,8 @@
         if (mStartsAreTold && b.ref().incarnation() == START_UNTOLD) {
             return Outcome.START_MISSING;
         }
-        Mark told = Mark.of(b);
-        boolean overtaken = known != null && !told.isAfter(Mark.of(known));
+        AnnouncementVersion told = AnnouncementVersion.of(b);
+        boolean overtaken = known != null && !told.isAfter(AnnouncementVersion.of(known));
         if (overtaken || !told.isAfter(mNewest.get(b.ref().id()))) {
             return Outcome.OVERTAKEN;
         }
@@ -105,7 +105,7 @@
     private void take(Instant now, Backend b) {
         String id = b.ref().id();
         mStartsAreTold |= b.ref().incarnation() != START_UNTOLD;
-        mNewest.put(id, Mark.of(b));
+        mNewest.put(id, AnnouncementVersion.of(b));
         if (!isLeaving(b)) {
             occupyAddress(now, b);
         }
@@ -166,12 +166,12 @@
     }
 
     /** Where an announcement stands among those of its backend server. */
-    private record Mark(long incarnation, int number) {
-        static Mark of(Backend b) {
-            return new Mark(b.ref().incarnation(), b.session());
+    private record AnnouncementVersion(long incarnation, int number) {
+        static AnnouncementVersion of(Backend b) {
+            return new AnnouncementVersion(b.ref().incarnation(), b.session());
         }
 
-        boolean isAfter(Mark other) {
+        boolean isAfter(AnnouncementVersion other) {
             if (other == null) {
                 return true;
             }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/FlapGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/FlapGuard.java
@@ -10,7 +10,7 @@
     private final HeldBackends mHeld;
     private final ServiceCounts mCounts = new ServiceCounts();
 
-    FlapGuard(SeenTime time, MembershipConfig config) {
+    FlapGuard(PauseTolerantClock time, MembershipConfig config) {
         mDamper = new FlapDamper(config);
         mHeld = new HeldBackends(time, config.vanishAfter());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/HeldBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/HeldBackends.java
@@ -9,11 +9,11 @@
 
 /** Backend servers that are heard and not announced yet, since they vanished too often. */
 final class HeldBackends {
-    private final SeenTime mTime;
+    private final PauseTolerantClock mTime;
     private final Duration mVanishAfter;
     private final Map<String, Held> mHeld = new LinkedHashMap<>();
 
-    HeldBackends(SeenTime time, Duration vanishAfter) {
+    HeldBackends(PauseTolerantClock time, Duration vanishAfter) {
         mTime = time;
         mVanishAfter = vanishAfter;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/Orphans.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/OrphanedBackends.java
@@ -11,12 +11,12 @@
  * sidecar that still lives has spoken here or elsewhere by the deadline; one that died meanwhile is
  * missed by nobody else.
  */
-final class Orphans {
-    private final SeenTime mTime;
+final class OrphanedBackends {
+    private final PauseTolerantClock mTime;
     private final Duration mAfter;
     private final Map<String, Orphan> mOrphans = new LinkedHashMap<>();
 
-    Orphans(SeenTime time, Duration after) {
+    OrphanedBackends(PauseTolerantClock time, Duration after) {
         mTime = time;
         mAfter = after;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SeenTime.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PauseTolerantClock.java
@@ -8,7 +8,7 @@
  * to have been silent, and all sidecars would be announced as gone at once. Here a pause counts as
  * one short step, and what waits in the sockets is taken before the next.
  */
-final class SeenTime {
+final class PauseTolerantClock {
     private static final Duration LONGEST_STEP = Duration.ofMillis(500);
 
     private Instant mLast;
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
@@ -10,11 +10,11 @@
 
 /** How far the other control instances are known here, what they carry, and who is silent. */
 final class PeerTable {
-    private final SeenTime mTime;
+    private final PauseTolerantClock mTime;
     private final MembershipConfig mConfig;
     private final Map<String, Peer> mPeers = new TreeMap<>();
 
-    PeerTable(SeenTime time, MembershipConfig config, Collection<String> names) {
+    PeerTable(PauseTolerantClock time, MembershipConfig config, Collection<String> names) {
         mTime = time;
         mConfig = config;
         names.forEach(n -> mPeers.put(n, new Peer()));
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SessionTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SessionTable.java
@@ -15,9 +15,9 @@
     private final Duration mVanishAfter;
     private final LoadSums mSums = new LoadSums();
     private final Map<String, Session> mSessions = new LinkedHashMap<>();
-    private final SeenTime mTime;
+    private final PauseTolerantClock mTime;
 
-    SessionTable(SeenTime time, Duration vanishAfter) {
+    SessionTable(PauseTolerantClock time, Duration vanishAfter) {
         mTime = time;
         mVanishAfter = vanishAfter;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -22,14 +22,14 @@
 public final class SharedMembership {
     private static final Predicate<Backend> EVERY = b -> true;
 
-    private final SeenTime mTime = new SeenTime();
+    private final PauseTolerantClock mTime = new PauseTolerantClock();
     private final MembershipListener mListener;
     private final String mSelf;
     private final MembershipLog mLog;
     private final SessionTable mSessions;
     private final FlapGuard mFlaps;
     private final PeerTable mPeers;
-    private final Orphans mOrphans;
+    private final OrphanedBackends mOrphans;
     // Departures that a peer announced of sessions that are heard here all the same.
     private final Set<String> mDisputed = new HashSet<>();
 
@@ -50,7 +50,7 @@
         mSessions = new SessionTable(mTime, config.vanishAfter());
         mFlaps = new FlapGuard(mTime, config);
         mPeers = new PeerTable(mTime, config, peers);
-        mOrphans = new Orphans(mTime, config.orphanAfter());
+        mOrphans = new OrphanedBackends(mTime, config.orphanAfter());
     }
 
     /**
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectSessionsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectAnnouncementsTest.java
@@ -8,7 +8,7 @@
 import org.laurelweir.lib.BackendRef;
 
 /** Announcements of backend servers that have no sidecar. */
-class DirectSessionsTest {
+class DirectAnnouncementsTest {
     private static final Instant NOW = Instant.EPOCH;
 
     private final SharedMembership mA = membership("a", "b");
