--- a/org.laurelweir/src/main/java/org/laurelweir/membership/AddressTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/AddressTable.java
@@ -4,52 +4,57 @@
 import java.util.Map;
 
 /**
- * Which backend server is at each address, by what this control instance was told itself. Of two
- * names that announce one address the one that started later is there, and the other has crashed.
- * Left in place until it is missed, it would draw requests that its successor refuses; and a late
- * announcement of it must not push the successor out.
+ * Maps each address to the backend server that uses it, from the announcements that this control
+ * instance received itself. If two backend servers announce the same address, the one that started
+ * later uses it and the other one has crashed. The crashed one is removed at once: until it timed
+ * out, routers would send it requests, which its successor refuses. A late announcement of the
+ * crashed one must not remove the successor.
  */
 final class AddressTable {
     private final SharedMembership mMembership;
-    private final Map<String, String> mNames = new HashMap<>();
+    private final Map<String, String> mIdsByAddress = new HashMap<>();
 
     AddressTable(SharedMembership membership) {
         mMembership = membership;
     }
 
     /**
-     * Returns whether a backend server may be the one at its address. Where starts are not told,
-     * the one that is heard for the first time is the later one.
+     * Returns whether a backend server may take over its address. If the announcements carry no
+     * start times, a backend server that is announced for the first time counts as the later one.
      *
-     * @param isUnheardOf whether nothing is known of it yet, here or from other instances
+     * @param isNew whether neither this instance nor its peers know the backend server
      */
-    boolean mayHold(Backend b, boolean isUnheardOf) {
+    boolean mayTakeOver(Backend b, boolean isNew) {
         Backend holder = holder(b.address());
-        boolean free = holder == null || holder.state() == Backend.State.LEFT;
-        if (free || holder.ref().id().equals(b.ref().id())) {
+        boolean isFree = holder == null || holder.state() == Backend.State.LEFT;
+        if (isFree || holder.ref().id().equals(b.ref().id())) {
             return true;
         }
-        if (holder.ref().incarnation() != DirectAnnouncements.START_UNTOLD) {
+        if (holder.ref().incarnation() != DirectAnnouncements.NO_START_TIME) {
             return b.ref().incarnation() > holder.ref().incarnation();
         }
-        return isUnheardOf;
+        return isNew;
     }
 
-    /** Notes who is at an address from now on; returns who was before, or null for nobody else. */
-    Backend hold(Backend b) {
-        Backend before = holder(b.address());
-        mNames.put(b.address(), b.ref().id());
-        boolean isOther = before != null && !before.ref().id().equals(b.ref().id());
-        return isOther ? before : null;
+    /**
+     * Assigns a backend server its address.
+     *
+     * @return the other backend server that had the address, or null if there was none
+     */
+    Backend assign(Backend b) {
+        Backend previous = holder(b.address());
+        mIdsByAddress.put(b.address(), b.ref().id());
+        boolean isOther = previous != null && !previous.ref().id().equals(b.ref().id());
+        return isOther ? previous : null;
     }
 
     private Backend holder(String address) {
-        String name = mNames.get(address);
-        return name == null ? null : mMembership.backend(name);
+        String id = mIdsByAddress.get(address);
+        return id == null ? null : mMembership.backend(id);
     }
 
-    /** Forgets those that the membership has forgotten. */
+    /** Removes the backend servers that are not in the membership. */
     void prune() {
-        mNames.values().removeIf(id -> !mMembership.knows(id));
+        mIdsByAddress.values().removeIf(id -> !mMembership.knows(id));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/Announcement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/Announcement.java
@@ -1,9 +1,10 @@
 package org.laurelweir.membership;
 
 /**
- * What control instances pass on of a backend server.
+ * A backend server's announcement as control instances forward it to each other.
  *
- * @param backend as its sidecar announced it
- * @param control the control instance that hears the sidecar, and alone may say that it vanished
+ * @param backend the backend server as its sidecar announced it
+ * @param control the control instance that receives the sidecar's reports; only this instance may
+ *     declare that the sidecar timed out
  */
 public record Announcement(Backend backend, String control) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/Backend.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/Backend.java
@@ -3,16 +3,17 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * A backend server as its sidecar announces it.
+ * A backend server as its sidecar announces it. Backend servers without a sidecar announce
+ * themselves, see {@link DirectAnnouncements}.
  *
  * @param ref its name and the sidecar's incarnation
  * @param service the service that it belongs to
- * @param dataCentre where it stands
+ * @param dataCentre the data centre that it runs in
  * @param region the data centre's region
- * @param address where the sidecar listens, an IP number and a port
- * @param state whether it takes new work
+ * @param address the IP address and port on which the sidecar listens
+ * @param state whether it accepts new work
  * @param weight its capacity relative to the service's other backend servers
- * @param session counts the announcement sessions of one incarnation
+ * @param session the number of the announcement session, counted within one incarnation
  */
 public record Backend(
         BackendRef ref,
@@ -24,37 +25,37 @@
         double weight,
         int session) {
 
-    /** Whether a backend server takes new work. */
+    /** Whether a backend server accepts new work. */
     public enum State {
         SERVING,
         DRAINING,
         LEFT
     }
 
-    /** Returns this backend server in another state. */
+    /** Returns a copy in another state. */
     public Backend withState(State newState) {
         return new Backend(ref, service, dataCentre, region, address, newState, weight, session);
     }
 
-    /** Returns another run of this backend server. */
+    /** Returns a copy with another name and incarnation. */
     public Backend withRef(BackendRef newRef) {
         return new Backend(newRef, service, dataCentre, region, address, state, weight, session);
     }
 
-    /** Returns this backend server under another session. */
+    /** Returns a copy with another session number. */
     public Backend withSession(int newSession) {
         return new Backend(ref, service, dataCentre, region, address, state, weight, newSession);
     }
 
-    /** Returns whether both announcements are of the same run and session of the same sidecar. */
+    /** Returns whether both announcements have the same name, incarnation and session. */
     public boolean isSameSession(Backend other) {
         return ref.equals(other.ref) && session == other.session;
     }
 
     /**
-     * Returns whether this announcement is newer than another of the same backend server. A later
-     * incarnation wins, then a later session, then the state that is further towards leaving: a
-     * sidecar never goes back from draining within one session.
+     * Returns whether this announcement is newer than another one of the same backend server. The
+     * later incarnation wins, then the later session, then the later state in the order serving,
+     * draining, left: within one session a sidecar never returns to an earlier state.
      */
     public boolean supersedes(Backend other) {
         if (ref.incarnation() != other.ref.incarnation()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/DirectAnnouncements.java
@@ -7,126 +7,133 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * Takes the announcements of backend servers that have no sidecar. These go to any control
- * instance, may be late, and may overtake each other; each carries a number that rises within one
- * start of its backend server, and when that start was. The start is the incarnation: one that
- * starts again under its name is another run, of which nothing known of the run before holds.
+ * Applies the announcements of backend servers that have no sidecar. A backend server sends them to
+ * any control instance; they may arrive late and out of order. Each carries a number that rises
+ * within one run of the backend server, and the time at which that run started. The start time is
+ * the incarnation: a backend server that restarts under its name is another incarnation, and
+ * everything known of the previous one is void.
  *
- * <p>The number becomes the session whenever something changes: the state, or the instance that
- * hears. A late announcement then has a lower session than what it would take back, on every
- * instance, so that one that drains is not called serving again. While nothing changes the session
- * stays, and an announcement costs its instance nothing that others have to be told of.
+ * <p>When the state or the receiving instance changes, the announcement's number becomes the
+ * session. A late announcement then has a lower session than the change that it would revert, on
+ * every instance, so a draining backend server does not count as serving again. While nothing
+ * changes, the session stays the same and nothing has to be sent to the peers.
  */
 public final class DirectAnnouncements {
-    /** The session of a run that has left; only a later start under the name comes after it. */
-    private static final int LAST = Integer.MAX_VALUE;
+    /** The session of an incarnation that has left; only a later incarnation supersedes it. */
+    private static final int FINAL_SESSION = Integer.MAX_VALUE;
 
-    /** The incarnation of an announcement that tells no start. */
-    static final long START_UNTOLD = 0;
+    /** The incarnation of an announcement without a start time. */
+    static final long NO_START_TIME = 0;
 
     private final SharedMembership mMembership;
-    private final Predicate<String> mIsService;
-    private final Map<String, AnnouncementVersion> mNewest = new HashMap<>();
+    private final Predicate<String> mIsKnownService;
+    private final Map<String, AnnouncementVersion> mLastAccepted = new HashMap<>();
     private final AddressTable mAddresses;
-    private boolean mStartsAreTold;
+    private boolean mHasSeenStartTimes;
 
-    /** What became of an announcement. */
+    /** The result of an announcement. */
     public enum Outcome {
-        /** It is the newest of its backend server, and believed. */
+        /** It is the newest one of its backend server and is applied. */
         TAKEN,
-        /** A later one of the same backend server, or of a later start of it, is known. */
+        /** A newer one of the same backend server, or of a later incarnation, was received. */
         OVERTAKEN,
-        /** It names a service that neither the settings have nor its server is known for. */
+        /** Its service is neither in the settings nor known as the backend server's service. */
         UNKNOWN_SERVICE,
-        /** It tells no start where others do, so that something else wrote it. */
+        /** It has no start time although others have one, so another program wrote it. */
         START_MISSING,
-        /** A backend server that started later is at its address. */
+        /** A backend server that started later uses its address. */
         ADDRESS_TAKEN,
-        /** It is a withdrawal, and nothing is known here of the backend server that leaves. */
+        /** It is a withdrawal of a backend server that this instance does not know. */
         UNKNOWN_SERVER
     }
 
     /**
-     * Creates an empty record beside a membership.
+     * Creates an instance that has received no announcements.
      *
-     * @param membership takes what is believed
-     * @param isService whether the settings in force, if there are any, have a service of that name
+     * @param membership receives the accepted announcements
+     * @param isKnownService returns whether the settings in force contain the service of that name;
+     *     true for every name while there are no settings
      */
-    public DirectAnnouncements(SharedMembership membership, Predicate<String> isService) {
+    public DirectAnnouncements(SharedMembership membership, Predicate<String> isKnownService) {
         mMembership = membership;
-        mIsService = isService;
+        mIsKnownService = isKnownService;
         mAddresses = new AddressTable(membership);
     }
 
     /**
-     * Takes an announcement.
+     * Receives an announcement.
      *
-     * @param now when
-     * @param b what it says; its session is the announcement's number, its incarnation when the
-     *     backend server started, 0 where it does not tell
-     * @return what became of it; all but {@code TAKEN} change nothing
+     * @param now the current time
+     * @param b the announced backend server; its session is the announcement's number, its
+     *     incarnation is the start time or 0 if the announcement has none
+     * @return the outcome; only {@code TAKEN} changes anything
      */
     public Outcome receive(Instant now, Backend b) {
-        Outcome outcome = judge(b);
+        Outcome outcome = check(b);
         if (outcome == Outcome.TAKEN) {
-            take(now, b);
+            accept(now, b);
         }
         return outcome;
     }
 
-    private Outcome judge(Backend b) {
+    private Outcome check(Backend b) {
         Backend known = mMembership.backend(b.ref().id());
-        if (!mIsService.test(b.service()) && !isOfItsService(known, b)) {
+        if (!mIsKnownService.test(b.service()) && !isSameService(known, b)) {
             return Outcome.UNKNOWN_SERVICE;
         }
-        if (mStartsAreTold && b.ref().incarnation() == START_UNTOLD) {
+        if (mHasSeenStartTimes && b.ref().incarnation() == NO_START_TIME) {
             return Outcome.START_MISSING;
         }
-        AnnouncementVersion told = AnnouncementVersion.of(b);
-        boolean overtaken = known != null && !told.isAfter(AnnouncementVersion.of(known));
-        if (overtaken || !told.isAfter(mNewest.get(b.ref().id()))) {
+        AnnouncementVersion version = AnnouncementVersion.of(b);
+        boolean isOutdated = known != null && !version.isAfter(AnnouncementVersion.of(known));
+        if (isOutdated || !version.isAfter(mLastAccepted.get(b.ref().id()))) {
             return Outcome.OVERTAKEN;
         }
-        boolean isUnheardOf = known == null && !mNewest.containsKey(b.ref().id());
-        boolean believed = isLeaving(b) || mAddresses.mayHold(b, isUnheardOf);
-        return believed ? Outcome.TAKEN : Outcome.ADDRESS_TAKEN;
+        boolean isNew = known == null && !mLastAccepted.containsKey(b.ref().id());
+        boolean isAccepted = isLeaving(b) || mAddresses.mayTakeOver(b, isNew);
+        return isAccepted ? Outcome.TAKEN : Outcome.ADDRESS_TAKEN;
     }
 
-    /** Another instance, whose settings are newer than those here, has vouched for the service. */
-    private static boolean isOfItsService(Backend known, Backend b) {
+    /**
+     * Returns whether the server is known with this service, as from a peer with newer settings.
+     */
+    private static boolean isSameService(Backend known, Backend b) {
         return known != null && known.service().equals(b.service());
     }
 
-    /** One that leaves draws no requests, whoever is at its address. */
+    /**
+     * Returns whether a server gets no new requests, so that it does not compete for its address.
+     */
     private static boolean isLeaving(Backend b) {
         return b.state() != Backend.State.SERVING;
     }
 
-    private void take(Instant now, Backend b) {
+    private void accept(Instant now, Backend b) {
         String id = b.ref().id();
-        mStartsAreTold |= b.ref().incarnation() != START_UNTOLD;
-        mNewest.put(id, AnnouncementVersion.of(b));
+        mHasSeenStartTimes |= b.ref().incarnation() != NO_START_TIME;
+        mLastAccepted.put(id, AnnouncementVersion.of(b));
         if (!isLeaving(b)) {
-            occupyAddress(now, b);
+            assignAddress(now, b);
         }
         Backend known = mMembership.backend(id);
-        boolean goesOn = known != null && isUnchanged(known, b) && mMembership.hears(known);
-        Backend told = goesOn ? b.withSession(known.session()) : b;
-        int leastSession = passOn(now, told);
-        if (leastSession > told.session()) {
-            // Others gave it up: only a new session wins over the departure that they announced.
-            passOn(now, b);
+        boolean isContinued =
+                known != null && isUnchanged(known, b) && mMembership.hasSession(known);
+        Backend reported = isContinued ? b.withSession(known.session()) : b;
+        int minSession = report(now, reported);
+        if (minSession > reported.session()) {
+            // Peers announced that it left: only a new session supersedes their announcement.
+            report(now, b);
         }
     }
 
-    private int passOn(Instant now, Backend b) {
+    private int report(Instant now, Backend b) {
         return mMembership.receiveReport(now, new SidecarReport(b, 0, 0, 0));
     }
 
-    private void occupyAddress(Instant now, Backend b) {
-        Backend before = mAddresses.hold(b);
-        if (before != null) {
-            leave(now, before);
+    private void assignAddress(Instant now, Backend b) {
+        Backend previous = mAddresses.assign(b);
+        if (previous != null) {
+            reportDeparture(now, previous);
         }
     }
 
@@ -135,37 +142,37 @@
     }
 
     /**
-     * Takes the word of a backend server that it leaves.
+     * Receives the withdrawal of a backend server that leaves.
      *
-     * @param now when
-     * @param ref the start that leaves; one that tells no start means the run that is known
-     * @return what became of it; all but {@code TAKEN} change nothing
+     * @param now the current time
+     * @param ref the incarnation that leaves; 0 stands for the known incarnation
+     * @return the outcome; only {@code TAKEN} changes anything
      */
     public Outcome withdraw(Instant now, BackendRef ref) {
         Backend known = mMembership.backend(ref.id());
         if (known == null) {
             return Outcome.UNKNOWN_SERVER;
         }
-        boolean anyStart = ref.incarnation() == START_UNTOLD;
-        if (!anyStart && ref.incarnation() < known.ref().incarnation()) {
+        boolean isAnyIncarnation = ref.incarnation() == NO_START_TIME;
+        if (!isAnyIncarnation && ref.incarnation() < known.ref().incarnation()) {
             return Outcome.OVERTAKEN;
         }
-        leave(now, anyStart ? known : known.withRef(ref));
+        reportDeparture(now, isAnyIncarnation ? known : known.withRef(ref));
         return Outcome.TAKEN;
     }
 
-    private void leave(Instant now, Backend known) {
-        Backend left = known.withState(Backend.State.LEFT).withSession(LAST);
-        passOn(now, left);
+    private void reportDeparture(Instant now, Backend known) {
+        Backend left = known.withState(Backend.State.LEFT).withSession(FINAL_SESSION);
+        report(now, left);
     }
 
-    /** Forgets those that the membership has forgotten. */
+    /** Removes the backend servers that are not in the membership. */
     public void prune() {
-        mNewest.keySet().removeIf(id -> !mMembership.knows(id));
+        mLastAccepted.keySet().removeIf(id -> !mMembership.knows(id));
         mAddresses.prune();
     }
 
-    /** Where an announcement stands among those of its backend server. */
+    /** Orders the announcements of one backend server. */
     private record AnnouncementVersion(long incarnation, int number) {
         static AnnouncementVersion of(Backend b) {
             return new AnnouncementVersion(b.ref().incarnation(), b.session());
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
@@ -8,12 +8,13 @@
 import java.util.Map;
 
 /**
- * Decides how long a backend server that keeps vanishing is held back before it is announced again.
- * Each return of one that crashes in a loop would move chats to it and, seconds later, off again;
- * their caches elsewhere would be lost for nothing.
+ * Decides how long a backend server that disappears repeatedly is held back before it is announced
+ * again. Without this, iterator restart of a backend server in a crash loop would move chats to it
+ * and away again seconds later, and the chats would lose the caches that they have on other backend
+ * servers.
  */
 final class FlapDamper {
-    private static final int MAX_REMEMBERED = 64;
+    private static final int MAX_DEPARTURES_PER_BACKEND = 64;
 
     private final MembershipConfig mConfig;
     private final Map<String, ArrayDeque<Instant>> mDepartures = new HashMap<>();
@@ -22,39 +23,42 @@
         mConfig = config;
     }
 
-    /** Notes that a backend server went without having drained. */
-    void vanished(Instant now, String id) {
+    /** Records that a backend server disappeared without draining. */
+    void recordDeparture(Instant now, String id) {
         ArrayDeque<Instant> times = mDepartures.computeIfAbsent(id, i -> new ArrayDeque<>());
         times.add(now);
-        if (times.size() > MAX_REMEMBERED) {
+        if (times.size() > MAX_DEPARTURES_PER_BACKEND) {
             times.poll();
         }
     }
 
-    /** Returns how long one that comes now is held back; zero for one that did not flap. */
-    Duration holdTime(Instant now, String id) {
-        int over = countRecent(now, id) - mConfig.flapsAllowed();
-        Duration hold = over <= 0 ? Duration.ZERO : mConfig.holdBase();
-        for (int i = 1; i < over && hold.compareTo(mConfig.holdMax()) < 0; i++) {
+    /**
+     * Returns how long a backend server that joins now is held back; zero if it did not flap. The
+     * duration doubles with iterator departure beyond the allowed number, up to a maximum.
+     */
+    Duration holdDuration(Instant now, String id) {
+        int excess = countRecent(now, id) - mConfig.flapsAllowed();
+        Duration hold = excess <= 0 ? Duration.ZERO : mConfig.holdBase();
+        for (int i = 1; i < excess && hold.compareTo(mConfig.holdMax()) < 0; i++) {
             hold = hold.multipliedBy(2);
         }
         return hold.compareTo(mConfig.holdMax()) < 0 ? hold : mConfig.holdMax();
     }
 
     /** Returns how many of a service's backend servers may be held back at a time. */
-    int holdLimit(int backendsOfService) {
-        return (int) (backendsOfService * mConfig.heldShare());
+    int maxHeld(int backendsOfService) {
+        return (int) (backendsOfService * mConfig.maxHeldShare());
     }
 
-    /** Forgets departures that no longer count. */
-    void forget(Instant now) {
+    /** Removes the departures that are older than the flap window. */
+    void evictExpired(Instant now) {
         Instant earliest = now.minus(mConfig.flapWindow());
-        Iterator<ArrayDeque<Instant>> each = mDepartures.values().iterator();
-        while (each.hasNext()) {
-            ArrayDeque<Instant> times = each.next();
+        Iterator<ArrayDeque<Instant>> iterator = mDepartures.values().iterator();
+        while (iterator.hasNext()) {
+            ArrayDeque<Instant> times = iterator.next();
             dropBefore(times, earliest);
             if (times.isEmpty()) {
-                each.remove();
+                iterator.remove();
             }
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/FlapGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/FlapGuard.java
@@ -4,50 +4,56 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Keeps backend servers that vanish too often from being announced at each return. */
+/** Holds back flapping backend servers, so that not every restart of one is announced. */
 final class FlapGuard {
     private final FlapDamper mDamper;
     private final HeldBackends mHeld;
     private final ServiceCounts mCounts = new ServiceCounts();
 
-    FlapGuard(PauseTolerantClock time, MembershipConfig config) {
+    FlapGuard(PauseTolerantClock clock, MembershipConfig config) {
         mDamper = new FlapDamper(config);
-        mHeld = new HeldBackends(time, config.vanishAfter());
+        mHeld = new HeldBackends(clock, config.vanishAfter());
     }
 
-    /** Keeps count of a service's backend servers, of which only a share may be held back. */
-    void changed(Backend before, Backend after) {
-        mCounts.changed(before, after);
+    /** Updates the number of a service's backend servers; only a share of them may be held back. */
+    void updateCounts(Backend before, Backend after) {
+        mCounts.update(before, after);
     }
 
-    void vanished(Instant now, String id) {
-        mDamper.vanished(now, id);
+    void recordDeparture(Instant now, String id) {
+        mDamper.recordDeparture(now, id);
     }
 
-    /** Notes that a held one was heard; returns whether it is held. One that leaves is not. */
+    /**
+     * Updates a held backend server with a new report.
+     *
+     * @return whether it is still held; false for one that was not held or that is leaving
+     */
     boolean refresh(SidecarReport report) {
         return mHeld.refresh(report);
     }
 
     /**
-     * Holds one that comes back, if it has to be; returns for how long, or zero. One that leaves is
-     * never held: its word has to reach everyone.
+     * Holds a backend server back if it flaps. One that is leaving is never held, as its departure
+     * has to reach every control instance.
+     *
+     * @return how long it is held, or zero
      */
     Duration hold(Instant now, SidecarReport report) {
         Backend b = report.backend();
         if (b.state() != Backend.State.SERVING) {
             return Duration.ZERO;
         }
-        Duration time = mDamper.holdTime(now, b.ref().id());
-        int limit = mDamper.holdLimit(mCounts.present(b.service()));
-        if (time.isZero() || mHeld.count(b.service()) >= limit) {
+        Duration duration = mDamper.holdDuration(now, b.ref().id());
+        int limit = mDamper.maxHeld(mCounts.presentCount(b.service()));
+        if (duration.isZero() || mHeld.count(b.service()) >= limit) {
             return Duration.ZERO;
         }
-        mHeld.hold(report, time);
-        return time;
+        mHeld.hold(report, duration);
+        return duration;
     }
 
-    /** Removes and returns those held long enough. */
+    /** Removes and returns the reports of the backend servers whose hold has ended. */
     List<SidecarReport> release() {
         return mHeld.release();
     }
@@ -56,7 +62,7 @@
         mHeld.remove(id);
     }
 
-    void forget(Instant now) {
-        mDamper.forget(now);
+    void evictExpired(Instant now) {
+        mDamper.evictExpired(now);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/HeldBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/HeldBackends.java
@@ -7,18 +7,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Backend servers that are heard and not announced yet, since they vanished too often. */
+/** Backend servers that send reports but are not announced yet because they flapped. */
 final class HeldBackends {
-    private final PauseTolerantClock mTime;
+    private final PauseTolerantClock mClock;
     private final Duration mVanishAfter;
     private final Map<String, Held> mHeld = new LinkedHashMap<>();
 
-    HeldBackends(PauseTolerantClock time, Duration vanishAfter) {
-        mTime = time;
+    HeldBackends(PauseTolerantClock clock, Duration vanishAfter) {
+        mClock = clock;
         mVanishAfter = vanishAfter;
     }
 
-    /** Notes that a held one was heard; returns whether it is held. One that leaves is not. */
+    /**
+     * Updates a held backend server with a new report.
+     *
+     * @return whether it is still held; false for one that was not held or that is leaving
+     */
     boolean refresh(SidecarReport report) {
         Held h = mHeld.get(report.backend().ref().id());
         if (h == null || !report.backend().ref().equals(h.report().backend().ref())) {
@@ -28,13 +32,13 @@
             mHeld.remove(report.backend().ref().id());
             return false;
         }
-        mHeld.put(report.backend().ref().id(), new Held(report, h.until(), mTime.seen()));
+        mHeld.put(report.backend().ref().id(), new Held(report, h.releaseTime(), mClock.elapsed()));
         return true;
     }
 
-    void hold(SidecarReport report, Duration time) {
-        Duration now = mTime.seen();
-        mHeld.put(report.backend().ref().id(), new Held(report, now.plus(time), now));
+    void hold(SidecarReport report, Duration duration) {
+        Duration now = mClock.elapsed();
+        mHeld.put(report.backend().ref().id(), new Held(report, now.plus(duration), now));
     }
 
     void remove(String id) {
@@ -51,22 +55,25 @@
         return count;
     }
 
-    /** Removes and returns those held long enough; drops those that fell silent. */
+    /**
+     * Removes and returns the reports of the backend servers whose hold has ended. Also removes
+     * those that stopped sending reports.
+     */
     List<SidecarReport> release() {
         List<SidecarReport> released = new ArrayList<>();
-        Duration now = mTime.seen();
-        Iterator<Held> each = mHeld.values().iterator();
-        while (each.hasNext()) {
-            Held h = each.next();
-            if (h.heard().plus(mVanishAfter).compareTo(now) < 0) {
-                each.remove();
-            } else if (h.until().compareTo(now) <= 0) {
-                each.remove();
+        Duration now = mClock.elapsed();
+        Iterator<Held> iterator = mHeld.values().iterator();
+        while (iterator.hasNext()) {
+            Held h = iterator.next();
+            if (h.lastReportTime().plus(mVanishAfter).compareTo(now) < 0) {
+                iterator.remove();
+            } else if (h.releaseTime().compareTo(now) <= 0) {
+                iterator.remove();
                 released.add(h.report());
             }
         }
         return released;
     }
 
-    private record Held(SidecarReport report, Duration until, Duration heard) {}
+    private record Held(SidecarReport report, Duration releaseTime, Duration lastReportTime) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/LoadSums.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/LoadSums.java
@@ -4,19 +4,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Running work per service over backend servers that take new work, kept by differences. */
+/** The running work per service over the serving backend servers, updated by differences. */
 final class LoadSums {
     private final Map<String, ServiceSum> mSums = new HashMap<>();
 
     void add(SidecarReport r) {
         if (r.backend().state() == Backend.State.SERVING) {
-            change(r.backend().service(), r.runningWork(), r.backend().weight(), 1);
+            adjust(r.backend().service(), r.runningWork(), r.backend().weight(), 1);
         }
     }
 
     void subtract(SidecarReport r) {
         if (r.backend().state() == Backend.State.SERVING) {
-            change(r.backend().service(), -r.runningWork(), -r.backend().weight(), -1);
+            adjust(r.backend().service(), -r.runningWork(), -r.backend().weight(), -1);
         }
     }
 
@@ -25,12 +25,12 @@
     }
 
     ServiceSum get(String service) {
-        return mSums.getOrDefault(service, ServiceSum.none(service));
+        return mSums.getOrDefault(service, ServiceSum.zero(service));
     }
 
-    private void change(String service, double work, double weight, int backends) {
+    private void adjust(String service, double work, double weight, int backends) {
         ServiceSum sum = get(service).plus(new ServiceSum(service, work, backends, weight));
-        // Starting over at zero also drops the rounding errors of the differences.
+        // Removing the sum at zero also removes the accumulated rounding errors.
         if (sum.backends() == 0) {
             mSums.remove(service);
         } else {
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipConfig.java
@@ -3,36 +3,37 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of the membership as one control instance keeps it.
+ * Timeouts and limits of one control instance's membership.
  *
  * @param control the instance's name
- * @param incarnation the instance's run
- * @param vanishAfter without an exchange for this time a sidecar counts as gone
- * @param departedRetention how long backend servers that left are remembered
- * @param peerSilence without an answer for this time a peer's load sums are left out
- * @param orphanAfter how long announcements of a peer that is gone stay in force
- * @param flapWindow how far back departures count
- * @param flapsAllowed departures within the window that are not held against a backend server
- * @param holdBase how long one departure too many holds a backend server back; doubles with each
- * @param holdMax the longest time that one is held back
- * @param heldShare the share of a service's backend servers that may be held back at a time
+ * @param incarnation the number of the instance's current run
+ * @param vanishAfter the time without an exchange after which a sidecar times out
+ * @param departedRetention how long backend servers that left are kept
+ * @param peerTimeout the time without an answer after which a peer's load sums are left out
+ * @param orphanTimeout how long the announcements of a lost peer stay in force
+ * @param flapWindow the time within which departures count as flaps
+ * @param flapsAllowed the number of departures within the window that have no consequence
+ * @param holdBase how long a backend server is held back after the first departure beyond the
+ *     allowed number; doubles with each further one
+ * @param holdMax the maximum time that a backend server is held back
+ * @param maxHeldShare the maximum share of a service's backend servers held back at a time
  */
 public record MembershipConfig(
         String control,
         long incarnation,
         Duration vanishAfter,
         Duration departedRetention,
-        Duration peerSilence,
-        Duration orphanAfter,
+        Duration peerTimeout,
+        Duration orphanTimeout,
         Duration flapWindow,
         int flapsAllowed,
         Duration holdBase,
         Duration holdMax,
-        double heldShare) {
-    /** How long backend servers that left are remembered where nothing else is set. */
+        double maxHeldShare) {
+    /** The default for how long backend servers that left are kept. */
     public static final Duration DEFAULT_DEPARTED_RETENTION = Duration.ofMinutes(10);
 
-    /** Returns a builder with the defaults for one exchange a second. */
+    /** Returns a builder with defaults for one exchange per second. */
     public static Builder builder(String control, long incarnation) {
         return new Builder(control, incarnation);
     }
@@ -42,46 +43,46 @@
         private final String mControl;
         private final long mIncarnation;
         private Duration mVanishAfter = Duration.ofSeconds(3);
-        private Duration mKeepLeft = DEFAULT_DEPARTED_RETENTION;
-        private Duration mPeerSilence = Duration.ofSeconds(5);
-        private Duration mOrphanAfter = Duration.ofSeconds(60);
+        private Duration mDepartedRetention = DEFAULT_DEPARTED_RETENTION;
+        private Duration mPeerTimeout = Duration.ofSeconds(5);
+        private Duration mOrphanTimeout = Duration.ofSeconds(60);
         private Duration mFlapWindow = Duration.ofMinutes(10);
         private int mFlapsAllowed = 3;
         private Duration mHoldBase = Duration.ofSeconds(10);
         private Duration mHoldMax = Duration.ofMinutes(5);
-        private double mHeldShare = 0.2;
+        private double mMaxHeldShare = 0.2;
 
         private Builder(String control, long incarnation) {
             mControl = control;
             mIncarnation = incarnation;
         }
 
-        /** Sets after which silence a sidecar counts as gone, and how long that is remembered. */
-        public Builder departureTimes(Duration vanishAfter, Duration keepLeft) {
+        /** Sets when a silent sidecar times out, and how long departed servers are kept. */
+        public Builder departureTimes(Duration vanishAfter, Duration departedRetention) {
             mVanishAfter = vanishAfter;
-            mKeepLeft = keepLeft;
+            mDepartedRetention = departedRetention;
             return this;
         }
 
-        /** Sets when a peer's sums are left out, and when what it announced is given up. */
-        public Builder peers(Duration silence, Duration orphanAfter) {
-            mPeerSilence = silence;
-            mOrphanAfter = orphanAfter;
+        /** Sets when a peer's load sums are left out, and when its announcements expire. */
+        public Builder peers(Duration timeout, Duration orphanTimeout) {
+            mPeerTimeout = timeout;
+            mOrphanTimeout = orphanTimeout;
             return this;
         }
 
-        /** Sets which departures are held against a backend server. */
+        /** Sets how many departures within which time make a backend server flap. */
         public Builder flaps(Duration window, int allowed) {
             mFlapWindow = window;
             mFlapsAllowed = allowed;
             return this;
         }
 
-        /** Sets how long and how many of a service are held back. */
+        /** Sets how long flapping backend servers are held back, and which share of a service. */
         public Builder holds(Duration base, Duration max, double share) {
             mHoldBase = base;
             mHoldMax = max;
-            mHeldShare = share;
+            mMaxHeldShare = share;
             return this;
         }
 
@@ -91,14 +92,14 @@
                     mControl,
                     mIncarnation,
                     mVanishAfter,
-                    mKeepLeft,
-                    mPeerSilence,
-                    mOrphanAfter,
+                    mDepartedRetention,
+                    mPeerTimeout,
+                    mOrphanTimeout,
                     mFlapWindow,
                     mFlapsAllowed,
                     mHoldBase,
                     mHoldMax,
-                    mHeldShare);
+                    mMaxHeldShare);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipDelta.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipDelta.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What a reader's view lacks.
+ * The changes that bring a reader's view up to date.
  *
- * @param cursor where the reader stands after applying it
- * @param full whether the backend servers are the whole view instead of changes
- * @param backends those that changed
+ * @param cursor the reader's cursor after it has applied the delta
+ * @param full whether the delta replaces the reader's whole view
+ * @param backends the changed backend servers, or all of them if {@code full}
  */
 public record MembershipDelta(MembershipCursor cursor, boolean full, List<Backend> backends) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipListener.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipListener.java
@@ -1,14 +1,14 @@
 package org.laurelweir.membership;
 
-/** Told of each change of the backend servers that are there, for the log. */
+/** Receives each change of the membership, for the log. */
 @FunctionalInterface
 public interface MembershipListener {
     /**
-     * Called after a change.
+     * Called after a backend server changed.
      *
-     * @param backend as it is now
-     * @param reason why, one of a few fixed words
-     * @param own whether this control instance vouches for it, rather than a peer
+     * @param backend the backend server after the change
+     * @param reason a short text that says why it changed
+     * @param isOwn whether this control instance announced the change; false if a peer did
      */
-    void changed(Backend backend, String reason, boolean own);
+    void changed(Backend backend, String reason, boolean isOwn);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipLog.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipLog.java
@@ -13,34 +13,34 @@
 import java.util.function.Predicate;
 
 /**
- * The newest announcement of each backend server, ordered by when it changed, so that any reader
- * gets what changed since its cursor at a cost that grows with the changes, not with the fleet.
+ * The newest announcement of each backend server, in the order of changes. A reader gets the
+ * changes since its cursor at a cost that grows with the number of changes, not of backend servers.
  *
- * <p>Those that left are kept for a while: forgotten at once, an older announcement that is still
- * under way would bring one back. A reader whose cursor is older than something forgotten gets the
- * whole view instead of changes.
+ * <p>Backend servers that left are kept for some time. If they were removed at once, an older
+ * announcement that arrives late would add them again. A reader whose cursor is older than the last
+ * removed entry gets the whole view instead of changes.
  */
 final class MembershipLog {
     private final String mControl;
     private final long mIncarnation;
-    private final Duration mKeepLeft;
+    private final Duration mDepartedRetention;
     private final Map<String, Long> mVersions = new HashMap<>();
     private final NavigableMap<Long, Announcement> mChanges = new TreeMap<>();
-    private final ArrayDeque<Departure> mLeft = new ArrayDeque<>();
+    private final ArrayDeque<Departure> mDepartures = new ArrayDeque<>();
     private long mVersion;
-    private long mForgotten;
+    private long mLastEvictedVersion;
 
     /**
      * Creates an empty log.
      *
-     * @param control the control instance that keeps it
-     * @param incarnation that instance's run, which cursors carry
-     * @param keepLeft how long backend servers that left are remembered
+     * @param control the name of the control instance that holds the log
+     * @param incarnation that instance's incarnation, which is part of each cursor
+     * @param departedRetention how long backend servers that left are kept
      */
-    MembershipLog(String control, long incarnation, Duration keepLeft) {
+    MembershipLog(String control, long incarnation, Duration departedRetention) {
         mControl = control;
         mIncarnation = incarnation;
-        mKeepLeft = keepLeft;
+        mDepartedRetention = departedRetention;
     }
 
     /** Returns the newest announcement of a backend server, or null if it is not known. */
@@ -49,12 +49,12 @@
         return version == null ? null : mChanges.get(version);
     }
 
-    /** Returns every backend server known, those that left included, oldest change first. */
+    /** Returns the newest announcement of every backend server, oldest change first. */
     Collection<Announcement> all() {
         return mChanges.values();
     }
 
-    /** Takes an announcement if it is newer than the one known; returns whether it was. */
+    /** Adds an announcement if it is newer than the known one; returns whether it was added. */
     boolean merge(Instant now, Announcement a) {
         String id = a.backend().ref().id();
         Announcement known = get(id);
@@ -68,48 +68,48 @@
         mVersions.put(id, mVersion);
         mChanges.put(mVersion, a);
         if (a.backend().state() == Backend.State.LEFT) {
-            mLeft.add(new Departure(now, id, mVersion));
+            mDepartures.add(new Departure(now, id, mVersion));
         }
         return true;
     }
 
-    /** Forgets those that left long ago. */
-    void forget(Instant now) {
-        Instant latest = now.minus(mKeepLeft);
-        while (!mLeft.isEmpty() && mLeft.peek().at().isBefore(latest)) {
-            Departure d = mLeft.poll();
+    /** Removes the backend servers that left longer ago than the retention time. */
+    void evictDeparted(Instant now) {
+        Instant earliestKept = now.minus(mDepartedRetention);
+        while (!mDepartures.isEmpty() && mDepartures.peek().time().isBefore(earliestKept)) {
+            Departure d = mDepartures.poll();
             if (mChanges.remove(d.version()) != null) {
                 mVersions.remove(d.id());
-                mForgotten = d.version();
+                mLastEvictedVersion = d.version();
             }
         }
     }
 
-    /** Returns the cursor of a reader that has everything. */
+    /** Returns the cursor of a reader that is up to date. */
     MembershipCursor cursor() {
         return new MembershipCursor(mControl, mIncarnation, mVersion);
     }
 
-    /** Returns whether a reader there can be given changes, rather than the whole view. */
-    boolean continues(MembershipCursor cursor) {
+    /** Returns whether a reader with this cursor gets changes instead of the whole view. */
+    boolean canContinue(MembershipCursor cursor) {
         return cursor.control().equals(mControl)
                 && cursor.controlIncarnation() == mIncarnation
-                && cursor.version() >= mForgotten
+                && cursor.version() >= mLastEvictedVersion
                 && cursor.version() <= mVersion;
     }
 
-    /** Returns what changed since a cursor, or all if it can't be continued. */
+    /** Returns the changes since a cursor, or everything if the cursor can't be continued. */
     Collection<Announcement> since(MembershipCursor cursor) {
-        return continues(cursor)
+        return canContinue(cursor)
                 ? mChanges.tailMap(cursor.version(), false).values()
                 : mChanges.values();
     }
 
     /**
-     * Returns what a reader lacks.
+     * Returns the changes that a reader needs.
      *
-     * @param cursor where the reader stands
-     * @param wanted the backend servers that the reader follows
+     * @param cursor the reader's cursor
+     * @param wanted selects the backend servers that the reader follows
      */
     MembershipDelta deltaSince(MembershipCursor cursor, Predicate<Backend> wanted) {
         List<Backend> backends = new ArrayList<>();
@@ -118,8 +118,8 @@
                 backends.add(a.backend());
             }
         }
-        return new MembershipDelta(cursor(), !continues(cursor), backends);
+        return new MembershipDelta(cursor(), !canContinue(cursor), backends);
     }
 
-    private record Departure(Instant at, String id, long version) {}
+    private record Departure(Instant time, String id, long version) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/OrphanedBackends.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/OrphanedBackends.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * Announcements that this instance made before it was started anew, as peers remember them. A
- * sidecar that still lives has spoken here or elsewhere by the deadline; one that died meanwhile is
- * missed by nobody else.
+ * Backend servers that this instance announced before it restarted, as its peers return them. A
+ * sidecar that is alive reports to this or another instance before the deadline. If a sidecar died
+ * during the restart, no other instance notices that it is missing.
  */
 final class OrphanedBackends {
-    private final PauseTolerantClock mTime;
-    private final Duration mAfter;
+    private final PauseTolerantClock mClock;
+    private final Duration mTimeout;
     private final Map<String, Orphan> mOrphans = new LinkedHashMap<>();
 
-    OrphanedBackends(PauseTolerantClock time, Duration after) {
-        mTime = time;
-        mAfter = after;
+    OrphanedBackends(PauseTolerantClock clock, Duration timeout) {
+        mClock = clock;
+        mTimeout = timeout;
     }
 
     void add(Backend backend) {
         if (backend.state() != Backend.State.LEFT) {
-            mOrphans.put(backend.ref().id(), new Orphan(backend, mTime.seen().plus(mAfter)));
+            mOrphans.put(backend.ref().id(), new Orphan(backend, mClock.elapsed().plus(mTimeout)));
         }
     }
 
@@ -31,11 +31,12 @@
         mOrphans.remove(id);
     }
 
-    List<Backend> due() {
+    /** Removes and returns the backend servers whose deadline has passed. */
+    List<Backend> removeDue() {
         List<Backend> due = new ArrayList<>();
         while (!mOrphans.isEmpty()) {
             Orphan first = mOrphans.values().iterator().next();
-            if (first.deadline().compareTo(mTime.seen()) > 0) {
+            if (first.deadline().compareTo(mClock.elapsed()) > 0) {
                 break;
             }
             due.add(first.backend());
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PauseTolerantClock.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PauseTolerantClock.java
@@ -4,25 +4,26 @@
 import java.time.Instant;
 
 /**
- * How much time this process has seen pass. After a pause of the process everyone else would seem
- * to have been silent, and all sidecars would be announced as gone at once. Here a pause counts as
- * one short step, and what waits in the sockets is taken before the next.
+ * Measures elapsed time without pauses of this process. After a pause, all sidecars and peers would
+ * seem to have been silent, and all sidecars would be announced as departed at once. This clock
+ * counts a pause as one short step, so that the reports that wait in the sockets are read before
+ * the next step.
  */
 final class PauseTolerantClock {
-    private static final Duration LONGEST_STEP = Duration.ofMillis(500);
+    private static final Duration MAX_STEP = Duration.ofMillis(500);
 
-    private Instant mLast;
-    private Duration mSeen = Duration.ZERO;
+    private Instant mLastTime;
+    private Duration mElapsed = Duration.ZERO;
 
-    void pass(Instant now) {
-        if (mLast != null && now.isAfter(mLast)) {
-            Duration step = Duration.between(mLast, now);
-            mSeen = mSeen.plus(step.compareTo(LONGEST_STEP) < 0 ? step : LONGEST_STEP);
+    void advance(Instant now) {
+        if (mLastTime != null && now.isAfter(mLastTime)) {
+            Duration step = Duration.between(mLastTime, now);
+            mElapsed = mElapsed.plus(step.compareTo(MAX_STEP) < 0 ? step : MAX_STEP);
         }
-        mLast = now;
+        mLastTime = now;
     }
 
-    Duration seen() {
-        return mSeen;
+    Duration elapsed() {
+        return mElapsed;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PeerTable.java
@@ -8,37 +8,38 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** How far the other control instances are known here, what they carry, and who is silent. */
+/** The other control instances: their cursors, their load sums, and when they last answered. */
 final class PeerTable {
-    private final PauseTolerantClock mTime;
+    private final PauseTolerantClock mClock;
     private final MembershipConfig mConfig;
     private final Map<String, Peer> mPeers = new TreeMap<>();
 
-    PeerTable(PauseTolerantClock time, MembershipConfig config, Collection<String> names) {
-        mTime = time;
+    PeerTable(PauseTolerantClock clock, MembershipConfig config, Collection<String> names) {
+        mClock = clock;
         mConfig = config;
         names.forEach(n -> mPeers.put(n, new Peer()));
     }
 
+    /** Returns the cursor up to which a peer's changes were received. */
     MembershipCursor cursor(String peer) {
         Peer p = mPeers.get(peer);
         return p == null ? MembershipCursor.NONE : p.mCursor;
     }
 
-    void answered(String peer, PeerUpdate share) {
+    void recordAnswer(String peer, PeerUpdate update) {
         Peer p = mPeers.computeIfAbsent(peer, n -> new Peer());
-        p.mCursor = share.cursor();
-        p.mAnswered = mTime.seen();
-        p.mGivenUp = false;
+        p.mCursor = update.cursor();
+        p.mLastAnswer = mClock.elapsed();
+        p.mIsLost = false;
         p.mSums.clear();
-        share.sums().forEach(s -> p.mSums.put(s.service(), s));
+        update.sums().forEach(s -> p.mSums.put(s.service(), s));
     }
 
-    void forget(String peer) {
+    void removePeer(String peer) {
         mPeers.remove(peer);
     }
 
-    /** Adds what the peers that answer hear of a service to a sum. */
+    /** Adds the load sums of the peers that answer to this instance's sum of a service. */
     ServiceSum addTo(ServiceSum own) {
         ServiceSum sum = own;
         for (Peer p : mPeers.values()) {
@@ -50,7 +51,7 @@
         return sum;
     }
 
-    /** Returns the services that peers which answer hear. */
+    /** Returns the services in the load sums of the peers that answer. */
     List<String> services() {
         List<String> services = new ArrayList<>();
         for (Peer p : mPeers.values()) {
@@ -61,36 +62,40 @@
         return services;
     }
 
-    /** Returns whether most control instances, this one included, answer. */
+    /** Returns whether a majority of the control instances, this one included, answers. */
     boolean hasMajority() {
         long answering = mPeers.values().stream().filter(this::isAnswering).count();
         return (answering + 1) * 2 > mPeers.size() + 1;
     }
 
-    /** Returns the peers that have become silent for so long that they are given up, each once. */
-    List<String> giveUp() {
-        List<String> gone = new ArrayList<>();
-        Duration latest = mTime.seen().minus(mConfig.orphanAfter());
+    /**
+     * Marks the peers that have not answered within the orphan timeout as lost.
+     *
+     * @return the names of the peers that this call marked
+     */
+    List<String> markLost() {
+        List<String> lost = new ArrayList<>();
+        Duration earliestAllowed = mClock.elapsed().minus(mConfig.orphanTimeout());
         mPeers.forEach(
                 (name, p) -> {
-                    if (!p.mGivenUp && p.mAnswered.compareTo(latest) < 0) {
-                        p.mGivenUp = true;
-                        gone.add(name);
+                    if (!p.mIsLost && p.mLastAnswer.compareTo(earliestAllowed) < 0) {
+                        p.mIsLost = true;
+                        lost.add(name);
                     }
                 });
-        return gone;
+        return lost;
     }
 
     private boolean isAnswering(Peer p) {
         return !p.mCursor.equals(MembershipCursor.NONE)
-                && p.mAnswered.plus(mConfig.peerSilence()).compareTo(mTime.seen()) >= 0;
+                && p.mLastAnswer.plus(mConfig.peerTimeout()).compareTo(mClock.elapsed()) >= 0;
     }
 
     /** One other control instance. */
     private static final class Peer {
         private final Map<String, ServiceSum> mSums = new HashMap<>();
         private MembershipCursor mCursor = MembershipCursor.NONE;
-        private Duration mAnswered = Duration.ZERO;
-        private boolean mGivenUp;
+        private Duration mLastAnswer = Duration.ZERO;
+        private boolean mIsLost;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/PeerUpdate.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/PeerUpdate.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What one control instance tells a peer.
+ * The membership changes that one control instance sends to a peer.
  *
- * @param cursor where the peer stands after taking it
- * @param announcements what changed since the peer's cursor
- * @param sums running work per service beside the sidecars that the instance hears itself
+ * @param cursor the peer's cursor after it has applied the update
+ * @param announcements the announcements that changed since the peer's cursor
+ * @param sums the running work per service over the sidecars that report to the sending instance
  */
 public record PeerUpdate(
         MembershipCursor cursor, List<Announcement> announcements, List<ServiceSum> sums) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/ServiceCounts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/ServiceCounts.java
@@ -3,20 +3,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How many backend servers of each service are present, kept by differences. */
+/** The number of each service's backend servers that have not left, updated by differences. */
 final class ServiceCounts {
-    private final Map<String, Integer> mPresent = new HashMap<>();
+    private final Map<String, Integer> mCounts = new HashMap<>();
 
-    int present(String service) {
-        return mPresent.getOrDefault(service, 0);
+    int presentCount(String service) {
+        return mCounts.getOrDefault(service, 0);
     }
 
-    void changed(Backend before, Backend after) {
+    void update(Backend before, Backend after) {
         if (before != null && before.state() != Backend.State.LEFT) {
-            mPresent.merge(before.service(), -1, Integer::sum);
+            mCounts.merge(before.service(), -1, Integer::sum);
         }
         if (after.state() != Backend.State.LEFT) {
-            mPresent.merge(after.service(), 1, Integer::sum);
+            mCounts.merge(after.service(), 1, Integer::sum);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SessionTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SessionTable.java
@@ -8,28 +8,28 @@
 import java.util.Map;
 
 /**
- * The sidecars that one control instance hears itself, the one heard longest ago first, so that
- * looking for silent ones costs what is found and not the whole table.
+ * The sidecars that report to this control instance, the least recent report first, so that the
+ * search for timed-out sidecars reads only those and not the whole table.
  */
 final class SessionTable {
     private final Duration mVanishAfter;
     private final LoadSums mSums = new LoadSums();
     private final Map<String, Session> mSessions = new LinkedHashMap<>();
-    private final PauseTolerantClock mTime;
+    private final PauseTolerantClock mClock;
 
-    SessionTable(PauseTolerantClock time, Duration vanishAfter) {
-        mTime = time;
+    SessionTable(PauseTolerantClock clock, Duration vanishAfter) {
+        mClock = clock;
         mVanishAfter = vanishAfter;
     }
 
-    /** Returns what a sidecar reported last, or null if it is not heard here. */
+    /** Returns a sidecar's last report, or null if it does not report to this instance. */
     SidecarReport get(String id) {
         Session s = mSessions.get(id);
         return s == null ? null : s.report();
     }
 
-    /** Returns whether this very run and session of a sidecar is heard here. */
-    boolean hears(Backend b) {
+    /** Returns whether this incarnation and session of a sidecar reports to this instance. */
+    boolean hasSession(Backend b) {
         SidecarReport r = get(b.ref().id());
         return r != null && r.backend().isSameSession(b);
     }
@@ -38,7 +38,7 @@
         return mSessions.size();
     }
 
-    /** Returns the running work of those that take new work, per service. */
+    /** Returns the running work of the serving backend servers, per service. */
     LoadSums sums() {
         return mSums;
     }
@@ -46,7 +46,7 @@
     void put(SidecarReport report) {
         String id = report.backend().ref().id();
         remove(id);
-        mSessions.put(id, new Session(report, mTime.seen()));
+        mSessions.put(id, new Session(report, mClock.elapsed()));
         mSums.add(report);
     }
 
@@ -57,22 +57,22 @@
         }
     }
 
-    /** Removes those silent for too long. */
-    List<Backend> removeSilent() {
-        List<Backend> silent = new ArrayList<>();
-        Duration latest = mTime.seen().minus(mVanishAfter);
+    /** Removes and returns the backend servers whose sidecars have timed out. */
+    List<Backend> removeTimedOut() {
+        List<Backend> timedOut = new ArrayList<>();
+        Duration earliestAllowed = mClock.elapsed().minus(mVanishAfter);
         Iterator<Session> oldest = mSessions.values().iterator();
         while (oldest.hasNext()) {
             Session s = oldest.next();
-            if (s.heard().compareTo(latest) >= 0) {
+            if (s.lastReportTime().compareTo(earliestAllowed) >= 0) {
                 break;
             }
             oldest.remove();
             mSums.subtract(s.report());
-            silent.add(s.report().backend());
+            timedOut.add(s.report().backend());
         }
-        return silent;
+        return timedOut;
     }
 
-    private record Session(SidecarReport report, Duration heard) {}
+    private record Session(SidecarReport report, Duration lastReportTime) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -11,18 +11,18 @@
 import java.util.function.Predicate;
 
 /**
- * The membership as one control instance knows it: what it hears from sidecars itself, and what its
- * peers pass on. Nothing of it is durable, and it needs no quorum: on the far side of a partition
- * an instance goes on serving what it hears.
+ * The membership as one control instance knows it, from the reports of sidecars and from the
+ * updates of its peers. It is not durable and needs no quorum: during a partition, an instance
+ * without a majority continues to serve the sidecars that report to it.
  *
- * <p>Each sidecar is heard by one instance at a time, which alone may say that the sidecar has
- * vanished. All others take announcements by {@link Backend#supersedes}, which any order of
- * messages brings to the same end.
+ * <p>Each sidecar reports to one instance at a time, and only this instance may announce that the
+ * sidecar has timed out. The other instances merge announcements by {@link Backend#supersedes}, so
+ * every order of messages leads to the same result.
  */
 public final class SharedMembership {
-    private static final Predicate<Backend> EVERY = b -> true;
+    private static final Predicate<Backend> ANY_BACKEND = b -> true;
 
-    private final PauseTolerantClock mTime = new PauseTolerantClock();
+    private final PauseTolerantClock mClock = new PauseTolerantClock();
     private final MembershipListener mListener;
     private final String mSelf;
     private final MembershipLog mLog;
@@ -30,15 +30,15 @@
     private final FlapGuard mFlaps;
     private final PeerTable mPeers;
     private final OrphanedBackends mOrphans;
-    // Departures that a peer announced of sessions that are heard here all the same.
-    private final Set<String> mDisputed = new HashSet<>();
+    // IDs of backend servers that a peer announced as left although they report to this instance.
+    private final Set<String> mDisputedDepartures = new HashSet<>();
 
     /**
      * Creates an empty membership.
      *
-     * @param config times and bounds
-     * @param peers names of the other control instances
-     * @param listener told of each change
+     * @param config timeouts and limits
+     * @param peers the names of the other control instances
+     * @param listener receives each change
      */
     public SharedMembership(
             MembershipConfig config, Collection<String> peers, MembershipListener listener) {
@@ -47,19 +47,19 @@
         mLog =
                 new MembershipLog(
                         config.control(), config.incarnation(), config.departedRetention());
-        mSessions = new SessionTable(mTime, config.vanishAfter());
-        mFlaps = new FlapGuard(mTime, config);
-        mPeers = new PeerTable(mTime, config, peers);
-        mOrphans = new OrphanedBackends(mTime, config.orphanAfter());
+        mSessions = new SessionTable(mClock, config.vanishAfter());
+        mFlaps = new FlapGuard(mClock, config);
+        mPeers = new PeerTable(mClock, config, peers);
+        mOrphans = new OrphanedBackends(mClock, config.orphanTimeout());
     }
 
     /**
-     * Takes a sidecar's report.
+     * Receives a sidecar's report.
      *
-     * @param now when
-     * @param report what it announced
-     * @return the least session under which the sidecar is heard; not above its own in the usual
-     *     case
+     * @param now the current time
+     * @param report the report
+     * @return the minimum session number that this instance accepts from the sidecar. If it is
+     *     above the report's own session, the sidecar has to start a new session.
      */
     public int receiveReport(Instant now, SidecarReport report) {
         Backend b = report.backend();
@@ -68,28 +68,31 @@
         }
         Announcement known = mLog.get(b.ref().id());
         if (known == null || isNewSession(b, known.backend())) {
-            join(now, report, known == null ? null : known.backend());
+            startSession(now, report, known == null ? null : known.backend());
             return b.session();
         }
-        int least = leastSession(known);
-        if (b.isSameSession(known.backend()) && b.session() >= least) {
-            stay(now, report, known.backend());
+        int requiredSession = minSession(known);
+        if (b.isSameSession(known.backend()) && b.session() >= requiredSession) {
+            continueSession(now, report, known.backend());
         }
-        return least;
+        return requiredSession;
     }
 
     private static boolean isNewSession(Backend b, Backend known) {
         return b.supersedes(known) && !b.isSameSession(known);
     }
 
-    /** A session that has ended, or that another instance hears, is not heard here. */
-    private int leastSession(Announcement known) {
+    /**
+     * Returns the minimum session that is accepted. The known session is rejected if it has ended,
+     * if it belongs to another instance, or if a peer announced that it left.
+     */
+    private int minSession(Announcement known) {
         Backend b = known.backend();
-        boolean over = b.state() == Backend.State.LEFT || !known.control().equals(mSelf);
-        return over || mDisputed.contains(b.ref().id()) ? b.session() + 1 : b.session();
+        boolean isOver = b.state() == Backend.State.LEFT || !known.control().equals(mSelf);
+        return isOver || mDisputedDepartures.contains(b.ref().id()) ? b.session() + 1 : b.session();
     }
 
-    private void stay(Instant now, SidecarReport report, Backend known) {
+    private void continueSession(Instant now, SidecarReport report, Backend known) {
         Backend b = report.backend();
         if (b.state() == Backend.State.LEFT) {
             mSessions.remove(b.ref().id());
@@ -106,21 +109,22 @@
                         newest, report.runningWork(), report.running(), report.waiting()));
     }
 
-    private void join(Instant now, SidecarReport report, Backend known) {
+    private void startSession(Instant now, SidecarReport report, Backend known) {
         Backend b = report.backend();
         String id = b.ref().id();
         if (known != null && isCrashed(known, b)) {
-            mFlaps.vanished(now, id);
+            mFlaps.recordDeparture(now, id);
         }
         if (b.state() == Backend.State.LEFT) {
             mSessions.remove(id);
             announce(now, b, "stopped");
             return;
         }
-        // One that goes on under a new session, such as with another instance, never left.
-        boolean present = known != null && known.ref().equals(b.ref());
-        boolean stays = present && known.state() != Backend.State.LEFT;
-        if (!stays && hold(now, report)) {
+        // A backend server that only starts a new session, such as with another control instance,
+        // did not leave.
+        boolean isSameIncarnation = known != null && known.ref().equals(b.ref());
+        boolean hasStayed = isSameIncarnation && known.state() != Backend.State.LEFT;
+        if (!hasStayed && holdBack(now, report)) {
             if (known != null && known.state() != Backend.State.LEFT) {
                 announce(now, known.withState(Backend.State.LEFT), "restarted");
             }
@@ -135,75 +139,75 @@
                 && known.ref().incarnation() != b.ref().incarnation();
     }
 
-    private boolean hold(Instant now, SidecarReport report) {
-        Duration time = mFlaps.hold(now, report);
-        if (time.isZero()) {
+    private boolean holdBack(Instant now, SidecarReport report) {
+        Duration duration = mFlaps.hold(now, report);
+        if (duration.isZero()) {
             return false;
         }
-        mListener.changed(report.backend(), "held back for " + time.toSeconds() + " s", true);
+        mListener.changed(report.backend(), "held back for " + duration.toSeconds() + " s", true);
         return true;
     }
 
     private void admit(Instant now, SidecarReport report, String reason) {
         Backend b = report.backend();
         mSessions.put(report);
-        mDisputed.remove(b.ref().id());
+        mDisputedDepartures.remove(b.ref().id());
         announce(now, b, reason);
     }
 
-    /** Takes what this instance itself vouches for. */
+    /** Merges and logs an announcement of this instance. */
     private void announce(Instant now, Backend b, String reason) {
-        if (take(now, new Announcement(b, mSelf))) {
+        if (mergeIntoLog(now, new Announcement(b, mSelf))) {
             mListener.changed(b, reason, true);
         }
     }
 
-    private boolean take(Instant now, Announcement a) {
+    private boolean mergeIntoLog(Instant now, Announcement a) {
         Announcement before = mLog.get(a.backend().ref().id());
         if (!mLog.merge(now, a)) {
             return false;
         }
-        mFlaps.changed(before == null ? null : before.backend(), a.backend());
+        mFlaps.updateCounts(before == null ? null : before.backend(), a.backend());
         return true;
     }
 
     /**
-     * Lets time pass: notices who has vanished.
+     * Advances the time and announces the backend servers that have timed out as left.
      *
-     * @param now the time
+     * @param now the current time
      */
     public void tick(Instant now) {
-        mTime.pass(now);
-        for (Backend b : mSessions.removeSilent()) {
-            mFlaps.vanished(now, b.ref().id());
+        mClock.advance(now);
+        for (Backend b : mSessions.removeTimedOut()) {
+            mFlaps.recordDeparture(now, b.ref().id());
             announce(now, b.withState(Backend.State.LEFT), "missed exchanges");
         }
         for (SidecarReport r : mFlaps.release()) {
             admit(now, r, "held back long enough");
         }
-        giveUpOrphans(now);
-        mLog.forget(now);
-        mFlaps.forget(now);
+        announceLostBackends(now);
+        mLog.evictDeparted(now);
+        mFlaps.evictExpired(now);
     }
 
-    private void giveUpOrphans(Instant now) {
-        for (Backend b : mOrphans.due()) {
-            giveUp(now, b, "not heard since this instance started");
+    private void announceLostBackends(Instant now) {
+        for (Backend b : mOrphans.removeDue()) {
+            announceLost(now, b, "not heard since this instance started");
         }
-        // An instance that is cut off itself must not declare everyone else gone.
+        // An instance that is cut off must not declare all other instances lost.
         if (!mPeers.hasMajority()) {
             return;
         }
-        for (String peer : mPeers.giveUp()) {
+        for (String peer : mPeers.markLost()) {
             for (Announcement a : List.copyOf(mLog.all())) {
                 if (a.control().equals(peer)) {
-                    giveUp(now, a.backend(), "its control instance is gone");
+                    announceLost(now, a.backend(), "its control instance is gone");
                 }
             }
         }
     }
 
-    private void giveUp(Instant now, Backend b, String reason) {
+    private void announceLost(Instant now, Backend b, String reason) {
         Announcement known = mLog.get(b.ref().id());
         if (known != null && known.backend().equals(b)) {
             announce(now, b.withState(Backend.State.LEFT), reason);
@@ -211,72 +215,74 @@
     }
 
     /**
-     * Takes what a peer told.
+     * Merges a peer's update.
      *
-     * @param now when
+     * @param now the current time
      * @param peer the peer's name
-     * @param share what it knows
+     * @param update the update
      */
-    public void merge(Instant now, String peer, PeerUpdate share) {
-        mPeers.answered(peer, share);
-        share.announcements().forEach(a -> mergeOne(now, a));
+    public void merge(Instant now, String peer, PeerUpdate update) {
+        mPeers.recordAnswer(peer, update);
+        update.announcements().forEach(a -> mergeAnnouncement(now, a));
     }
 
     /**
-     * Takes single announcements that a peer passed on at once, ahead of its next answer.
+     * Merges announcements that a peer sent at once, before its next update.
      *
-     * @param now when
-     * @param announcements what changed there
+     * @param now the current time
+     * @param announcements the peer's changes
      */
     public void mergeAnnouncements(Instant now, List<Announcement> announcements) {
-        announcements.forEach(a -> mergeOne(now, a));
+        announcements.forEach(a -> mergeAnnouncement(now, a));
     }
 
-    private void mergeOne(Instant now, Announcement a) {
+    private void mergeAnnouncement(Instant now, Announcement a) {
         Backend b = a.backend();
         String id = b.ref().id();
-        // Peers that could not reach this instance took its sidecars for gone. Here it is known to
-        // be alive: it is asked for a new session, which then wins over the departure everywhere.
-        if (b.state() == Backend.State.LEFT && mSessions.hears(b)) {
-            mDisputed.add(id);
+        // Peers that could not reach this instance declared its sidecars lost. This sidecar is
+        // alive: it has to start a new session, which supersedes the departure on all instances.
+        if (b.state() == Backend.State.LEFT && mSessions.hasSession(b)) {
+            mDisputedDepartures.add(id);
             return;
         }
         Announcement known = mLog.get(id);
-        if (!take(now, a)) {
+        if (!mergeIntoLog(now, a)) {
             return;
         }
-        // After a start peers tell of all that left lately, which changes nothing here.
+        // After a restart, peers also send the backend servers that left recently. These are not
+        // logged, as nothing changes.
         if (known != null || b.state() != Backend.State.LEFT) {
             mListener.changed(b, "heard by " + a.control(), false);
         }
-        boolean served = known != null && known.backend().state() == Backend.State.SERVING;
-        if (served && b.state() == Backend.State.LEFT) {
-            mFlaps.vanished(now, id);
+        boolean wasServing = known != null && known.backend().state() == Backend.State.SERVING;
+        if (wasServing && b.state() == Backend.State.LEFT) {
+            mFlaps.recordDeparture(now, id);
         }
         mSessions.remove(id);
         mFlaps.remove(id);
-        mDisputed.remove(id);
+        mDisputedDepartures.remove(id);
         if (a.control().equals(mSelf)) {
-            // From before this instance was started anew. Nobody else would miss it.
+            // This instance announced it before it restarted; no other instance detects its loss.
             mOrphans.add(b);
         }
     }
 
     /**
-     * Returns what a reader lacks.
+     * Returns the changes that a reader needs.
      *
-     * @param cursor where it stands
-     * @param service the only service that it follows, or null for all
+     * @param cursor the reader's cursor
+     * @param service the only service that the reader follows, or null for all
      */
     public MembershipDelta deltaSince(MembershipCursor cursor, String service) {
-        return mLog.deltaSince(cursor, service == null ? EVERY : b -> b.service().equals(service));
+        return mLog.deltaSince(
+                cursor, service == null ? ANY_BACKEND : b -> b.service().equals(service));
     }
 
     /**
-     * Returns what a peer lacks. Everything known is passed on, not only what is heard here: where
-     * two peers can't reach each other, a third one carries it.
+     * Returns the changes that a peer needs. They include changes received from other peers: if two
+     * instances can't reach each other, a third one forwards their changes.
      *
-     * @param cursor where the peer stands in this instance's changes
+     * @param cursor the peer's cursor in this instance's changes
      */
     public PeerUpdate updateSince(MembershipCursor cursor) {
         return new PeerUpdate(
@@ -285,17 +291,17 @@
                 List.copyOf(mSessions.sums().all()));
     }
 
-    /** Returns how far a peer's changes are known here. */
+    /** Returns the cursor up to which this instance has received a peer's changes. */
     public MembershipCursor cursorOf(String peer) {
         return mPeers.cursor(peer);
     }
 
-    /** Returns a service's load over all instances that answer. */
+    /** Returns a service's load over this instance and all peers that answer. */
     public ServiceLoad load(String service) {
         return mPeers.addTo(mSessions.sums().get(service)).mean();
     }
 
-    /** Returns the load of every service that is heard anywhere. */
+    /** Returns the load of every service over this instance and all peers that answer. */
     public List<ServiceLoad> loads() {
         TreeSet<String> services = new TreeSet<>(mPeers.services());
         mSessions.sums().all().forEach(s -> services.add(s.service()));
@@ -304,48 +310,48 @@
         return loads;
     }
 
-    /** Returns whether a backend server has announced itself and not been forgotten since. */
+    /** Returns whether a backend server is known; includes those that left recently. */
     public boolean knows(String id) {
         return mLog.get(id) != null;
     }
 
-    /** Returns a backend server as last announced, or null if it is not known. */
+    /** Returns the newest announcement of a backend server, or null if it is not known. */
     public Backend backend(String id) {
         Announcement known = mLog.get(id);
         return known == null ? null : known.backend();
     }
 
-    /** Returns whether this very session of a backend server is heard here. */
-    public boolean hears(Backend b) {
-        return mSessions.hears(b);
+    /** Returns whether this session of a backend server reports to this instance. */
+    public boolean hasSession(Backend b) {
+        return mSessions.hasSession(b);
     }
 
-    /** Forgets a control instance that is gone for good. */
+    /** Removes a control instance that will not return. */
     public void forgetPeer(String peer) {
-        mPeers.forget(peer);
+        mPeers.removePeer(peer);
     }
 
-    /** Returns every backend server known, those that left lately included. */
+    /** Returns all known backend servers, including those that left recently. */
     public Collection<Backend> backends() {
         return mLog.all().stream().map(Announcement::backend).toList();
     }
 
-    /** Returns how many backend servers are known, those that left lately included. */
+    /** Returns the number of known backend servers, including those that left recently. */
     public int backendCount() {
         return mLog.all().size();
     }
 
-    /** Returns how many sidecars are heard here. */
+    /** Returns the number of sidecars that report to this instance. */
     public int sessionCount() {
         return mSessions.size();
     }
 
-    /** Returns what a sidecar that is heard here reported last, or null. */
+    /** Returns a sidecar's last report, or null if it does not report to this instance. */
     public SidecarReport report(String id) {
         return mSessions.get(id);
     }
 
-    /** Returns whether most control instances, this one included, answer. */
+    /** Returns whether a majority of the control instances, this one included, answers. */
     public boolean hasMajority() {
         return mPeers.hasMajority();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/package-info.java
@@ -1,2 +1,5 @@
-/** Which backend servers exist, as announced by their sidecars and passed on as deltas. */
+/**
+ * The membership of the fleet: which backend servers exist, as they are announced to the control
+ * instances, and how changes are sent to peers and readers as deltas.
+ */
 package org.laurelweir.membership;
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectDeparturesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectDeparturesTest.java
@@ -3,27 +3,27 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What becomes of the word of a backend server without a sidecar that it leaves. */
+/** Departures of backend servers without sidecars, over random steps of a simulated fleet. */
 class DirectDeparturesTest {
     private static final int STEPS = 150;
 
-    // A server's word that it leaves was acknowledged and dropped, so that routers went on using
-    // it.
+    // Guards against an instance that acknowledges a departure and drops it, so that routers
+    // continue to send requests to the server.
     @Property(tries = 300, seed = "1411")
-    void anAcknowledgedDepartureHoldsEverywhere(@ForAll long seed) {
+    void acknowledgedDepartureIsAppliedOnAllInstances(@ForAll long seed) {
         run(new DirectFleet(seed, false));
     }
 
     @Property(tries = 300, seed = "1412")
-    void anAcknowledgedDepartureHoldsEverywhereWhereStartsAreTold(@ForAll long seed) {
+    void acknowledgedDepartureWithStartTimesIsAppliedOnAllInstances(@ForAll long seed) {
         run(new DirectFleet(seed, true));
     }
 
     private static void run(DirectFleet fleet) {
         for (int step = 1; step <= STEPS; step++) {
-            fleet.act(step);
+            fleet.performRandomStep(step);
         }
         fleet.settle();
-        fleet.assertWhoLeftServesNowhere();
+        fleet.assertAcknowledgedDeparturesAreApplied();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/DirectFleet.java
@@ -11,32 +11,32 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * Backend servers without sidecars that start, crash and leave, at addresses that are used again,
- * and the control instances that they announce themselves to in any order.
+ * A simulated fleet: backend servers without sidecars that start, crash and leave at reused
+ * addresses, and the control instances that receive their announcements in random order.
  */
 final class DirectFleet {
     private static final int CONTROLS = 3;
     private static final int ADDRESSES = 3;
-    private static final int MAX_LATE = 20;
+    private static final int MAX_DELAYED = 20;
 
-    private final List<SharedMembership> mViews = new ArrayList<>();
-    private final List<DirectAnnouncements> mSessions = new ArrayList<>();
+    private final List<SharedMembership> mMemberships = new ArrayList<>();
+    private final List<DirectAnnouncements> mDirectAnnouncements = new ArrayList<>();
     private final List<Server> mServers = new ArrayList<>();
-    private final List<Backend> mLate = new ArrayList<>();
+    private final List<Backend> mDelayedAnnouncements = new ArrayList<>();
     private final Random mRandom;
-    private final boolean mStartsAreTold;
+    private final boolean mHasStartTimes;
     private Instant mNow = Instant.EPOCH;
     private boolean mHasRestarted;
 
-    /** One backend server, from its start to its end. */
+    /** One run of a backend server. */
     private static final class Server {
         private final BackendRef mRef;
         private final String mAddress;
-        private int mNumber;
+        private int mLastNumber;
         private int mControl;
         private Backend.State mState = Backend.State.SERVING;
         private boolean mIsAlive = true;
-        private boolean mIsLeaveAcknowledged;
+        private boolean mIsDepartureAcknowledged;
 
         Server(BackendRef ref, String address) {
             mRef = ref;
@@ -44,36 +44,36 @@
         }
 
         Backend announcement() {
-            mNumber++;
-            return new Backend(mRef, "s", "dc", "", mAddress, mState, 1, mNumber);
+            mLastNumber++;
+            return new Backend(mRef, "s", "dc", "", mAddress, mState, 1, mLastNumber);
         }
     }
 
-    DirectFleet(long seed, boolean startsAreTold) {
+    DirectFleet(long seed, boolean hasStartTimes) {
         mRandom = new Random(seed);
-        mStartsAreTold = startsAreTold;
+        mHasStartTimes = hasStartTimes;
         for (int c = 0; c < CONTROLS; c++) {
-            mViews.add(null);
-            mSessions.add(null);
+            mMemberships.add(null);
+            mDirectAnnouncements.add(null);
             startControl(c, 1);
         }
     }
 
-    /** Lets all instances learn what the others know. */
+    /** Exchanges all changes between all instances. */
     void settle() {
-        shareAll();
-        shareAll();
+        exchangeUpdates();
+        exchangeUpdates();
     }
 
-    void assertWhoLeftServesNowhere() {
-        mServers.stream().filter(s -> s.mIsLeaveAcknowledged).forEach(this::assertNowhereServing);
+    void assertAcknowledgedDeparturesAreApplied() {
+        mServers.stream().filter(s -> s.mIsDepartureAcknowledged).forEach(this::assertNotServing);
     }
 
-    private void assertNowhereServing(Server s) {
-        for (SharedMembership view : mViews) {
-            Backend b = view.backend(s.mRef.id());
-            boolean serves = b != null && b.state() == Backend.State.SERVING;
-            assertThat(serves && b.ref().equals(s.mRef)).as("%s in %s", s.mRef, b).isFalse();
+    private void assertNotServing(Server s) {
+        for (SharedMembership membership : mMemberships) {
+            Backend b = membership.backend(s.mRef.id());
+            boolean isServing = b != null && b.state() == Backend.State.SERVING;
+            assertThat(isServing && b.ref().equals(s.mRef)).as("%s in %s", s.mRef, b).isFalse();
         }
     }
 
@@ -85,42 +85,44 @@
                         .build();
         List<String> peers = new ArrayList<>(List.of("c0", "c1", "c2"));
         peers.remove(name);
-        SharedMembership view =
+        SharedMembership membership =
                 new SharedMembership(
-                        config, peers, (b, reason, own) -> tellAtOnce(control, b, own));
-        mViews.set(control, view);
-        mSessions.set(control, new DirectAnnouncements(view, "s"::equals));
+                        config, peers, (b, reason, isOwn) -> sendToPeers(control, b, isOwn));
+        mMemberships.set(control, membership);
+        mDirectAnnouncements.set(control, new DirectAnnouncements(membership, "s"::equals));
     }
 
-    /** As a control instance does before it acknowledges that a server leaves. */
-    private void tellAtOnce(int control, Backend b, boolean own) {
-        if (!own || b.state() == Backend.State.SERVING) {
+    /** Sends a departure to all peers, as a control instance does before it acknowledges it. */
+    private void sendToPeers(int control, Backend b, boolean isOwn) {
+        if (!isOwn || b.state() == Backend.State.SERVING) {
             return;
         }
         for (int c = 0; c < CONTROLS; c++) {
             if (c != control) {
-                mViews.get(c).mergeAnnouncements(mNow, List.of(new Announcement(b, "c" + control)));
+                mMemberships
+                        .get(c)
+                        .mergeAnnouncements(mNow, List.of(new Announcement(b, "c" + control)));
             }
         }
     }
 
-    /** Does one thing, chosen at random. */
-    void act(int step) {
+    /** Performs one random step. */
+    void performRandomStep(int step) {
         int control = mRandom.nextInt(CONTROLS);
         switch (mRandom.nextInt(12)) {
             case 0, 1 -> startServer(step);
-            case 2 -> withAlive(s -> s.mIsAlive = false);
-            case 3 -> withAlive(s -> drain(s, control));
-            case 4 -> withAlive(s -> withdraw(s, control));
+            case 2 -> runOnRandomServer(s -> s.mIsAlive = false);
+            case 3 -> runOnRandomServer(s -> drain(s, control));
+            case 4 -> runOnRandomServer(s -> withdraw(s, control));
             case 5 -> restartControl(control, step + 1);
-            case 6 -> deliverLate(control);
-            case 7 -> pass();
-            case 8 -> shareAll();
-            default -> withAlive(s -> announce(s, control));
+            case 6 -> deliverDelayed(control);
+            case 7 -> advanceTime();
+            case 8 -> exchangeUpdates();
+            default -> runOnRandomServer(s -> announce(s, control));
         }
     }
 
-    private void withAlive(Consumer<Server> action) {
+    private void runOnRandomServer(Consumer<Server> action) {
         List<Server> alive = mServers.stream().filter(s -> s.mIsAlive).toList();
         if (!alive.isEmpty()) {
             action.accept(alive.get(mRandom.nextInt(alive.size())));
@@ -129,9 +131,9 @@
 
     private void startServer(int step) {
         String address = "1.2.3." + mRandom.nextInt(ADDRESSES) + ":80";
-        boolean free = mServers.stream().noneMatch(s -> s.mIsAlive && s.mAddress.equals(address));
-        if (free) {
-            BackendRef ref = new BackendRef("w" + step, mStartsAreTold ? 1000 + step : 0);
+        boolean isFree = mServers.stream().noneMatch(s -> s.mIsAlive && s.mAddress.equals(address));
+        if (isFree) {
+            BackendRef ref = new BackendRef("w" + step, mHasStartTimes ? 1000 + step : 0);
             mServers.add(new Server(ref, address));
         }
     }
@@ -139,29 +141,33 @@
     private void announce(Server s, int control) {
         s.mControl = control;
         Backend b = s.announcement();
-        if (mLate.size() < MAX_LATE) {
-            mLate.add(b);
+        if (mDelayedAnnouncements.size() < MAX_DELAYED) {
+            mDelayedAnnouncements.add(b);
         }
-        mSessions.get(control).receive(mNow, b);
+        mDirectAnnouncements.get(control).receive(mNow, b);
     }
 
     private void drain(Server s, int control) {
-        if (s.mNumber > 0) {
+        if (s.mLastNumber > 0) {
             s.mState = Backend.State.DRAINING;
             announce(s, control);
-            s.mIsLeaveAcknowledged = true;
+            s.mIsDepartureAcknowledged = true;
         }
     }
 
     private void withdraw(Server s, int control) {
-        DirectAnnouncements.Outcome outcome = mSessions.get(control).withdraw(mNow, s.mRef);
+        DirectAnnouncements.Outcome outcome =
+                mDirectAnnouncements.get(control).withdraw(mNow, s.mRef);
         if (outcome != DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
-            s.mIsLeaveAcknowledged = true;
+            s.mIsDepartureAcknowledged = true;
             s.mIsAlive = false;
         }
     }
 
-    /** One at a time: what all of them forget at once nobody knows any more. */
+    /**
+     * Restarts a control instance, at most one between two exchanges of all instances: changes that
+     * all instances lose at once can't be recovered.
+     */
     private void restartControl(int control, int incarnation) {
         if (!mHasRestarted) {
             mHasRestarted = true;
@@ -169,30 +175,41 @@
         }
     }
 
-    private void deliverLate(int control) {
-        if (!mLate.isEmpty()) {
-            mSessions.get(control).receive(mNow, mLate.remove(mRandom.nextInt(mLate.size())));
+    private void deliverDelayed(int control) {
+        if (!mDelayedAnnouncements.isEmpty()) {
+            mDirectAnnouncements
+                    .get(control)
+                    .receive(
+                            mNow,
+                            mDelayedAnnouncements.remove(
+                                    mRandom.nextInt(mDelayedAnnouncements.size())));
         }
     }
 
-    /** Lets four seconds pass, in which servers that live announce themselves where they did. */
-    private void pass() {
+    /**
+     * Advances the time by four seconds. Each live server continues to send announcements to the
+     * instance to which it sent its last one.
+     */
+    private void advanceTime() {
         for (int i = 0; i < 8; i++) {
             mNow = mNow.plusMillis(500);
             mServers.stream()
-                    .filter(s -> s.mIsAlive && s.mNumber > 0)
+                    .filter(s -> s.mIsAlive && s.mLastNumber > 0)
                     .forEach(s -> announce(s, s.mControl));
-            mViews.forEach(v -> v.tick(mNow));
+            mMemberships.forEach(v -> v.tick(mNow));
         }
     }
 
-    private void shareAll() {
+    private void exchangeUpdates() {
         for (int to = 0; to < CONTROLS; to++) {
             for (int from = 0; from < CONTROLS; from++) {
                 if (to != from) {
-                    SharedMembership view = mViews.get(to);
+                    SharedMembership membership = mMemberships.get(to);
                     String name = "c" + from;
-                    view.merge(mNow, name, mViews.get(from).updateSince(view.cursorOf(name)));
+                    membership.merge(
+                            mNow,
+                            name,
+                            mMemberships.get(from).updateSince(membership.cursorOf(name)));
                 }
             }
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/SharedMembershipTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/SharedMembershipTest.java
@@ -12,147 +12,151 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.membership.SimulatedFleet.Sidecar;
 
-/** What control instances make of announcements that reach them late, twice or not at all. */
+/** Control instances that receive announcements late, twice or not at all. */
 class SharedMembershipTest {
     private static final int CONTROLS = 3;
     private static final int SIDECARS = 6;
-    private static final int NEVER_HELD = 1000;
+    private static final int FLAPS_WITHOUT_HOLD = 1000;
 
-    // Sidecars move between control instances, drain, die and come back while instances share with
-    // each other in any order or not at all, and are started anew. Once all talk again, every
-    // instance shows exactly the sidecars that live, in their newest state.
+    // Sidecars move between control instances, drain, die and restart while control instances
+    // restart and exchange updates in random order or not at all. After all have exchanged updates
+    // again, every instance has exactly the living sidecars in their newest state.
     @Property(tries = 300, seed = "1401")
     void everyInterleavingConverges(@ForAll long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(CONTROLS, SIDECARS, NEVER_HELD);
+        SimulatedFleet fleet = new SimulatedFleet(CONTROLS, SIDECARS, FLAPS_WITHOUT_HOLD);
         Random random = new Random(seed);
         for (int i = 0; i < 200; i++) {
-            act(fleet, random, i);
+            performRandomStep(fleet, random, i);
         }
         fleet.settle();
         TreeMap<String, Backend> living = new TreeMap<>();
-        fleet.mSidecars.stream().filter(s -> s.mAlive).forEach(s -> living.put(s.mId, s.backend()));
+        fleet.mSidecars.stream()
+                .filter(s -> s.mIsAlive)
+                .forEach(s -> living.put(s.mId, s.backend()));
         for (int c = 0; c < CONTROLS; c++) {
             assertThat(fleet.view(c)).isEqualTo(living);
         }
     }
 
-    private static void act(SimulatedFleet fleet, Random random, int step) {
+    private static void performRandomStep(SimulatedFleet fleet, Random random, int step) {
         Sidecar s = fleet.mSidecars.get(random.nextInt(SIDECARS));
         int control = random.nextInt(CONTROLS);
         switch (random.nextInt(12)) {
             case 0 -> s.moveTo(control);
-            case 1 -> s.mAlive = false;
+            case 1 -> s.mIsAlive = false;
             case 2 -> s.restart();
             case 3 -> s.mState = Backend.State.DRAINING;
-            case 4 -> fleet.pass(Duration.ofMillis(random.nextInt(4000)));
+            case 4 -> fleet.advanceTime(Duration.ofMillis(random.nextInt(4000)));
             case 5 -> {
                 if (random.nextInt(10) == 0) {
                     fleet.restartControl(control, step + 2);
                 }
             }
-            case 6, 7, 8 -> fleet.share(random.nextInt(CONTROLS), control);
+            case 6, 7, 8 -> fleet.deliverUpdate(random.nextInt(CONTROLS), control);
             default -> {
-                if (s.mAlive) {
+                if (s.mIsAlive) {
                     s.report();
                 }
             }
         }
     }
 
-    // A reader asks one instance again and again. Whatever it was told to have left is never told
-    // to be back under the same run and session of its sidecar.
+    // A reader polls one instance. A backend server that the reader received as left never returns
+    // with the same incarnation and session.
     @Property(tries = 300, seed = "1402")
-    void nothingThatLeftComesBackUnchanged(@ForAll long seed) {
-        SimulatedFleet fleet = new SimulatedFleet(CONTROLS, SIDECARS, NEVER_HELD);
+    void departedBackendDoesNotReturnUnchanged(@ForAll long seed) {
+        SimulatedFleet fleet = new SimulatedFleet(CONTROLS, SIDECARS, FLAPS_WITHOUT_HOLD);
         Random random = new Random(seed);
         MembershipCursor cursor = MembershipCursor.NONE;
-        Map<String, Backend> told = new HashMap<>();
+        Map<String, Backend> received = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            act(fleet, random, i);
+            performRandomStep(fleet, random, i);
             MembershipDelta delta = fleet.mControls.get(0).deltaSince(cursor, null);
             if (delta.full()) {
-                told.clear();
+                received.clear();
             }
             for (Backend b : delta.backends()) {
-                Backend before = told.put(b.ref().id(), b);
-                assertThat(before == null || b.supersedes(before)).isTrue();
+                Backend previous = received.put(b.ref().id(), b);
+                assertThat(previous == null || b.supersedes(previous)).isTrue();
             }
             cursor = delta.cursor();
         }
     }
 
-    // A sidecar's exchanges stop. Its control instance announces after three seconds that it left;
-    // a peer, which never heard it, says nothing of itself and learns it from there.
+    // A sidecar's exchanges stop. After three seconds its control instance announces that it left.
+    // A peer, to which the sidecar did not report, announces nothing and learns it by an update.
     @Test
-    void silentSidecarIsMissedByTheInstanceThatHeardIt() {
-        SimulatedFleet fleet = new SimulatedFleet(2, 1, NEVER_HELD);
+    void silentSidecarTimesOutAtItsControlInstance() {
+        SimulatedFleet fleet = new SimulatedFleet(2, 1, FLAPS_WITHOUT_HOLD);
         fleet.mSidecars.get(0).report();
-        fleet.share(0, 1);
-        fleet.pass(Duration.ofSeconds(4));
+        fleet.deliverUpdate(0, 1);
+        fleet.advanceTime(Duration.ofSeconds(4));
         assertThat(fleet.view(0)).isEmpty();
         assertThat(fleet.view(1)).containsKey("w0");
-        fleet.share(0, 1);
+        fleet.deliverUpdate(0, 1);
         assertThat(fleet.view(1)).isEmpty();
     }
 
-    // The process of a control instance stands still for a minute. When it goes on, every sidecar
-    // seems to have been silent; none may be announced as gone before it had time to speak.
+    // A control instance's process is paused for a minute. When it resumes, every sidecar seems to
+    // have been silent. None may be announced as left before it has had time to report.
     @Test
-    void pauseOfControlMakesNobodyLeave() {
-        SimulatedFleet fleet = new SimulatedFleet(1, 3, NEVER_HELD);
+    void pauseOfControlInstanceRemovesNoSidecar() {
+        SimulatedFleet fleet = new SimulatedFleet(1, 3, FLAPS_WITHOUT_HOLD);
         fleet.mSidecars.forEach(Sidecar::report);
-        fleet.pass(Duration.ofSeconds(1));
+        fleet.advanceTime(Duration.ofSeconds(1));
         fleet.mControls.get(0).tick(fleet.now().plusSeconds(60));
         assertThat(fleet.view(0)).hasSize(3);
     }
 
-    // A control instance and the sidecar beside it die together, so nobody is left to miss the
-    // sidecar. The others give it up a minute later, as long as most instances are in contact.
+    // A control instance and a sidecar that reports to it die together, so no instance detects that
+    // the sidecar timed out. The other instances remove it a minute later if a majority of the
+    // control instances is connected.
     @Test
-    void sidecarLostWithItsControlInstanceIsGivenUp() {
-        SimulatedFleet fleet = new SimulatedFleet(3, 1, NEVER_HELD);
+    void sidecarLostWithItsControlInstanceIsRemoved() {
+        SimulatedFleet fleet = new SimulatedFleet(3, 1, FLAPS_WITHOUT_HOLD);
         fleet.mSidecars.get(0).report();
-        fleet.shareAll();
+        fleet.exchangeUpdates();
         for (int i = 0; i < 65; i++) {
-            fleet.pass(Duration.ofSeconds(1));
-            fleet.share(1, 2);
-            fleet.share(2, 1);
+            fleet.advanceTime(Duration.ofSeconds(1));
+            fleet.deliverUpdate(1, 2);
+            fleet.deliverUpdate(2, 1);
         }
         assertThat(fleet.view(1)).isEmpty();
     }
 
-    // One instance is cut off from both others. It can't tell whether they or it are gone, so it
-    // goes on serving what it last heard of them.
+    // One instance is cut off from both others. It can't determine whether they are lost or whether
+    // it is isolated, so it keeps the backend servers that it last received from them.
     @Test
-    void instanceThatIsCutOffDeclaresNobodyGone() {
-        SimulatedFleet fleet = new SimulatedFleet(3, 1, NEVER_HELD);
+    void isolatedInstanceRemovesNoSidecar() {
+        SimulatedFleet fleet = new SimulatedFleet(3, 1, FLAPS_WITHOUT_HOLD);
         fleet.mSidecars.get(0).report();
-        fleet.shareAll();
-        fleet.pass(Duration.ofMinutes(5));
+        fleet.exchangeUpdates();
+        fleet.advanceTime(Duration.ofMinutes(5));
         assertThat(fleet.view(1)).containsKey("w0");
     }
 
-    // A control instance is cut off from the others for over a minute and goes on hearing its
-    // sidecar, which the others give up. After that its own readers must not see the sidecar leave,
-    // and the others must have it back: it is asked for a new session, which wins everywhere.
+    // A control instance is cut off from the others for over a minute, and its sidecar continues to
+    // report to it. The other instances remove the sidecar. After the partition, the instance's own
+    // readers must not see the sidecar leave, and the other instances must add it again. To this
+    // end, the sidecar starts a new session, which supersedes the departure on all instances.
     @Test
-    void sidecarGivenUpBeyondPartitionComesBackUnderNewSession() {
-        SimulatedFleet fleet = new SimulatedFleet(3, 1, NEVER_HELD);
+    void sidecarRemovedDuringPartitionReturnsWithNewSession() {
+        SimulatedFleet fleet = new SimulatedFleet(3, 1, FLAPS_WITHOUT_HOLD);
         Sidecar sidecar = fleet.mSidecars.get(0);
         sidecar.report();
-        fleet.shareAll();
+        fleet.exchangeUpdates();
         for (int i = 0; i < 65; i++) {
-            fleet.pass(Duration.ofSeconds(1));
+            fleet.advanceTime(Duration.ofSeconds(1));
             sidecar.report();
-            fleet.share(1, 2);
-            fleet.share(2, 1);
+            fleet.deliverUpdate(1, 2);
+            fleet.deliverUpdate(2, 1);
         }
         assertThat(fleet.view(1)).isEmpty();
-        fleet.shareAll();
+        fleet.exchangeUpdates();
         assertThat(fleet.view(0)).containsKey("w0");
         sidecar.report();
         sidecar.report();
-        fleet.shareAll();
+        fleet.exchangeUpdates();
         assertThat(sidecar.mSession).isEqualTo(2);
         for (int c = 0; c < CONTROLS; c++) {
             assertThat(fleet.view(c)).containsEntry("w0", sidecar.backend());
@@ -160,7 +164,7 @@
     }
 
     // A backend server crashes in a loop. After three departures its return is held back, so that
-    // chats do not move to it and off again; once it stays, it is announced.
+    // chats do not move to it and away again. It is announced once it stays up.
     @Test
     void flappingBackendServerIsHeldBack() {
         SimulatedFleet fleet = new SimulatedFleet(1, 3, 3);
@@ -179,15 +183,15 @@
 
     private static void reportAll(SimulatedFleet fleet) {
         fleet.mSidecars.forEach(Sidecar::report);
-        fleet.pass(Duration.ofSeconds(1));
+        fleet.advanceTime(Duration.ofSeconds(1));
     }
 
     @Test
-    void meanIsOverAllInstances() {
-        SimulatedFleet fleet = new SimulatedFleet(2, 2, NEVER_HELD);
+    void loadIsTheMeanOverAllInstances() {
+        SimulatedFleet fleet = new SimulatedFleet(2, 2, FLAPS_WITHOUT_HOLD);
         fleet.mSidecars.get(1).mControl = 1;
         fleet.mSidecars.forEach(Sidecar::report);
-        fleet.shareAll();
+        fleet.exchangeUpdates();
         ServiceLoad load = fleet.mControls.get(0).load(SimulatedFleet.SERVICE);
         assertThat(load).isEqualTo(new ServiceLoad(SimulatedFleet.SERVICE, 1, 2));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/membership/SimulatedFleet.java
@@ -7,7 +7,7 @@
 import java.util.TreeMap;
 import org.laurelweir.lib.BackendRef;
 
-/** Some control instances and sidecars whose every message is delivered, or not, by the test. */
+/** Simulated control instances and sidecars; the test decides which messages are delivered. */
 final class SimulatedFleet {
     static final String SERVICE = "seilhjerne";
 
@@ -32,18 +32,18 @@
         List<String> peers = new ArrayList<>();
         for (int i = 0; i < mControlCount; i++) {
             if (i != number) {
-                peers.add(name(i));
+                peers.add(controlName(i));
             }
         }
         MembershipConfig config =
-                MembershipConfig.builder(name(number), incarnation)
+                MembershipConfig.builder(controlName(number), incarnation)
                         .flaps(Duration.ofMinutes(10), flapsAllowed)
                         .holds(Duration.ofSeconds(10), Duration.ofMinutes(5), 0.5)
                         .build();
-        return new SharedMembership(config, peers, (backend, reason, own) -> {});
+        return new SharedMembership(config, peers, (backend, reason, isOwn) -> {});
     }
 
-    private static String name(int control) {
+    private static String controlName(int control) {
         return "c" + control;
     }
 
@@ -51,41 +51,43 @@
         return mNow;
     }
 
-    /** Replaces an instance by a new run of it, which knows nothing. */
+    /** Restarts a control instance with an empty membership. */
     void restartControl(int number, long incarnation) {
         mControls.set(number, newControl(number, incarnation, 1000));
     }
 
-    void pass(Duration time) {
-        Instant end = mNow.plus(time);
+    void advanceTime(Duration duration) {
+        Instant end = mNow.plus(duration);
         while (mNow.isBefore(end)) {
             mNow = mNow.plus(STEP);
             mControls.forEach(c -> c.tick(mNow));
         }
     }
 
-    /** Lets one instance pull from another what that one hears. */
-    void share(int from, int to) {
+    /** Delivers the update of one instance to another. */
+    void deliverUpdate(int from, int to) {
         if (from != to) {
-            MembershipCursor cursor = mControls.get(to).cursorOf(name(from));
-            mControls.get(to).merge(mNow, name(from), mControls.get(from).updateSince(cursor));
+            MembershipCursor cursor = mControls.get(to).cursorOf(controlName(from));
+            mControls
+                    .get(to)
+                    .merge(mNow, controlName(from), mControls.get(from).updateSince(cursor));
         }
     }
 
-    void shareAll() {
+    void exchangeUpdates() {
         for (int from = 0; from < mControlCount; from++) {
             for (int to = 0; to < mControlCount; to++) {
-                share(from, to);
+                deliverUpdate(from, to);
             }
         }
     }
 
-    /** Lets all exchange for long enough that what has gone is missed. */
+    /** Exchanges reports and updates until every dead sidecar has timed out. */
     void settle() {
         for (int i = 0; i < 400; i++) {
-            mSidecars.stream().filter(s -> s.mAlive).forEach(Sidecar::report);
-            shareAll();
-            pass(STEP);
+            mSidecars.stream().filter(s -> s.mIsAlive).forEach(Sidecar::report);
+            exchangeUpdates();
+            advanceTime(STEP);
         }
     }
 
@@ -97,10 +99,10 @@
         return view;
     }
 
-    /** One sidecar with the client that counts its sessions. */
+    /** A sidecar and its session number. */
     final class Sidecar {
         final String mId;
-        boolean mAlive = true;
+        boolean mIsAlive = true;
         Backend.State mState = Backend.State.SERVING;
         long mIncarnation = 1;
         int mSession = 1;
@@ -117,8 +119,8 @@
 
         void report() {
             SidecarReport report = new SidecarReport(backend(), 1, 1, 0);
-            int least = mControls.get(mControl).receiveReport(mNow, report);
-            mSession = Math.max(mSession, least);
+            int minSession = mControls.get(mControl).receiveReport(mNow, report);
+            mSession = Math.max(mSession, minSession);
         }
 
         void moveTo(int control) {
@@ -129,7 +131,7 @@
         }
 
         void restart() {
-            mAlive = true;
+            mIsAlive = true;
             mState = Backend.State.SERVING;
             mIncarnation++;
             mSession = 1;
