--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ApplyingPaths.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ApplicablePaths.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /** The paths of all nodes, rules aside, that would apply to a context if they existed. */
-final class ApplyingPaths {
+final class ApplicablePaths {
     private static final int ALL =
             Level.REGION.bit()
                     | Level.DATA_CENTRE.bit()
                     | Level.SERVICE.bit()
                     | Level.ACCOUNT.bit();
 
-    private ApplyingPaths() {}
+    private ApplicablePaths() {}
 
     /** Returns the paths, the most specific first; the deployment is the last. */
     static List<NodePath> of(SettingsContext c) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveSettings.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveSettings.java
@@ -44,7 +44,7 @@
     static EffectiveSettings of(SettingsTree tree, SettingsContext context) {
         List<SettingsNode> nodes = new ArrayList<>();
         List<Rule> rules = new ArrayList<>();
-        for (NodePath path : ApplyingPaths.of(context)) {
+        for (NodePath path : ApplicablePaths.of(context)) {
             tree.node(path).ifPresent(nodes::add);
             for (NodePath rule : tree.rulesBelow(path)) {
                 tree.node(rule).map(Rule::of).ifPresent(rules::add);
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/NodeNames.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/NodeReferences.java
@@ -7,8 +7,8 @@
  * The names that a node claims for itself, of which no two nodes may claim the same, and the
  * definitions it depends on. Both are texts with their kind in front.
  */
-final class NodeNames {
-    private NodeNames() {}
+final class NodeReferences {
+    private NodeReferences() {}
 
     static String model(String name) {
         return "model " + name;
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/AnswerLog.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswers.java
@@ -11,12 +11,12 @@
  * again; without this they would learn of a conflict with themselves. An id that has been forgotten
  * does no harm: the change's expected versions have passed and it is refused.
  */
-final class AnswerLog {
+final class RecordedAnswers {
     private final Map<String, RecordedAnswer> mAnswers = new LinkedHashMap<>();
     private final SettingsStore.Limits mLimits;
     private long mBytes;
 
-    AnswerLog(Collection<RecordedAnswer> answers, SettingsStore.Limits limits) {
+    RecordedAnswers(Collection<RecordedAnswer> answers, SettingsStore.Limits limits) {
         mLimits = limits;
         answers.forEach(this::put);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ReferenceCheck.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ReferenceCheck.java
@@ -65,7 +65,7 @@
     }
 
     private void checkDefinitions(SettingsNode node) {
-        for (NodePath definition : NodeNames.definitionsOf(node)) {
+        for (NodePath definition : NodeReferences.definitionsOf(node)) {
             if (mAfter.node(definition).isEmpty()) {
                 fault(
                         node.path(),
@@ -77,7 +77,7 @@
     }
 
     private void checkClaims(SettingsNode node) {
-        for (String claim : NodeNames.claimsOf(node)) {
+        for (String claim : NodeReferences.claimsOf(node)) {
             NodePath other = mNewClaims.putIfAbsent(claim, node.path());
             Optional<NodePath> holder = mBefore.holderOf(claim);
             if (other == null && holder.isPresent() && !mChanged.contains(holder.get())) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -22,7 +22,7 @@
 
     private final Limits mLimits;
     private final SettingsHistory mHistory;
-    private final AnswerLog mAnswers;
+    private final RecordedAnswers mAnswers;
     private SettingsTree mTree;
     private long mRevision;
     private String mSource;
@@ -73,7 +73,7 @@
         mLimits = limits;
         mTree = SettingsTree.of(state.position(), state.nodes());
         mHistory = new SettingsHistory(state.history(), state.lastEvictedPosition(), limits);
-        mAnswers = new AnswerLog(state.answers(), limits);
+        mAnswers = new RecordedAnswers(state.answers(), limits);
         mRevision = state.revision();
         mSource = state.source();
     }
@@ -133,7 +133,7 @@
         SettingsTree after = mTree.with(position, plan.after());
         List<NodeFault> faults = new ArrayList<>(plan.faults());
         faults.addAll(ReferenceCheck.faultsOf(mTree, after, plan.after()));
-        faults.addAll(TreeBound.faultsOf(mTree, after));
+        faults.addAll(TreeSizeLimit.faultsOf(mTree, after));
         if (!faults.isEmpty()) {
             return refusal(ResultCode.SETTINGS_INVALID, List.of(), faults);
         }
@@ -162,7 +162,7 @@
             throw new IllegalArgumentException("position " + position + " has passed");
         }
         TreePatch difference = TreePatch.between(mTree, whole.nodes());
-        HistoryNote note = new HistoryNote(whole.timestamp(), whole.revision(), whole.author());
+        ReplacementInfo note = new ReplacementInfo(whole.timestamp(), whole.revision(), whole.author());
         return replace(position, difference, note, whole.source());
     }
 
@@ -181,7 +181,7 @@
         if (patch.base() != mTree.position()) {
             return refusal(ResultCode.SETTINGS_CONFLICT, List.of(), List.of());
         }
-        HistoryNote note = new HistoryNote(patch.timestamp(), patch.revision(), patch.author());
+        ReplacementInfo note = new ReplacementInfo(patch.timestamp(), patch.revision(), patch.author());
         return replace(position, patch.difference(), note, patch.source().applyTo(mSource));
     }
 
@@ -200,7 +200,7 @@
     }
 
     private SettingsAnswer replace(
-            long position, TreePatch difference, HistoryNote note, String source) {
+            long position, TreePatch difference, ReplacementInfo note, String source) {
         TreeReplacement replacement = TreeReplacement.of(mTree, position, difference);
         if (!replacement.faults().isEmpty()) {
             return refusal(ResultCode.SETTINGS_INVALID, List.of(), replacement.faults());
@@ -223,7 +223,7 @@
     }
 
     /** What the history tells of a replaced tree beside the nodes. */
-    private record HistoryNote(Instant at, long revision, String author) {}
+    private record ReplacementInfo(Instant at, long revision, String author) {}
 
     /** Returns the operator's number of the tree that was replaced last, 0 if none was. */
     public long revision() {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsTree.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsTree.java
@@ -31,7 +31,7 @@
     private final long mPosition;
     private final PersistentMap<SettingsNode> mNodes;
 
-    /** Which node holds a claim of {@link NodeNames}. */
+    /** Which node holds a claim of {@link NodeReferences}. */
     private final PersistentMap<NodePath> mClaims;
 
     /** How many other nodes name a definition, by the definition's path. */
@@ -139,19 +139,19 @@
 
     /** Returns the client account that a bearer key's digest names. */
     public Optional<String> accountOfKey(String digest) {
-        return holderOf(NodeNames.keyDigest(digest)).map(NodePath::account);
+        return holderOf(NodeReferences.keyDigest(digest)).map(NodePath::account);
     }
 
     /** Returns the service that answers for a model. */
     public Optional<String> serviceOfModel(String model) {
-        return holderOf(NodeNames.model(model)).map(NodePath::service);
+        return holderOf(NodeReferences.model(model)).map(NodePath::service);
     }
 
     /** Returns the plain service whose path prefix is the longest that fits a URL's path. */
     public Optional<String> serviceOfPath(String path) {
         String prefix = path;
         while (prefix.startsWith("/")) {
-            Optional<NodePath> holder = holderOf(NodeNames.pathPrefix(prefix));
+            Optional<NodePath> holder = holderOf(NodeReferences.pathPrefix(prefix));
             if (holder.isPresent()) {
                 return holder.map(NodePath::service);
             }
@@ -162,7 +162,7 @@
 
     /** Returns the node of the route that has just this host and path prefix. */
     public Optional<SettingsNode> routeAt(String host, String prefix) {
-        return holderOf(NodeNames.place(host, prefix)).flatMap(this::node);
+        return holderOf(NodeReferences.place(host, prefix)).flatMap(this::node);
     }
 
     /** Returns every service's name, sorted. */
@@ -215,7 +215,7 @@
             }
             mNewNodes = mNewNodes.with(path.toString(), null);
             mNewBytes -= old.bytes();
-            NodeNames.claimsOf(old).forEach(c -> mNewClaims = mNewClaims.with(c, null));
+            NodeReferences.claimsOf(old).forEach(c -> mNewClaims = mNewClaims.with(c, null));
             count(old, -1);
             if (path.isOnly(Level.SERVICE)) {
                 mNewServices.remove(path.service());
@@ -231,7 +231,7 @@
             NodePath path = node.path();
             mNewNodes = mNewNodes.with(path.toString(), node);
             mNewBytes += node.bytes();
-            NodeNames.claimsOf(node).forEach(c -> mNewClaims = mNewClaims.with(c, path));
+            NodeReferences.claimsOf(node).forEach(c -> mNewClaims = mNewClaims.with(c, path));
             count(node, 1);
             if (path.isOnly(Level.SERVICE)) {
                 mNewServices.add(path.service());
@@ -245,7 +245,7 @@
         }
 
         private void count(SettingsNode node, int change) {
-            for (NodePath definition : NodeNames.definitionsOf(node)) {
+            for (NodePath definition : NodeReferences.definitionsOf(node)) {
                 String key = definition.toString();
                 Integer before = mNewUses.get(key);
                 int after = (before == null ? 0 : before) + change;
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
@@ -52,7 +52,7 @@
     private void checkWhole(SettingsTree now) {
         SettingsTree after = now.with(mPosition, mAfter);
         mFaults.addAll(ReferenceCheck.faultsOf(now, after, mAfter));
-        mFaults.addAll(TreeBound.faultsOf(now, after));
+        mFaults.addAll(TreeSizeLimit.faultsOf(now, after));
     }
 
     private void edit(SettingsNode before, SettingsNode after) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeBound.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeSizeLimit.java
@@ -7,7 +7,7 @@
  * make together every control instance and router would fill its heap, and fill it again at each
  * start, while it reads the tree back.
  */
-final class TreeBound {
+final class TreeSizeLimit {
     /**
      * An eighth of the smallest heap that is in use, 64 MB: a tree is held beside its snapshot, the
      * log and the changes on their way. Client accounts of some 300 B each leave room for all of
@@ -16,7 +16,7 @@
      */
     static final long MOST_BYTES = 8 << 20;
 
-    private TreeBound() {}
+    private TreeSizeLimit() {}
 
     /**
      * Returns a fault if a change makes a tree larger than is taken. One that makes it smaller is
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/InheritanceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/InheritanceTest.java
@@ -22,7 +22,7 @@
     Arbitrary<SettingsTree> trees() {
         Arbitrary<SettingsNode> node =
                 Combinators.combine(
-                                Trees.paths(),
+                                SettingsSamples.paths(),
                                 net.jqwik.api.Arbitraries.integers().between(1, 10).injectNull(0.2),
                                 net.jqwik.api.Arbitraries.of("GET", "POST", "GET,POST"))
                         .as(InheritanceTest::node);
@@ -65,7 +65,7 @@
 
     @Provide
     Arbitrary<SettingsContext> contexts() {
-        return Trees.contexts();
+        return SettingsSamples.contexts();
     }
 
     private static boolean applies(SettingsNode n, SettingsContext c) {
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/Trees.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsSamples.java
@@ -10,10 +10,10 @@
 import org.laurelweir.coordination.Command.NodeChange;
 
 /** Changes and arbitraries that the tests of the settings tree share. */
-final class Trees {
+final class SettingsSamples {
     private static final List<String> FEW = List.of("a", "b");
 
-    private Trees() {}
+    private SettingsSamples() {}
 
     static ChangeSettings change(String id, NodeChange... changes) {
         return new ChangeSettings(Instant.EPOCH, id, "tester", List.of(changes));
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
@@ -1,9 +1,9 @@
 package org.laurelweir.settings;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.laurelweir.settings.Trees.change;
-import static org.laurelweir.settings.Trees.delete;
-import static org.laurelweir.settings.Trees.set;
+import static org.laurelweir.settings.SettingsSamples.change;
+import static org.laurelweir.settings.SettingsSamples.delete;
+import static org.laurelweir.settings.SettingsSamples.set;
 
 import java.time.Duration;
 import java.time.Instant;
@@ -21,7 +21,7 @@
 class SettingsStoreTest {
     private static final String DIGEST = KeyDigest.of("secret");
 
-    private final SettingsStore mStore = Trees.store();
+    private final SettingsStore mStore = SettingsSamples.store();
 
     /** Defines services s and p and accounts x and y at position 1. */
     private void define() {
@@ -247,7 +247,7 @@
         }
         SettingsState large = new SettingsState(1, nodes, 1, List.of(), List.of(), 0, "");
         SettingsStore store = new SettingsStore(large, SettingsStore.Limits.DEFAULT);
-        assertThat(store.tree().bytes()).isGreaterThan(TreeBound.MOST_BYTES);
+        assertThat(store.tree().bytes()).isGreaterThan(TreeSizeLimit.MOST_BYTES);
 
         SettingsAnswer more = store.apply(2, change("more", set("/account=x", 0)));
         assertThat(more.code()).isEqualTo(ResultCode.SETTINGS_INVALID);
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
@@ -17,7 +17,7 @@
     private static final long SEED = 7;
     private static final int TREES = 400;
 
-    private final SettingsStore mStore = Trees.store();
+    private final SettingsStore mStore = SettingsSamples.store();
     private long mPosition;
 
     private static Map<String, Map<String, String>> tree(String... routes) {
@@ -111,7 +111,7 @@
         int taken = 0;
         for (int revision = 1; revision <= TREES; revision++) {
             Map<String, Map<String, String>> nodes = randomTree(random);
-            SettingsStore alone = Trees.store();
+            SettingsStore alone = SettingsSamples.store();
             ResultCode expected =
                     alone.replace(1, new ReplaceSettings(Instant.EPOCH, 1, "op", nodes, "")).code();
             ResultCode code = replace(revision, nodes).code();
@@ -129,7 +129,7 @@
     @Test
     void aTreeToldByItsDifferenceIsTheWholeTree() {
         SplittableRandom random = new SplittableRandom(SEED);
-        SettingsStore told = Trees.store();
+        SettingsStore told = SettingsSamples.store();
         for (int revision = 1; revision <= TREES; revision++) {
             ReplaceSettings whole =
                     new ReplaceSettings(
