--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ApplicablePaths.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ApplicablePaths.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The paths of all nodes, rules aside, that would apply to a context if they existed. */
+/** Lists the paths of all nodes except rules that apply to a context, if they exist. */
 final class ApplicablePaths {
-    private static final int ALL =
+    private static final int ALL_LEVELS =
             Level.REGION.bit()
                     | Level.DATA_CENTRE.bit()
                     | Level.SERVICE.bit()
@@ -13,22 +13,22 @@
 
     private ApplicablePaths() {}
 
-    /** Returns the paths, the most specific first; the deployment is the last. */
+    /** Returns the paths, the most specific first; the last one is the deployment. */
     static List<NodePath> of(SettingsContext c) {
-        int known =
+        int knownLevels =
                 bit(Level.REGION, c.region())
                         | bit(Level.DATA_CENTRE, c.dataCentre())
                         | bit(Level.SERVICE, c.service())
                         | bit(Level.ACCOUNT, c.account());
         List<NodePath> paths = new ArrayList<>();
-        for (int named = ALL; named >= 0; named--) {
-            if ((named & ~known) == 0) {
+        for (int pathLevels = ALL_LEVELS; pathLevels >= 0; pathLevels--) {
+            if ((pathLevels & ~knownLevels) == 0) {
                 paths.add(
                         new NodePath(
-                                pick(named, Level.REGION, c.region()),
-                                pick(named, Level.DATA_CENTRE, c.dataCentre()),
-                                pick(named, Level.SERVICE, c.service()),
-                                pick(named, Level.ACCOUNT, c.account()),
+                                nameIfIn(pathLevels, Level.REGION, c.region()),
+                                nameIfIn(pathLevels, Level.DATA_CENTRE, c.dataCentre()),
+                                nameIfIn(pathLevels, Level.SERVICE, c.service()),
+                                nameIfIn(pathLevels, Level.ACCOUNT, c.account()),
                                 null));
             }
         }
@@ -39,7 +39,7 @@
         return name == null ? 0 : level.bit();
     }
 
-    private static String pick(int named, Level level, String name) {
-        return (named & level.bit()) == 0 ? null : name;
+    private static String nameIfIn(int pathLevels, Level level, String name) {
+        return (pathLevels & level.bit()) == 0 ? null : name;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ByteSize.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ByteSize.java
@@ -5,16 +5,16 @@
 import java.util.regex.Pattern;
 
 /**
- * A number of bytes as settings write it: a whole number and a unit, such as {@code 64KiB}.
+ * A number of bytes, written in settings as a whole number and a unit, such as {@code 64KiB}.
  *
- * @param bytes the number, not negative
+ * @param bytes the number of bytes; not negative
  */
 public record ByteSize(long bytes) implements Comparable<ByteSize> {
-    private static final Pattern FORM = Pattern.compile("(\\d{1,18})(B|KiB|MiB|GiB|TiB)");
+    private static final Pattern PATTERN = Pattern.compile("(\\d{1,18})(B|KiB|MiB|GiB|TiB)");
     private static final String[] UNITS = {"B", "KiB", "MiB", "GiB", "TiB"};
     private static final int BITS_PER_STEP = 10;
 
-    /** Refuses a negative number. */
+    /** Rejects a negative number. */
     public ByteSize {
         if (bytes < 0) {
             throw new IllegalArgumentException("negative size: " + bytes);
@@ -22,14 +22,14 @@
     }
 
     /**
-     * Reads a size.
+     * Parses a size.
      *
      * @param text a whole number followed by B, KiB, MiB, GiB or TiB
      * @return the size
-     * @throws IllegalArgumentException if the text has another form or the size exceeds a long
+     * @throws IllegalArgumentException if the text is malformed or the size exceeds a long
      */
     public static ByteSize parse(String text) {
-        Matcher m = FORM.matcher(text);
+        Matcher m = PATTERN.matcher(text);
         if (!m.matches()) {
             throw new IllegalArgumentException("not a size: " + text);
         }
@@ -55,7 +55,9 @@
         return Long.compare(bytes, other.bytes);
     }
 
-    /** Returns the size in the largest unit that leaves a whole number; parses back to itself. */
+    /**
+     * Returns the size in the largest unit that gives a whole number; {@link #parse} accepts it.
+     */
     @Override
     public String toString() {
         int step = 0;
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ChangeDigest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ChangeDigest.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.laurelweir.coordination.Command.NodeChange;
 
-/** Tells whether two changes ask for the same, without keeping either. */
+/** Computes a digest of a change, so that two changes can be compared without storing them. */
 final class ChangeDigest {
     private final MessageDigest mDigest = KeyDigest.newSha256();
 
@@ -25,7 +25,7 @@
         put(c.path());
         put(c.expectedVersion());
         put(c.set().size());
-        // A map's own order may differ between the replicas.
+        // Sorted, since a map's iteration order may differ between replicas.
         new TreeMap<>(c.set())
                 .forEach(
                         (key, text) -> {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ChangePlan.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ChangePlan.java
@@ -10,14 +10,14 @@
 import java.util.TreeSet;
 import org.laurelweir.coordination.Command.NodeChange;
 
-/** What a change would do to a tree, node by node: new nodes, lost races and faults. */
+/** The effect of a change on a tree: the changed nodes, the version conflicts and the faults. */
 final class ChangePlan {
-    private static final int MAX_NODES = 1000;
+    private static final int MAX_CHANGED_NODES = 1000;
 
-    /** A whole tree of the aimed size: 19,000 client accounts, their rules and the routes. */
-    private static final int MAX_NODES_OF_WHOLE = 100_000;
+    /** Allows a tree of the target size: 19,000 client accounts, their rules and the routes. */
+    private static final int MAX_TREE_NODES = 100_000;
 
-    private static final int MAX_VALUE_LENGTH = 16_384;
+    private static final int MAX_VALUE_CHARS = 16_384;
 
     private final SettingsTree mTree;
     private final long mPosition;
@@ -33,28 +33,29 @@
 
     static ChangePlan of(SettingsTree tree, long position, List<NodeChange> changes) {
         ChangePlan plan = new ChangePlan(tree, position);
-        plan.checkSize(changes.size(), MAX_NODES);
+        plan.checkSize(changes.size(), MAX_CHANGED_NODES);
         plan.addAll(changes);
         return plan;
     }
 
     /**
-     * Plans the nodes that a whole tree has new or with other values, without regard to those that
-     * are in force.
+     * Plans the new and changed nodes of a whole tree. The nodes in force are not considered.
      *
-     * @param size how many nodes the whole tree has
+     * @param position the log position of the change
+     * @param size the number of nodes of the whole tree
+     * @param changes the new and changed nodes
      */
-    static ChangePlan ofWhole(long position, int size, List<NodeChange> changes) {
+    static ChangePlan ofWholeTree(long position, int size, List<NodeChange> changes) {
         ChangePlan plan = new ChangePlan(SettingsTree.EMPTY, position);
-        plan.checkSize(size, MAX_NODES_OF_WHOLE);
+        plan.checkSize(size, MAX_TREE_NODES);
         plan.addAll(changes);
         return plan;
     }
 
-    private void checkSize(int size, int most) {
-        if (size == 0 || size > most) {
+    private void checkSize(int size, int max) {
+        if (size == 0 || size > max) {
             String problem = "names " + size + " nodes";
-            mFaults.add(new NodeFault("change", "", problem, "1 to " + most + " nodes"));
+            mFaults.add(new NodeFault("change", "", problem, "1 to " + max + " nodes"));
         }
     }
 
@@ -76,7 +77,7 @@
 
     private void add(NodePath path, NodeChange c, Set<NodePath> seen) {
         if (!seen.add(path)) {
-            fault(path, "", "stands twice in the change", "each node once");
+            addFault(path, "", "stands twice in the change", "each node once");
             return;
         }
         SettingsNode before = mTree.node(path).orElse(SettingsNode.tombstone(path, 0));
@@ -90,10 +91,10 @@
 
     private SettingsNode deleted(SettingsNode before, NodeChange c) {
         if (before.deleted()) {
-            fault(before.path(), "", "does not exist", "a node that exists");
+            addFault(before.path(), "", "does not exist", "a node that exists");
         }
         if (!c.set().isEmpty() || !c.remove().isEmpty()) {
-            fault(before.path(), "", "is deleted and edited at once", "one of the two");
+            addFault(before.path(), "", "is deleted and edited at once", "one of the two");
         }
         return SettingsNode.tombstone(before.path(), mPosition);
     }
@@ -103,7 +104,7 @@
         for (String key : c.remove()) {
             if (values.remove(key) == null) {
                 String set = String.join(", ", new TreeSet<>(before.values().keySet()));
-                fault(before.path(), key, "is not set here", set);
+                addFault(before.path(), key, "is not set here", set);
             }
         }
         new TreeMap<>(c.set())
@@ -111,7 +112,8 @@
                         (key, text) -> {
                             checkValue(before.path(), key, text);
                             if (c.remove().contains(key)) {
-                                fault(before.path(), key, "is set and removed", "one of the two");
+                                addFault(
+                                        before.path(), key, "is set and removed", "one of the two");
                             }
                             values.put(key, text);
                         });
@@ -121,44 +123,44 @@
     private void checkValue(NodePath path, String name, String text) {
         Optional<SettingKey<?>> found = SettingKeys.find(name);
         if (found.isEmpty()) {
-            fault(path, name, "unknown key", "a key of docs/SETTINGS.md");
+            addFault(path, name, "unknown key", "a key of docs/SETTINGS.md");
             return;
         }
         SettingKey<?> key = found.get();
-        if (!key.mayStandIn(path)) {
-            fault(path, name, "does not belong to this level", key.allowedPlaces());
+        if (!key.isAllowedIn(path)) {
+            addFault(path, name, "does not belong to this level", key.allowedNodes());
         }
-        if (text.length() > MAX_VALUE_LENGTH) {
-            fault(path, name, "is too long", "up to " + MAX_VALUE_LENGTH + " characters");
+        if (text.length() > MAX_VALUE_CHARS) {
+            addFault(path, name, "is too long", "up to " + MAX_VALUE_CHARS + " characters");
             return;
         }
         try {
             key.parse(text);
         } catch (IllegalArgumentException e) {
-            fault(path, name, "is \"" + text + "\"", key.allowed());
+            addFault(path, name, "is \"" + text + "\"", key.allowed());
         }
     }
 
-    private void fault(NodePath path, String key, String problem, String allowed) {
+    private void addFault(NodePath path, String key, String problem, String allowed) {
         mFaults.add(new NodeFault(path.toString(), key, problem, allowed));
     }
 
-    /** Returns the changed nodes as they stand before, a missing one marked as gone. */
+    /** Returns the changed nodes in their previous state; a tombstone for one that is new. */
     List<SettingsNode> before() {
         return mBefore;
     }
 
-    /** Returns the changed nodes as they would stand after, deleted ones marked as gone. */
+    /** Returns the changed nodes in their new state; a tombstone for one that is deleted. */
     List<SettingsNode> after() {
         return mAfter;
     }
 
-    /** Returns the nodes whose version is not the expected one, as they stand. */
+    /** Returns the current state of the nodes that are not at the expected version. */
     List<SettingsNode> conflicts() {
         return mConflicts;
     }
 
-    /** Returns what is wrong with single nodes. */
+    /** Returns the faults of single nodes; references between nodes are not checked. */
     List<NodeFault> faults() {
         return mFaults;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Durations.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Durations.java
@@ -5,23 +5,23 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Durations as settings write them: a whole number and a unit, such as {@code 250ms}. */
+/** Parses and formats durations: a whole number and a unit, such as {@code 250ms}. */
 public final class Durations {
-    private static final Pattern FORM = Pattern.compile("(\\d{1,12})(ms|s|m|h|d)");
+    private static final Pattern PATTERN = Pattern.compile("(\\d{1,12})(ms|s|m|h|d)");
     private static final String[] UNITS = {"d", "h", "m", "s", "ms"};
     private static final long[] UNIT_MILLIS = {86_400_000, 3_600_000, 60_000, 1_000, 1};
 
     private Durations() {}
 
     /**
-     * Reads a duration.
+     * Parses a duration.
      *
      * @param text a whole number followed by ms, s, m, h or d
      * @return the duration
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text is malformed
      */
     public static Duration parse(String text) {
-        Matcher m = FORM.matcher(text);
+        Matcher m = PATTERN.matcher(text);
         if (!m.matches()) {
             throw new IllegalArgumentException("not a duration: " + text);
         }
@@ -39,10 +39,10 @@
     }
 
     /**
-     * Writes a duration in the largest unit that leaves a whole number.
+     * Formats a duration in the largest unit that gives a whole number.
      *
-     * @param duration not negative; what lies below a millisecond is cut off
-     * @return a text that {@link #parse} reads
+     * @param duration a duration that is not negative; it is rounded down to milliseconds
+     * @return a text that {@link #parse} accepts
      */
     public static String format(Duration duration) {
         long millis = duration.toMillis();
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveSettings.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveSettings.java
@@ -7,29 +7,30 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The settings that hold for one context, resolved once so that looking one up costs an array read.
- * Immutable to its users; safe for use by several threads.
+ * The effective settings of one context. They are resolved once, so that a lookup is an array read.
+ * Thread-safe, and immutable as seen from outside.
  *
- * <p>A node applies if the context agrees with each level that its path names, and a rule only if
- * its conditions match the call as well. For each key the most specific node that sets it wins. Of
- * two nodes, the one is more specific that names the most specific level which the other does not
- * name: a rule goes before any other node, then a client account before a service, a service before
- * a data centre, a data centre before a region. Of two rules that name the same levels, the one
- * whose name sorts first wins.
+ * <p>A node applies if the context matches each level that the node's path names; a rule applies
+ * only if its conditions also match the call. For each key, the most specific node that sets it
+ * wins. To compare two nodes, take the most specific level that only one of them names: the node
+ * that names it is more specific. The levels from the most specific to the least are rule, client
+ * account, service, data centre, region. If two rules name the same levels, the one whose name
+ * sorts first wins.
  */
 public final class EffectiveSettings {
     private final long mPosition;
     private final Object[] mValues;
     private final NodePath[] mOrigins;
 
-    /** The nodes other than rules that apply, the most specific first. */
+    /** The applicable nodes except rules, the most specific first. */
     private final List<SettingsNode> mNodes;
 
-    /** Every rule that may apply, depending on the call, the most specific first. */
+    /** The rules that apply if they match the call, the most specific first. */
     private final List<Rule> mRules;
 
-    /** What holds for calls by which of the rules they match. */
-    private final Map<BitSet, EffectiveSettings> mByMatch = new ConcurrentHashMap<>();
+    /** The settings of calls, by the set of rules in {@link #mRules} that the call matches. */
+    private final Map<BitSet, EffectiveSettings> mSettingsByMatchingRules =
+            new ConcurrentHashMap<>();
 
     private EffectiveSettings(
             long position, List<SettingsNode> sources, List<SettingsNode> nodes, List<Rule> rules) {
@@ -83,12 +84,12 @@
         return (T) mValues[key.index()];
     }
 
-    /** Returns the node that sets a key, or null where the default holds. */
+    /** Returns the node that sets a key, or null if the default applies. */
     public NodePath originOf(SettingKey<?> key) {
         return mOrigins[key.index()];
     }
 
-    /** Returns every key with its value and where that comes from. */
+    /** Returns every key with its value and the node that sets it. */
     public List<EffectiveValue> all() {
         List<EffectiveValue> all = new ArrayList<>();
         for (SettingKey<?> key : SettingKeys.all()) {
@@ -110,11 +111,11 @@
                 return node.values().get(key.name());
             }
         }
-        throw new IllegalStateException("not a source: " + path);
+        throw new IllegalStateException("node does not apply: " + path);
     }
 
     /**
-     * Returns the settings for one call, those of the rules that match it included.
+     * Returns the settings for one call, including those of the rules that match it.
      *
      * @param call the call
      */
@@ -126,7 +127,7 @@
         if (matching.isEmpty()) {
             return this;
         }
-        return mByMatch.computeIfAbsent(matching, this::withRules);
+        return mSettingsByMatchingRules.computeIfAbsent(matching, this::withRules);
     }
 
     private EffectiveSettings withRules(BitSet matching) {
@@ -137,8 +138,9 @@
     }
 
     /**
-     * Returns whether a call may be repeated. A pattern in service.non-idempotent-calls decides
-     * first, then one in service.idempotent-calls, then the method as HTTP defines it.
+     * Returns whether a call is idempotent, so that it may be retried. The patterns in
+     * service.non-idempotent-calls take precedence over those in service.idempotent-calls, and
+     * these over the method's definition in HTTP.
      *
      * @param method the HTTP method
      * @param path the URL's path
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveValue.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/EffectiveValue.java
@@ -1,10 +1,10 @@
 package org.laurelweir.settings;
 
 /**
- * One setting as it holds, and whence.
+ * The effective value of one key and its origin.
  *
  * @param key the key's name
- * @param text the value as written
- * @param from the node that sets it, or null where the default holds
+ * @param text the value as written in settings
+ * @param from the node that sets it, or null if the default applies
  */
 public record EffectiveValue(String key, String text, NodePath from) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/HistoryEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/HistoryEntry.java
@@ -5,14 +5,15 @@
 import org.laurelweir.coordination.Command;
 
 /**
- * One accepted change.
+ * An accepted change.
  *
- * @param position where in the log it stands
- * @param at when the leader took it
- * @param changeId the id that its author gave it
- * @param author who made it
- * @param changes what it asked for
- * @param before the changed nodes as they stood before; a node that did not exist is marked as gone
+ * @param position its log position
+ * @param at the time at which the leader received it
+ * @param changeId the ID that its author chose
+ * @param author the author's name
+ * @param changes the requested changes of nodes
+ * @param before the changed nodes in their previous state; a tombstone for a node that did not
+ *     exist
  */
 public record HistoryEntry(
         long position,
@@ -27,19 +28,19 @@
         before = List.copyOf(before);
     }
 
-    /** Returns what the entry takes, about: the same on every replica. */
-    long bytes() {
-        long bytes = SettingsNode.FIXED_BYTES;
+    /** Returns the entry's estimated size in bytes, which is the same on every replica. */
+    long estimatedBytes() {
+        long bytes = SettingsNode.OVERHEAD_BYTES;
         for (Command.NodeChange c : changes) {
-            bytes += SettingsNode.bytesOf(c.path(), c.set());
+            bytes += SettingsNode.estimateBytes(c.path(), c.set());
         }
         for (SettingsNode n : before) {
-            bytes += n.bytes();
+            bytes += n.estimatedBytes();
         }
         return bytes;
     }
 
-    boolean touches(NodePath path) {
+    boolean changesNode(NodePath path) {
         return before.stream().anyMatch(n -> n.path().equals(path));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/KeyDigest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/KeyDigest.java
@@ -5,7 +5,10 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 digests: of bearer keys, so that the settings tree holds no key, and of changes. */
+/**
+ * Computes SHA-256 digests of bearer keys, so that the settings tree contains no keys, and provides
+ * the algorithm for {@link ChangeDigest}.
+ */
 public final class KeyDigest {
     private KeyDigest() {}
 
@@ -23,7 +26,8 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException(
+                    "SHA-256 is not available, although every Java platform has to provide it", e);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Level.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Level.java
@@ -16,10 +16,11 @@
     /** Every level, the most general first. */
     static final List<Level> ALL = List.of(values());
 
-    // Paths are read and written for each node of a tree that comes in, at a router's start too.
+    // Computed once: paths are parsed and formatted for each node of a received tree, which also
+    // delays a router's start.
     private final String mWord = name().toLowerCase(Locale.ROOT).replace('_', '-');
 
-    /** Returns the word that a node's path uses, such as {@code data-centre}. */
+    /** Returns the level's name in a node's path, such as {@code data-centre}. */
     public String word() {
         return mWord;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/NodePath.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/NodePath.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Names a node of the settings tree by any subset of the levels, the most general first, such as
- * {@code /region=vestkyst/service=seilhjerne}; {@code /} is the deployment. A level that the path
- * does not name is null. A route stands alone: no other node inherits from it.
+ * The path of a node in the settings tree. It names any subset of the levels, the most general
+ * first, such as {@code /region=vestkyst/service=seilhjerne}; {@code /} is the deployment. A level
+ * that the path does not name is null. No other node inherits from a route.
  *
  * @param region the region's name
  * @param dataCentre the data centre's name
@@ -17,22 +17,22 @@
 public record NodePath(
         String region, String dataCentre, String service, String account, String rule, String route)
         implements Comparable<NodePath> {
-    /** The deployment, which every other node inherits from. */
+    /** The deployment, from which every other node inherits. */
     public static final NodePath DEPLOYMENT = new NodePath(null, null, null, null, null, null);
 
-    /** What a path looks like, for the reader of a fault. */
+    /** Describes the format of a path, for error messages. */
     static final String FORM =
             "/ or LEVEL=NAME parts in the order region, data-centre, service, account,"
                     + "rule, route, each after a slash, such as"
                     + " /region=vestkyst/service=seilhjerne;"
                     + " a name has up to 128 letters, digits and . _ : @ -";
 
-    private static final int LONGEST_NAME = 128;
+    private static final int MAX_NAME_CHARS = 128;
 
-    /** What a name may have besides letters and digits, but for its first character. */
-    private static final String NAME_MARKS = "._:@-";
+    /** The characters besides letters and digits that a name may have after its first character. */
+    private static final String NAME_PUNCTUATION = "._:@-";
 
-    /** Refuses names of a wrong form. */
+    /** Rejects malformed names. */
     public NodePath {
         check(region);
         check(dataCentre);
@@ -42,7 +42,7 @@
         check(route);
     }
 
-    /** Names a node of the levels from the region down to the rule. */
+    /** Creates the path of a node that is not a route. */
     public NodePath(String region, String dataCentre, String service, String account, String rule) {
         this(region, dataCentre, service, account, rule, null);
     }
@@ -54,12 +54,12 @@
     }
 
     private static boolean isName(String text) {
-        if (text.isEmpty() || text.length() > LONGEST_NAME || !isLetterOrDigit(text.charAt(0))) {
+        if (text.isEmpty() || text.length() > MAX_NAME_CHARS || !isLetterOrDigit(text.charAt(0))) {
             return false;
         }
         for (int i = 1; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!isLetterOrDigit(c) && NAME_MARKS.indexOf(c) < 0) {
+            if (!isLetterOrDigit(c) && NAME_PUNCTUATION.indexOf(c) < 0) {
                 return false;
             }
         }
@@ -70,27 +70,27 @@
         return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9';
     }
 
-    /** Returns the node that defines a service. */
+    /** Returns the path of the node that defines a service. */
     public static NodePath ofService(String service) {
         return new NodePath(null, null, service, null, null);
     }
 
-    /** Returns the node that defines a client account. */
+    /** Returns the path of the node that defines a client account. */
     public static NodePath ofAccount(String account) {
         return new NodePath(null, null, null, account, null);
     }
 
-    /** Returns the node that defines a route. */
+    /** Returns the path of the node that defines a route. */
     public static NodePath ofRoute(String route) {
         return new NodePath(null, null, null, null, null, route);
     }
 
     /**
-     * Reads a path.
+     * Parses a path.
      *
-     * @param text as {@link #toString} writes it
+     * @param text a path in the format of {@link #toString}
      * @return the path
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text is malformed
      */
     public static NodePath parse(String text) {
         if (text.equals("/")) {
@@ -158,7 +158,7 @@
 
     /**
      * Returns a number that is greater for the more specific of two nodes that apply to the same
-     * request: the most specific level that only one of them names decides.
+     * request. The most specific level that only one of them names decides.
      */
     int specificity() {
         int bits = 0;
@@ -175,8 +175,8 @@
         return new NodePath(region, dataCentre, service, account, null);
     }
 
-    // Written out: a record's own ones are made by the virtual machine at their first use, when a
-    // starting control instance can't vote yet.
+    // equals and hashCode are written by hand: the virtual machine generates a record's methods at
+    // their first use, which delays the time at which a starting control instance can vote.
     @Override
     public boolean equals(Object other) {
         return other instanceof NodePath p
@@ -198,7 +198,7 @@
         return toString().compareTo(other.toString());
     }
 
-    /** Returns the path as operators write it. */
+    /** Returns the path in the format that {@link #parse} accepts. */
     @Override
     public String toString() {
         StringBuilder s = new StringBuilder();
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/NodeReferences.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/NodeReferences.java
@@ -4,52 +4,54 @@
 import java.util.List;
 
 /**
- * The names that a node claims for itself, of which no two nodes may claim the same, and the
- * definitions it depends on. Both are texts with their kind in front.
+ * The unique keys that a node owns, and the definitions that it references. A unique key is a text
+ * of a kind and a name, such as {@code model m1}; no two nodes may own the same one.
  */
 final class NodeReferences {
     private NodeReferences() {}
 
-    static String model(String name) {
+    static String modelKey(String name) {
         return "model " + name;
     }
 
-    static String pathPrefix(String prefix) {
+    static String pathPrefixKey(String prefix) {
         return "path-prefix " + prefix;
     }
 
-    static String place(String host, String prefix) {
+    static String routeKey(String host, String prefix) {
         return "route " + host + prefix;
     }
 
-    static String keyDigest(String digest) {
+    static String digestKey(String digest) {
         return "key-digest " + digest;
     }
 
-    /** Returns what a node claims. */
-    static List<String> claimsOf(SettingsNode node) {
-        List<String> claims = new ArrayList<>();
+    /** Returns the unique keys that a node owns. */
+    static List<String> uniqueKeysOf(SettingsNode node) {
+        List<String> keys = new ArrayList<>();
         List<String> models = node.value(SettingKeys.SERVICE_MODELS);
         if (models != null) {
-            models.forEach(m -> claims.add(model(m)));
+            models.forEach(m -> keys.add(modelKey(m)));
         }
         String prefix = node.value(SettingKeys.SERVICE_PATH_PREFIX);
         if (prefix != null && !prefix.isEmpty()) {
-            claims.add(pathPrefix(prefix));
+            keys.add(pathPrefixKey(prefix));
         }
         List<String> digests = node.value(SettingKeys.ACCOUNT_KEY_DIGESTS);
         if (digests != null) {
-            digests.forEach(d -> claims.add(keyDigest(d)));
+            digests.forEach(d -> keys.add(digestKey(d)));
         }
         if (node.path().route() != null) {
             String host = node.value(SettingKeys.ROUTE_HOST);
-            claims.add(place(host, node.value(SettingKeys.ROUTE_PATH_PREFIX)));
+            keys.add(routeKey(host, node.value(SettingKeys.ROUTE_PATH_PREFIX)));
         }
-        return claims;
+        return keys;
     }
 
-    /** Returns the other nodes that define the services and the client account that one names. */
-    static List<NodePath> definitionsOf(SettingsNode node) {
+    /**
+     * Returns the paths of the definitions of the services and client account that a node names.
+     */
+    static List<NodePath> referencedDefinitions(SettingsNode node) {
         NodePath path = node.path();
         List<NodePath> definitions = new ArrayList<>();
         if (path.service() != null && !path.isOnly(Level.SERVICE)) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/PathPattern.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/PathPattern.java
@@ -1,14 +1,15 @@
 package org.laurelweir.settings;
 
 /**
- * Matches URL paths. A {@code *} at the end stands for any rest, elsewhere for one segment.
+ * A pattern of URL paths. A segment {@code *} matches any single segment; at the end of the pattern
+ * it matches one or more segments.
  *
- * @param text the pattern, beginning with a slash
+ * @param text the pattern, which begins with a slash
  */
 public record PathPattern(String text) {
-    private static final String ANY = "*";
+    private static final String WILDCARD = "*";
 
-    /** Refuses a pattern that does not begin with a slash. */
+    /** Rejects a pattern that does not begin with a slash or that contains a space. */
     public PathPattern {
         if (!text.startsWith("/") || text.indexOf(' ') >= 0) {
             throw new IllegalArgumentException("not a path pattern: " + text);
@@ -17,15 +18,18 @@
 
     /** Returns whether a path matches. */
     public boolean matches(String path) {
-        String[] wanted = text.split("/", -1);
-        String[] given = path.split("/", -1);
-        int last = wanted.length - 1;
-        boolean open = wanted[last].equals(ANY);
-        if (open ? given.length < wanted.length : given.length != wanted.length) {
+        String[] patternSegments = text.split("/", -1);
+        String[] pathSegments = path.split("/", -1);
+        int last = patternSegments.length - 1;
+        boolean isOpenEnded = patternSegments[last].equals(WILDCARD);
+        if (isOpenEnded
+                ? pathSegments.length < patternSegments.length
+                : pathSegments.length != patternSegments.length) {
             return false;
         }
-        for (int i = 0; i < (open ? last : wanted.length); i++) {
-            if (!wanted[i].equals(ANY) && !wanted[i].equals(given[i])) {
+        for (int i = 0; i < (isOpenEnded ? last : patternSegments.length); i++) {
+            if (!patternSegments[i].equals(WILDCARD)
+                    && !patternSegments[i].equals(pathSegments[i])) {
                 return false;
             }
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/PersistentMap.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/PersistentMap.java
@@ -5,16 +5,16 @@
 import java.util.function.BiConsumer;
 
 /**
- * An immutable map from texts. A change copies two short arrays and one bucket, so that a tree of
- * many nodes and each of its predecessors share almost everything. Meant for up to some 100,000
- * entries; beyond, the buckets grow.
+ * An immutable map with text keys. A change copies two short arrays and one bucket, so that
+ * successive versions of a large map share almost all data. It is meant for up to about 100,000
+ * entries; with more, the buckets become long and lookups slow.
  */
 final class PersistentMap<V> {
     private static final int BITS = 5;
     private static final int FANOUT = 1 << BITS;
     private static final PersistentMap<?> EMPTY = new PersistentMap<>(new Object[FANOUT], 0);
 
-    /** FANOUT arrays, each of FANOUT buckets; what would be empty is null. */
+    /** FANOUT arrays of FANOUT buckets each; an empty array or bucket is null. */
     private final Object[] mArrays;
 
     private final int mSize;
@@ -35,7 +35,7 @@
         return mSize;
     }
 
-    /** Returns the value of a key, or null. */
+    /** Returns the value of a key, or null if the map has no such key. */
     V get(String key) {
         for (Entry<V> e : bucket(key)) {
             if (e.key.equals(key)) {
@@ -46,10 +46,10 @@
     }
 
     /**
-     * Returns a map that differs in one key.
+     * Returns a copy with one changed entry.
      *
      * @param key the key
-     * @param value its new value, or null to leave it out
+     * @param value the new value, or null to remove the key
      */
     PersistentMap<V> with(String key, V value) {
         List<Entry<V>> old = bucket(key);
@@ -62,10 +62,10 @@
         if (value != null) {
             bucket.add(new Entry<>(key, value));
         }
-        return replaced(spread(key), bucket, mSize + bucket.size() - old.size());
+        return withBucket(spread(key), bucket, mSize + bucket.size() - old.size());
     }
 
-    private PersistentMap<V> replaced(int hash, List<Entry<V>> bucket, int size) {
+    private PersistentMap<V> withBucket(int hash, List<Entry<V>> bucket, int size) {
         Object[] arrays = mArrays.clone();
         Object[] inner = (Object[]) arrays[outer(hash)];
         inner = inner == null ? new Object[FANOUT] : inner.clone();
@@ -74,7 +74,7 @@
         return new PersistentMap<>(arrays, size);
     }
 
-    /** Calls the consumer for each entry, in an order that depends on the entries alone. */
+    /** Calls the consumer for each entry, in an order that depends only on the entries. */
     void forEach(BiConsumer<String, V> consumer) {
         for (Object array : mArrays) {
             if (array != null) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
@@ -6,11 +6,11 @@
 import org.laurelweir.placement.OutlierConfig;
 import org.laurelweir.routing.RequestPolicy;
 
-/** Turns resolved settings into the records that the reducers take. */
+/** Converts resolved settings into the configuration records of the reducers. */
 public final class Policies {
     private Policies() {}
 
-    /** Returns what binds one request. */
+    /** Returns the policy for one request. */
     public static RequestPolicy request(EffectiveSettings s) {
         Duration backoffMin = s.get(SettingKeys.RETRY_BACKOFF_MIN);
         return new RequestPolicy(
@@ -26,7 +26,11 @@
                 s.get(SettingKeys.STREAM_SILENCE));
     }
 
-    /** Returns what binds one sidecar; resolved for its service. */
+    /**
+     * Returns the settings of a sidecar.
+     *
+     * @param s the settings resolved for the sidecar's service
+     */
     public static SidecarSettings sidecar(EffectiveSettings s) {
         return new SidecarSettings(
                 bound(s.get(SettingKeys.BOUND_FACTOR)),
@@ -45,7 +49,7 @@
                 SidecarSettings.DEFAULT.refusalStatuses());
     }
 
-    /** Returns the bound of a factor; a low factor leaves less headroom and less room for chats. */
+    /** Returns the load bound; a low factor also lowers the headroom and the uncached factor. */
     private static BoundConfig bound(double factor) {
         BoundConfig d = SidecarSettings.DEFAULT.bound();
         return new BoundConfig(
@@ -57,7 +61,11 @@
                 d.maxRedirects());
     }
 
-    /** Returns when a router passes over a backend server; resolved for its service. */
+    /**
+     * Returns the thresholds at which a router ejects a backend server.
+     *
+     * @param s the settings resolved for the backend server's service
+     */
     public static OutlierConfig outliers(EffectiveSettings s) {
         return new OutlierConfig(
                 s.get(SettingKeys.EJECTION_FAILURES),
@@ -67,15 +75,15 @@
     }
 
     /**
-     * Returns the time for a whole answer.
+     * Returns the maximum time for a whole answer.
      *
-     * @param s resolved for the call
-     * @param asked what the caller asks for, or null
+     * @param s the settings resolved for the call
+     * @param requested the time that the caller requests, or null for the default
      */
-    public static Duration deadline(EffectiveSettings s, Duration asked) {
-        Duration wanted = asked == null ? s.get(SettingKeys.DEADLINE_DEFAULT) : asked;
+    public static Duration deadline(EffectiveSettings s, Duration requested) {
+        Duration timeout = requested == null ? s.get(SettingKeys.DEADLINE_DEFAULT) : requested;
         Duration max = s.get(SettingKeys.DEADLINE_MAX);
-        return wanted.compareTo(max) > 0 ? max : wanted;
+        return timeout.compareTo(max) > 0 ? max : timeout;
     }
 
     private static Duration longer(Duration a, Duration b) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswer.java
@@ -3,20 +3,20 @@
 import java.time.Instant;
 
 /**
- * The first answer to a change, kept for those who send it again.
+ * The first answer to a change, which is returned if the change is sent again.
  *
- * @param changeId the change's id
- * @param at when the leader took the change
- * @param digest of what the change asked for, to know another change under the same id
+ * @param changeId the change's ID
+ * @param at the time at which the leader received the change
+ * @param digest the digest of the requested changes, which detects another change with the same ID
  * @param answer the answer
  */
 public record RecordedAnswer(String changeId, Instant at, String digest, SettingsAnswer answer) {
-    /** Returns what the answer takes, about: the same on every replica. */
-    long bytes() {
-        long bytes = SettingsNode.FIXED_BYTES;
+    /** Returns the answer's estimated size in bytes, which is the same on every replica. */
+    long estimatedBytes() {
+        long bytes = SettingsNode.OVERHEAD_BYTES;
         for (SettingsNode n : answer.nodes()) {
-            bytes += n.bytes();
+            bytes += n.estimatedBytes();
         }
-        return bytes + (long) SettingsNode.FIXED_BYTES * answer.faults().size();
+        return bytes + (long) SettingsNode.OVERHEAD_BYTES * answer.faults().size();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswers.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * The first answers to recent changes by their ids. Operators whose answer was lost send the change
- * again; without this they would learn of a conflict with themselves. An id that has been forgotten
- * does no harm: the change's expected versions have passed and it is refused.
+ * The first answers to recent changes, by change ID. An operator who did not receive the answer
+ * sends the change again; without the recorded answer, the change would conflict with its own first
+ * execution. Evicting an answer is safe: the change's expected versions are outdated then, and it
+ * is rejected.
  */
 final class RecordedAnswers {
     private final Map<String, RecordedAnswer> mAnswers = new LinkedHashMap<>();
@@ -25,37 +26,37 @@
         return mAnswers.get(changeId);
     }
 
-    /** Keeps an answer under an id that has none, and forgets the oldest beyond the limit. */
-    void keep(RecordedAnswer answer) {
+    /** Adds an answer under a new change ID and evicts the oldest ones beyond the size limit. */
+    void recordAnswer(RecordedAnswer answer) {
         put(answer);
         while (mBytes > mLimits.answerBytes() && mAnswers.size() > 1) {
-            forgetOldest();
+            evictOldest();
         }
     }
 
     private void put(RecordedAnswer answer) {
         mAnswers.put(answer.changeId(), answer);
-        mBytes += answer.bytes();
+        mBytes += answer.estimatedBytes();
     }
 
     private RecordedAnswer oldest() {
         return mAnswers.values().iterator().next();
     }
 
-    private void forgetOldest() {
-        RecordedAnswer forgotten = mAnswers.remove(oldest().changeId());
-        mBytes -= forgotten.bytes();
+    private void evictOldest() {
+        RecordedAnswer evicted = mAnswers.remove(oldest().changeId());
+        mBytes -= evicted.estimatedBytes();
     }
 
-    /** Forgets answers by the leader's time, so that every replica forgets the same. */
-    void expire(Instant now) {
+    /** Evicts answers by the leader's time, so that every replica evicts the same ones. */
+    void evictExpired(Instant now) {
         Instant earliest = now.minus(mLimits.answerRetention());
-        while (!mAnswers.isEmpty() && isDue(oldest(), earliest)) {
-            forgetOldest();
+        while (!mAnswers.isEmpty() && mustEvict(oldest(), earliest)) {
+            evictOldest();
         }
     }
 
-    private boolean isDue(RecordedAnswer oldest, Instant earliest) {
+    private boolean mustEvict(RecordedAnswer oldest, Instant earliest) {
         return oldest.at().isBefore(earliest) || mAnswers.size() > mLimits.answers();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ReferenceCheck.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ReferenceCheck.java
@@ -9,12 +9,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Checks what a change does to the references between nodes. Looks only at the changed nodes and at
- * the tree's indexes, so its cost does not grow with the tree.
+ * Validates the references between nodes after a change. It reads only the changed nodes and the
+ * tree's indexes, so its cost does not grow with the tree.
  */
 final class ReferenceCheck {
-    private static final String MODEL_API = "/v1";
-    private static final List<SettingKey<?>> REQUIRED_OF_ROUTE =
+    private static final String MODEL_API_PREFIX = "/v1";
+    private static final List<SettingKey<?>> REQUIRED_ROUTE_KEYS =
             List.of(
                     SettingKeys.ROUTE_HOST,
                     SettingKeys.ROUTE_PATH_PREFIX,
@@ -23,7 +23,7 @@
     private final SettingsTree mBefore;
     private final SettingsTree mAfter;
     private final Set<NodePath> mChanged;
-    private final Map<String, NodePath> mNewClaims = new HashMap<>();
+    private final Map<String, NodePath> mNewUniqueKeys = new HashMap<>();
     private final List<NodeFault> mFaults = new ArrayList<>();
 
     private ReferenceCheck(SettingsTree before, SettingsTree after, List<SettingsNode> changed) {
@@ -33,21 +33,21 @@
     }
 
     /**
-     * Returns what is wrong.
+     * Returns the faults of a change.
      *
      * @param before the tree in force
-     * @param after the tree as it would be
-     * @param changed the changed nodes as they would be
+     * @param after the tree with the change
+     * @param changed the changed nodes in their new state
      */
     static List<NodeFault> faultsOf(
             SettingsTree before, SettingsTree after, List<SettingsNode> changed) {
         ReferenceCheck check = new ReferenceCheck(before, after, changed);
         for (SettingsNode n : changed) {
             if (n.deleted()) {
-                check.checkUnused(n.path());
+                check.checkUnreferenced(n.path());
             } else {
                 check.checkDefinitions(n);
-                check.checkClaims(n);
+                check.checkUniqueKeys(n);
                 check.checkService(n);
                 check.checkRule(n);
                 check.checkRoute(n);
@@ -56,18 +56,22 @@
         return check.mFaults;
     }
 
-    private void checkUnused(NodePath path) {
-        boolean definition = path.isOnly(Level.SERVICE) || path.isOnly(Level.ACCOUNT);
-        int uses = definition ? mAfter.usesOf(path) : 0;
-        if (uses > 0) {
-            fault(path, "", "is named by other nodes: " + uses, "a node that no other one names");
+    private void checkUnreferenced(NodePath path) {
+        boolean isDefinition = path.isOnly(Level.SERVICE) || path.isOnly(Level.ACCOUNT);
+        int references = isDefinition ? mAfter.referenceCount(path) : 0;
+        if (references > 0) {
+            addFault(
+                    path,
+                    "",
+                    "is named by other nodes: " + references,
+                    "a node that no other one names");
         }
     }
 
     private void checkDefinitions(SettingsNode node) {
-        for (NodePath definition : NodeReferences.definitionsOf(node)) {
+        for (NodePath definition : NodeReferences.referencedDefinitions(node)) {
             if (mAfter.node(definition).isEmpty()) {
-                fault(
+                addFault(
                         node.path(),
                         "",
                         "needs " + definition,
@@ -76,15 +80,19 @@
         }
     }
 
-    private void checkClaims(SettingsNode node) {
-        for (String claim : NodeReferences.claimsOf(node)) {
-            NodePath other = mNewClaims.putIfAbsent(claim, node.path());
-            Optional<NodePath> holder = mBefore.holderOf(claim);
-            if (other == null && holder.isPresent() && !mChanged.contains(holder.get())) {
-                other = holder.get();
+    private void checkUniqueKeys(SettingsNode node) {
+        for (String uniqueKey : NodeReferences.uniqueKeysOf(node)) {
+            NodePath other = mNewUniqueKeys.putIfAbsent(uniqueKey, node.path());
+            Optional<NodePath> owner = mBefore.ownerOf(uniqueKey);
+            if (other == null && owner.isPresent() && !mChanged.contains(owner.get())) {
+                other = owner.get();
             }
             if (other != null) {
-                fault(node.path(), "", claim + " belongs to " + other, "what no other node has");
+                addFault(
+                        node.path(),
+                        "",
+                        uniqueKey + " belongs to " + other,
+                        "what no other node has");
             }
         }
     }
@@ -93,22 +101,30 @@
         if (!node.path().isOnly(Level.SERVICE)) {
             return;
         }
-        boolean plain = "plain".equals(node.value(SettingKeys.SERVICE_KIND));
+        boolean isPlain = "plain".equals(node.value(SettingKeys.SERVICE_KIND));
         String prefix = node.value(SettingKeys.SERVICE_PATH_PREFIX);
         boolean hasPrefix = prefix != null && !prefix.isEmpty();
         List<String> models = node.value(SettingKeys.SERVICE_MODELS);
-        if (plain != hasPrefix) {
+        if (isPlain != hasPrefix) {
             String problem =
-                    plain ? "is missing for a plain service" : "is set for a model service";
-            fault(node.path(), "service.path-prefix", problem, "a prefix just for plain services");
+                    isPlain ? "is missing for a plain service" : "is set for a model service";
+            addFault(
+                    node.path(),
+                    "service.path-prefix",
+                    problem,
+                    "a prefix just for plain services");
         }
-        if (plain && models != null && !models.isEmpty()) {
+        if (isPlain && models != null && !models.isEmpty()) {
             String problem = "is set for a plain service";
-            fault(node.path(), "service.models", problem, "models just for model services");
+            addFault(node.path(), "service.models", problem, "models just for model services");
         }
-        if (hasPrefix && (prefix + "/").startsWith(MODEL_API + "/")) {
+        if (hasPrefix && (prefix + "/").startsWith(MODEL_API_PREFIX + "/")) {
             String problem = "is kept for the models' own calls";
-            fault(node.path(), "service.path-prefix", problem, "a prefix outside " + MODEL_API);
+            addFault(
+                    node.path(),
+                    "service.path-prefix",
+                    problem,
+                    "a prefix outside " + MODEL_API_PREFIX);
         }
     }
 
@@ -119,7 +135,7 @@
         Rule rule = Rule.of(node);
         if (rule.methods().isEmpty() && rule.path() == null && rule.models().isEmpty()) {
             String allowed = "one of match.method, match.path, match.model at least";
-            fault(node.path(), "", "matches every call", allowed);
+            addFault(node.path(), "", "matches every call", allowed);
         }
     }
 
@@ -128,16 +144,16 @@
             return;
         }
         if (!node.path().isOnly(Level.ROUTE)) {
-            fault(node.path(), "", "is a route below another level", "/route=NAME");
+            addFault(node.path(), "", "is a route below another level", "/route=NAME");
         }
-        for (SettingKey<?> key : REQUIRED_OF_ROUTE) {
+        for (SettingKey<?> key : REQUIRED_ROUTE_KEYS) {
             if (!node.values().containsKey(key.name())) {
-                fault(node.path(), key.name(), "is missing", key.allowed());
+                addFault(node.path(), key.name(), "is missing", key.allowed());
             }
         }
     }
 
-    private void fault(NodePath path, String key, String problem, String allowed) {
+    private void addFault(NodePath path, String key, String problem, String allowed) {
         mFaults.add(new NodeFault(path.toString(), key, problem, allowed));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/RouteShare.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RouteShare.java
@@ -1,13 +1,13 @@
 package org.laurelweir.settings;
 
 /**
- * The share of a route's requests that one service gets.
+ * The share of a route's requests that one service receives.
  *
- * @param service the service
- * @param weight its share, relative to the weights of the route's other services
+ * @param service the service's name
+ * @param weight the share, relative to the weights of the route's other services
  */
 public record RouteShare(String service, double weight) {
-    /** Refuses weights that are no share. */
+    /** Rejects an empty service name, and a weight that is negative or not finite. */
     public RouteShare {
         if (service.isEmpty() || !Double.isFinite(weight) || weight < 0) {
             throw new IllegalArgumentException(service + ":" + weight);
@@ -23,7 +23,7 @@
                 text.substring(0, colon), Double.parseDouble(text.substring(colon + 1)));
     }
 
-    /** Returns the share as settings write it. */
+    /** Returns the share as written in settings. */
     @Override
     public String toString() {
         return service + ":" + weight;
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Rule.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Rule.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A rule node with its conditions, ready to be matched against calls.
+ * A rule node with its parsed conditions.
  *
- * @param node the node
- * @param methods methods to which it applies; empty for every one
- * @param path paths to which it applies, or null for every one
- * @param models models to which it applies; empty for every one
+ * @param node the rule's node
+ * @param methods the HTTP methods to which it applies; empty for all
+ * @param path the pattern of the paths to which it applies; null for all
+ * @param models the models to which it applies; empty for all
  */
 record Rule(SettingsNode node, List<String> methods, PathPattern path, List<String> models) {
     static Rule of(SettingsNode node) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingKey.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingKey.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * One key of the settings tree: what its values are, where it may stand and what holds if it stands
- * nowhere. All keys are in {@link SettingKeys}.
+ * A key of the settings tree: the type of its values, the nodes that may set it, and its default.
+ * All keys are in {@link SettingKeys}.
  *
- * @param <T> the values
+ * @param <T> the type of the values
  */
 public final class SettingKey<T> {
     private final int mIndex;
@@ -18,7 +18,7 @@
     private final String mMin;
     private final String mMax;
     private final Set<Level> mLevels;
-    private final boolean mDefinition;
+    private final boolean mIsDefinition;
     private final String mDoc;
 
     private SettingKey(Builder<T> b, int index) {
@@ -29,49 +29,49 @@
         mMin = b.mMin;
         mMax = b.mMax;
         mLevels = Collections.unmodifiableSet(b.mLevels);
-        mDefinition = b.mDefinition;
+        mIsDefinition = b.mIsDefinition;
         mDoc = b.mDoc;
     }
 
-    /** Returns the name, such as {@code queue.max-age}. */
+    /** Returns the key's name, such as {@code queue.max-age}. */
     public String name() {
         return mName;
     }
 
-    /** Returns how values are written. */
+    /** Returns the type of the values. */
     public SettingType<T> type() {
         return mType;
     }
 
-    /** Returns the value that holds if no node sets the key, as it would be written. */
+    /** Returns the default as written in settings; it applies if no node sets the key. */
     public String defaultText() {
         return mDefaultText;
     }
 
-    /** Returns the value that holds if no node sets the key. */
+    /** Returns the default, which applies if no node sets the key. */
     public T defaultValue() {
         return mType.parser().apply(mDefaultText);
     }
 
-    /** Returns what the key is for, in a sentence or two, with its unit. */
+    /** Returns the key's description of one or two sentences, with its unit. */
     public String doc() {
         return mDoc;
     }
 
-    /** Returns the levels on which a node may set the key: its most specific level counts. */
+    /** Returns the levels on which a node may set the key; a node is on its most specific level. */
     public Set<Level> levels() {
         return mLevels;
     }
 
     /**
-     * Returns whether the key belongs to the definition of a service or client account, and stands
-     * only in the node that names just that one.
+     * Returns whether the key belongs to the definition of a service, client account or route. Only
+     * the node whose path names that level and no other may set it.
      */
     public boolean isDefinition() {
-        return mDefinition;
+        return mIsDefinition;
     }
 
-    /** Returns what a value looks like and between which limits it lies. */
+    /** Returns a description of the valid values and their range. */
     public String allowed() {
         if (mMin == null) {
             return mType.allowed();
@@ -79,10 +79,10 @@
         return mType.allowed() + ", from " + mMin + " to " + mMax;
     }
 
-    /** Returns in which nodes the key may stand, for the reader of a fault. */
-    public String allowedPlaces() {
+    /** Returns a description of the nodes that may set the key, for error messages. */
+    public String allowedNodes() {
         Level last = Collections.max(mLevels);
-        if (mDefinition) {
+        if (mIsDefinition) {
             return "/" + last.word() + "=NAME";
         }
         return mLevels.size() == 1
@@ -91,16 +91,16 @@
     }
 
     /** Returns whether a node may set the key. */
-    public boolean mayStandIn(NodePath path) {
-        return mLevels.contains(path.level()) && (!mDefinition || path.isOnly(path.level()));
+    public boolean isAllowedIn(NodePath path) {
+        return mLevels.contains(path.level()) && (!mIsDefinition || path.isOnly(path.level()));
     }
 
     /**
-     * Reads a value.
+     * Parses a value.
      *
-     * @param text the value as written
+     * @param text the value as written in settings
      * @return the value
-     * @throws IllegalArgumentException if the text has another form or lies out of range
+     * @throws IllegalArgumentException if the text is malformed or the value is out of range
      */
     public T parse(String text) {
         T value = mType.parser().apply(text);
@@ -128,7 +128,7 @@
         return new Builder<>(name, type);
     }
 
-    /** Collects what a key is. */
+    /** Builds a {@link SettingKey}. */
     static final class Builder<T> {
         private final String mName;
         private final SettingType<T> mType;
@@ -136,7 +136,7 @@
         private String mMin;
         private String mMax;
         private Set<Level> mLevels = EnumSet.range(Level.DEPLOYMENT, Level.RULE);
-        private boolean mDefinition;
+        private boolean mIsDefinition;
         private String mDoc = "";
 
         private Builder(String name, SettingType<T> type) {
@@ -144,7 +144,7 @@
             mType = type;
         }
 
-        Builder<T> by(String defaultText) {
+        Builder<T> defaultsTo(String defaultText) {
             mDefaultText = defaultText;
             return this;
         }
@@ -155,7 +155,7 @@
             return this;
         }
 
-        /** Allows the key on the levels from the deployment down to this one. */
+        /** Allows the key on the levels from the deployment to this one. */
         Builder<T> downTo(Level level) {
             mLevels = EnumSet.range(Level.DEPLOYMENT, level);
             return this;
@@ -167,9 +167,9 @@
             return this;
         }
 
-        /** Allows the key only in the node that defines a service or client account. */
+        /** Allows the key only in the node that defines a service, client account or route. */
         Builder<T> defines(Level level) {
-            mDefinition = true;
+            mIsDefinition = true;
             return only(level);
         }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingKeys.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingKeys.java
@@ -15,7 +15,7 @@
     public static final SettingKey<Double> BOUND_FACTOR =
             add(
                     SettingKey.builder("bound.factor", SettingType.NUMBER)
-                            .by("1.25")
+                            .defaultsTo("1.25")
                             .range("1.05", "10")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -25,7 +25,7 @@
     public static final SettingKey<Integer> QUEUE_MAX_REQUESTS =
             add(
                     SettingKey.builder("queue.max-requests", SettingType.COUNT)
-                            .by("64")
+                            .defaultsTo("64")
                             .range("0", "100000")
                             .downTo(Level.SERVICE)
                             .doc("Most requests that wait beside one backend server."));
@@ -33,7 +33,7 @@
     public static final SettingKey<ByteSize> QUEUE_MAX_BYTES =
             add(
                     SettingKey.builder("queue.max-bytes", SettingType.SIZE)
-                            .by("16MiB")
+                            .defaultsTo("16MiB")
                             .range("0B", "1GiB")
                             .downTo(Level.SERVICE)
                             .doc("Most bytes of bodies that wait beside one backend server."));
@@ -41,7 +41,7 @@
     public static final SettingKey<Duration> QUEUE_MAX_AGE =
             add(
                     SettingKey.builder("queue.max-age", SettingType.DURATION)
-                            .by("2s")
+                            .defaultsTo("2s")
                             .range("0s", "1m")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -51,7 +51,7 @@
     public static final SettingKey<Duration> DEADLINE_DEFAULT =
             add(
                     SettingKey.builder("deadline.default", SettingType.DURATION)
-                            .by("1m")
+                            .defaultsTo("1m")
                             .range("100ms", "1h")
                             .doc(
                                     "Time for the whole answer where the caller names none; at"
@@ -60,14 +60,14 @@
     public static final SettingKey<Duration> DEADLINE_MAX =
             add(
                     SettingKey.builder("deadline.max", SettingType.DURATION)
-                            .by("10m")
+                            .defaultsTo("10m")
                             .range("100ms", "1h")
                             .doc("Longest time that a caller may ask for."));
 
     public static final SettingKey<Double> ACCOUNT_WEIGHT =
             add(
                     SettingKey.builder("account.weight", SettingType.NUMBER)
-                            .by("1")
+                            .defaultsTo("1")
                             .range("0.01", "1000")
                             .doc(
                                     "Share of a client account when accounts compete for a"
@@ -76,7 +76,7 @@
     public static final SettingKey<Integer> ACCOUNT_MAX_RUNNING =
             add(
                     SettingKey.builder("account.max-running", SettingType.COUNT)
-                            .by("1000000")
+                            .defaultsTo("1000000")
                             .range("0", "1000000")
                             .doc(
                                     "Most requests of a client account in flight in the"
@@ -85,7 +85,7 @@
     public static final SettingKey<Double> ACCOUNT_RATE =
             add(
                     SettingKey.builder("account.rate", SettingType.NUMBER)
-                            .by("1000000")
+                            .defaultsTo("1000000")
                             .range("0", "1000000")
                             .doc(
                                     "Requests a second that a client account may start in the"
@@ -102,7 +102,7 @@
     public static final SettingKey<Integer> ACCOUNT_PRIORITY =
             add(
                     SettingKey.builder("account.priority", SettingType.COUNT)
-                            .by("-1")
+                            .defaultsTo("-1")
                             .range("-1", "9")
                             .defines(Level.ACCOUNT)
                             .doc(
@@ -113,7 +113,7 @@
             add(
                     SettingKey.builder(
                                     "service.kind", SettingType.oneOf("model", "plain", "routed"))
-                            .by("model")
+                            .defaultsTo("model")
                             .defines(Level.SERVICE)
                             .doc(
                                     "model: reached by the name of a model; plain: reached"
@@ -155,7 +155,7 @@
     public static final SettingKey<Integer> SERVICE_OUTPUT_TOKENS =
             add(
                     SettingKey.builder("service.output-tokens", SettingType.COUNT)
-                            .by("256")
+                            .defaultsTo("256")
                             .range("1", "1000000")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -165,7 +165,7 @@
     public static final SettingKey<Integer> SERVICE_CACHE_TOKENS =
             add(
                     SettingKey.builder("service.cache-tokens", SettingType.COUNT)
-                            .by("1000000")
+                            .defaultsTo("1000000")
                             .range("1", "1000000000")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -175,7 +175,7 @@
     public static final SettingKey<Integer> SERVICE_CONNECTIONS =
             add(
                     SettingKey.builder("service.connections", SettingType.COUNT)
-                            .by("1000")
+                            .defaultsTo("1000")
                             .range("1", "1000000")
                             .defines(Level.SERVICE)
                             .doc(
@@ -185,7 +185,7 @@
     public static final SettingKey<Integer> SERVICE_SLOTS =
             add(
                     SettingKey.builder("service.slots", SettingType.COUNT)
-                            .by("0")
+                            .defaultsTo("0")
                             .range("0", "100000")
                             .defines(Level.SERVICE)
                             .doc(
@@ -195,14 +195,14 @@
     public static final SettingKey<String> CHAT_HEADER =
             add(
                     SettingKey.builder("chat.header", SettingType.TOKEN_NAME)
-                            .by("X-Chat-Id")
+                            .defaultsTo("X-Chat-Id")
                             .downTo(Level.ACCOUNT)
                             .doc("Request header that names the chat; looked at first."));
 
     public static final SettingKey<String> CHAT_FIELD =
             add(
                     SettingKey.builder("chat.field", SettingType.TOKEN_NAME)
-                            .by("prompt_cache_key")
+                            .defaultsTo("prompt_cache_key")
                             .downTo(Level.ACCOUNT)
                             .doc(
                                     "Field of the request body that names the chat; looked at"
@@ -211,7 +211,7 @@
     public static final SettingKey<Integer> CHAT_PREFIX_MESSAGES =
             add(
                     SettingKey.builder("chat.prefix-messages", SettingType.COUNT)
-                            .by("2")
+                            .defaultsTo("2")
                             .range("1", "32")
                             .downTo(Level.ACCOUNT)
                             .doc(
@@ -221,14 +221,14 @@
     public static final SettingKey<Integer> RETRY_MAX_ATTEMPTS =
             add(
                     SettingKey.builder("retry.max-attempts", SettingType.COUNT)
-                            .by("3")
+                            .defaultsTo("3")
                             .range("1", "10")
                             .doc("Most attempts at one request, the first included."));
 
     public static final SettingKey<Double> RETRY_BUDGET_SHARE =
             add(
                     SettingKey.builder("retry.budget-share", SettingType.NUMBER)
-                            .by("0.1")
+                            .defaultsTo("0.1")
                             .range("0", "1")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -238,14 +238,14 @@
     public static final SettingKey<Duration> RETRY_BACKOFF_MIN =
             add(
                     SettingKey.builder("retry.backoff-min", SettingType.DURATION)
-                            .by("10ms")
+                            .defaultsTo("10ms")
                             .range("0s", "1m")
                             .doc("Shortest wait before a retry."));
 
     public static final SettingKey<Duration> RETRY_BACKOFF_MAX =
             add(
                     SettingKey.builder("retry.backoff-max", SettingType.DURATION)
-                            .by("500ms")
+                            .defaultsTo("500ms")
                             .range("0s", "5m")
                             .doc(
                                     "Longest wait before a retry; at least retry.backoff-min"
@@ -254,7 +254,7 @@
     public static final SettingKey<Integer> EJECTION_FAILURES =
             add(
                     SettingKey.builder("ejection.failures", SettingType.COUNT)
-                            .by("3")
+                            .defaultsTo("3")
                             .range("1", "1000")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -264,7 +264,7 @@
     public static final SettingKey<Duration> EJECTION_COOLDOWN =
             add(
                     SettingKey.builder("ejection.cooldown", SettingType.DURATION)
-                            .by("2s")
+                            .defaultsTo("2s")
                             .range("100ms", "2m")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -274,7 +274,7 @@
     public static final SettingKey<Double> EJECTION_MAX_SHARE =
             add(
                     SettingKey.builder("ejection.max-share", SettingType.NUMBER)
-                            .by("0.1")
+                            .defaultsTo("0.1")
                             .range("0", "1")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -284,7 +284,7 @@
     public static final SettingKey<ByteSize> LIMIT_BODY_BYTES =
             add(
                     SettingKey.builder("limit.body-bytes", SettingType.SIZE)
-                            .by("4MiB")
+                            .defaultsTo("4MiB")
                             .range("1KiB", "256MiB")
                             .downTo(Level.DATA_CENTRE)
                             .doc("Largest request body."));
@@ -292,7 +292,7 @@
     public static final SettingKey<ByteSize> LIMIT_HEADER_BYTES =
             add(
                     SettingKey.builder("limit.header-bytes", SettingType.SIZE)
-                            .by("16KiB")
+                            .defaultsTo("16KiB")
                             .range("1KiB", "1MiB")
                             .downTo(Level.DATA_CENTRE)
                             .doc("Largest sum of a request's headers."));
@@ -300,7 +300,7 @@
     public static final SettingKey<Integer> LIMIT_CONNECTIONS =
             add(
                     SettingKey.builder("limit.connections", SettingType.COUNT)
-                            .by("10000")
+                            .defaultsTo("10000")
                             .range("1", "1000000")
                             .downTo(Level.DATA_CENTRE)
                             .doc("Most connections of callers to one router."));
@@ -308,7 +308,7 @@
     public static final SettingKey<Duration> LIMIT_REQUEST_TIME =
             add(
                     SettingKey.builder("limit.request-time", SettingType.DURATION)
-                            .by("30s")
+                            .defaultsTo("30s")
                             .range("100ms", "10m")
                             .downTo(Level.DATA_CENTRE)
                             .doc("Longest time that a caller may take to send a request."));
@@ -316,7 +316,7 @@
     public static final SettingKey<Duration> LIMIT_IDLE_TIME =
             add(
                     SettingKey.builder("limit.idle-time", SettingType.DURATION)
-                            .by("30s")
+                            .defaultsTo("30s")
                             .range("100ms", "1h")
                             .downTo(Level.DATA_CENTRE)
                             .doc("How long a connection of a caller may stay without a request."));
@@ -324,7 +324,7 @@
     public static final SettingKey<Duration> STREAM_SILENCE =
             add(
                     SettingKey.builder("stream.silence", SettingType.DURATION)
-                            .by("2s")
+                            .defaultsTo("2s")
                             .range("100ms", "1m")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -335,7 +335,7 @@
     public static final SettingKey<Duration> STREAM_PROGRESS_INTERVAL =
             add(
                     SettingKey.builder("stream.progress-interval", SettingType.DURATION)
-                            .by("500ms")
+                            .defaultsTo("500ms")
                             .range("10ms", "10s")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -345,7 +345,7 @@
     public static final SettingKey<ByteSize> OUTPUT_KEEP_BYTES =
             add(
                     SettingKey.builder("output.keep-bytes", SettingType.SIZE)
-                            .by("64MiB")
+                            .defaultsTo("64MiB")
                             .range("0B", "1GiB")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -355,7 +355,7 @@
     public static final SettingKey<Duration> OUTPUT_KEEP_TIME =
             add(
                     SettingKey.builder("output.keep-time", SettingType.DURATION)
-                            .by("30s")
+                            .defaultsTo("30s")
                             .range("0s", "10m")
                             .downTo(Level.SERVICE)
                             .doc("How long a sidecar keeps output that nobody follows."));
@@ -363,7 +363,7 @@
     public static final SettingKey<Duration> CLAIM_RETENTION =
             add(
                     SettingKey.builder("claim.retention", SettingType.DURATION)
-                            .by("15m")
+                            .defaultsTo("15m")
                             .range("1m", "7d")
                             .doc(
                                     "How long past its deadline a claim on an idempotency key"
@@ -372,14 +372,14 @@
     public static final SettingKey<Integer> PRIORITY_DEFAULT =
             add(
                     SettingKey.builder("priority.default", SettingType.COUNT)
-                            .by("5")
+                            .defaultsTo("5")
                             .range("0", "9")
                             .doc("Priority where the caller names none; 9 goes first."));
 
     public static final SettingKey<Duration> DRAIN_TIMEOUT =
             add(
                     SettingKey.builder("drain.timeout", SettingType.DURATION)
-                            .by("10m")
+                            .defaultsTo("10m")
                             .range("1s", "1d")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -389,7 +389,7 @@
     public static final SettingKey<Duration> MEMBERSHIP_DAMPING =
             add(
                     SettingKey.builder("membership.damping", SettingType.DURATION)
-                            .by("10s")
+                            .defaultsTo("10s")
                             .range("0s", "10m")
                             .downTo(Level.SERVICE)
                             .doc(
@@ -439,21 +439,21 @@
     public static final SettingKey<Boolean> ROUTE_IDEMPOTENT =
             add(
                     SettingKey.builder("route.idempotent", SettingType.FLAG)
-                            .by("no")
+                            .defaultsTo("no")
                             .defines(Level.ROUTE)
                             .doc("Whether a request may run more than once."));
 
     public static final SettingKey<Boolean> ROUTE_STREAMED =
             add(
                     SettingKey.builder("route.streamed", SettingType.FLAG)
-                            .by("no")
+                            .defaultsTo("no")
                             .defines(Level.ROUTE)
                             .doc("Whether answers are streams of events."));
 
     public static final SettingKey<Boolean> ROUTE_RESUMABLE =
             add(
                     SettingKey.builder("route.resumable", SettingType.FLAG)
-                            .by("no")
+                            .defaultsTo("no")
                             .defines(Level.ROUTE)
                             .doc(
                                     "Whether a stream may go on at another backend server"
@@ -462,14 +462,14 @@
     public static final SettingKey<Boolean> ROUTE_PUBLIC =
             add(
                     SettingKey.builder("route.public", SettingType.FLAG)
-                            .by("no")
+                            .defaultsTo("no")
                             .defines(Level.ROUTE)
                             .doc("Whether requests need no key."));
 
     public static final SettingKey<Integer> ROUTE_MAX_ATTEMPTS =
             add(
                     SettingKey.builder("route.max-attempts", SettingType.COUNT)
-                            .by("1")
+                            .defaultsTo("1")
                             .range("1", "10")
                             .defines(Level.ROUTE)
                             .doc("Most backend servers that one request is sent to."));
@@ -477,7 +477,7 @@
     public static final SettingKey<Duration> ROUTE_TIMEOUT =
             add(
                     SettingKey.builder("route.timeout", SettingType.DURATION)
-                            .by("1m")
+                            .defaultsTo("1m")
                             .range("1ms", "1h")
                             .defines(Level.ROUTE)
                             .doc("Longest time for the whole answer."));
@@ -485,7 +485,7 @@
     public static final SettingKey<Duration> ROUTE_OBJECTIVE =
             add(
                     SettingKey.builder("route.objective", SettingType.DURATION)
-                            .by("1s")
+                            .defaultsTo("1s")
                             .range("0s", "1h")
                             .defines(Level.ROUTE)
                             .doc(
@@ -495,7 +495,7 @@
     public static final SettingKey<Duration> ROUTE_MAX_PAUSE =
             add(
                     SettingKey.builder("route.max-pause", SettingType.DURATION)
-                            .by("1s")
+                            .defaultsTo("1s")
                             .range("0s", "1h")
                             .defines(Level.ROUTE)
                             .doc("Longest pause between events of a prompt stream."));
@@ -503,7 +503,7 @@
     public static final SettingKey<Integer> ROUTE_PRIORITY =
             add(
                     SettingKey.builder("route.priority", SettingType.COUNT)
-                            .by("5")
+                            .defaultsTo("5")
                             .range("0", "9")
                             .defines(Level.ROUTE)
                             .doc("Priority of the requests; 9 goes first."));
@@ -517,16 +517,16 @@
         return key;
     }
 
-    /** Returns every key, those of one concern side by side. */
+    /** Returns every key, grouped by topic. */
     public static List<SettingKey<?>> all() {
         return List.copyOf(KEYS);
     }
 
     /**
-     * Returns the key of a name.
+     * Returns the key with a name.
      *
-     * @param name such as {@code queue.max-age}
-     * @return the key, or nothing if there is none
+     * @param name the key's name, such as {@code queue.max-age}
+     * @return the key, or empty if there is none
      */
     public static Optional<SettingKey<?>> find(String name) {
         return Optional.ofNullable(BY_NAME.get(name));
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingType.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingType.java
@@ -8,20 +8,20 @@
 import java.util.regex.Pattern;
 
 /**
- * How the values of a setting are written. Lists are written with commas between their elements.
+ * The text format of a setting's values. The elements of a list are separated by commas.
  *
- * @param name the type's name, for documents
- * @param allowed what a value looks like, for the reader of a fault
- * @param parser reads a value; throws IllegalArgumentException if the text has none
- * @param <T> the values
+ * @param name the type's name, for documentation
+ * @param allowed describes the valid values, for error messages
+ * @param parser parses a value; throws IllegalArgumentException if the text is invalid
+ * @param <T> the type of the parsed values
  */
 public record SettingType<T>(String name, String allowed, Function<String, T> parser) {
-    private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
-    private static final Pattern WORD = Pattern.compile("[\\x21-\\x2b\\x2d-\\x7e]+");
-    private static final Pattern PREFIX_FORM = Pattern.compile("(/[^/*\\s]+)+");
-    private static final Pattern HOST_FORM = Pattern.compile("[a-z0-9._-]{1,253}");
-    private static final Pattern FOLDER_FORM = Pattern.compile("/([^\\s?#]*/)?");
-    private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9_-]+");
+    private static final Pattern DIGEST_PATTERN = Pattern.compile("[0-9a-f]{64}");
+    private static final Pattern NAME_PATTERN = Pattern.compile("[\\x21-\\x2b\\x2d-\\x7e]+");
+    private static final Pattern PREFIX_PATTERN = Pattern.compile("(/[^/*\\s]+)+");
+    private static final Pattern HOST_PATTERN = Pattern.compile("[a-z0-9._-]{1,253}");
+    private static final Pattern FOLDER_PATTERN = Pattern.compile("/([^\\s?#]*/)?");
+    private static final Pattern TOKEN_PATTERN = Pattern.compile("[A-Za-z0-9_-]+");
 
     /** A finite number. */
     public static final SettingType<Double> NUMBER =
@@ -41,59 +41,59 @@
 
     /** The name of an HTTP header or of a JSON field. */
     public static final SettingType<String> TOKEN_NAME =
-            new SettingType<>("name", "letters, digits, - and _", t -> require(TOKEN, t));
+            new SettingType<>("name", "letters, digits, - and _", t -> require(TOKEN_PATTERN, t));
 
-    /** A path pattern, or empty for none. */
+    /** A {@link PathPattern}, or empty for none. */
     public static final SettingType<String> PATH =
             new SettingType<>("path pattern", "a path such as /orders/*", SettingType::parsePath);
 
-    /** The beginning of paths, or empty for none. */
+    /** A path prefix without a slash at its end, or empty for none. */
     public static final SettingType<String> PREFIX =
             new SettingType<>(
                     "path prefix",
                     "a path such as /orders, without a slash at its end",
-                    t -> t.isEmpty() ? t : require(PREFIX_FORM, t));
+                    t -> t.isEmpty() ? t : require(PREFIX_PATTERN, t));
 
-    /** Names parted by commas. */
+    /** Names separated by commas. */
     public static final SettingType<List<String>> NAMES =
             new SettingType<>(
                     "list of names",
                     "names parted by commas",
-                    t -> parseList(t, e -> require(WORD, e)));
+                    t -> parseList(t, e -> require(NAME_PATTERN, e)));
 
-    /** SHA-256 digests in lower-case hexadecimal. */
+    /** SHA-256 digests in lower-case hexadecimal digits, separated by commas. */
     public static final SettingType<List<String>> DIGESTS =
             new SettingType<>(
                     "list of digests",
                     "SHA-256 digests of 64 lower-case hexadecimal digits, parted by commas",
-                    t -> parseList(t, e -> require(DIGEST, e)));
+                    t -> parseList(t, e -> require(DIGEST_PATTERN, e)));
 
-    /** The name of a host, without a port. */
+    /** A host name without a port, or empty for none. */
     public static final SettingType<String> HOST =
             new SettingType<>(
                     "host",
                     "a host's name in lower case, without a port",
-                    t -> t.isEmpty() ? t : require(HOST_FORM, t));
+                    t -> t.isEmpty() ? t : require(HOST_PATTERN, t));
 
-    /** The beginning of paths, up to and with a slash. */
+    /** A path prefix that ends with a slash, or empty for none. */
     public static final SettingType<String> FOLDER =
             new SettingType<>(
                     "path prefix",
                     "a path that begins and ends with a slash, such as /orders/",
-                    t -> t.isEmpty() ? t : require(FOLDER_FORM, t));
+                    t -> t.isEmpty() ? t : require(FOLDER_PATTERN, t));
 
-    /** Shares of requests. */
+    /** A route's services with their shares of the requests. */
     public static final SettingType<List<RouteShare>> SHARES =
             new SettingType<>(
                     "list of shares",
                     "services with their weights, such as a:90,b:10; not all weights 0",
                     SettingType::parseShares);
 
-    /** Yes or no. */
+    /** A boolean, written as {@code yes} or {@code no}. */
     public static final SettingType<Boolean> FLAG =
             new SettingType<>("flag", "yes, no", SettingType::parseFlag);
 
-    /** Patterns of calls. */
+    /** Call patterns, separated by commas. */
     public static final SettingType<List<CallPattern>> CALLS =
             new SettingType<>(
                     "list of calls",
@@ -101,9 +101,9 @@
                     t -> parseList(t, CallPattern::parse));
 
     /**
-     * Returns the type of one word out of a few.
+     * Returns a type that allows one of the given words.
      *
-     * @param words the words
+     * @param words the allowed words
      */
     public static SettingType<String> oneOf(String... words) {
         List<String> list = List.of(words);
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsAnswer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsAnswer.java
@@ -8,9 +8,9 @@
  *
  * @param code OK, SETTINGS_CONFLICT, SETTINGS_INVALID or CHANGE_ID_REUSED
  * @param position the position of the tree in force after the change
- * @param nodes after OK the changed nodes as they stand now; after a conflict the nodes whose
- *     version was not the expected one, as the winner left them
- * @param faults after SETTINGS_INVALID everything wrong
+ * @param nodes after OK the changed nodes in their new state; after SETTINGS_CONFLICT the current
+ *     state of the nodes that are not at the expected version
+ * @param faults after SETTINGS_INVALID all faults
  */
 public record SettingsAnswer(
         ResultCode code, long position, List<SettingsNode> nodes, List<NodeFault> faults) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsCheck.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsCheck.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import org.laurelweir.coordination.Command.NodeChange;
 
-/** Checks nodes before they are sent to control, with the same code that control uses. */
+/** Validates nodes before they are sent to a control instance, with the same checks as there. */
 public final class SettingsCheck {
     private SettingsCheck() {}
 
     /**
-     * Returns what is wrong with nodes that are to join a tree which is not at hand: paths, keys
-     * and values.
+     * Returns the faults in the paths, keys and values of nodes. References to other nodes are not
+     * checked, as the tree to which the nodes will be added is not available.
      *
      * @param nodes the nodes, as changes that expect version 0
      */
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Returns what is wrong with a whole tree, the references between its nodes included.
+     * Returns the faults of a whole tree, including those in the references between its nodes.
      *
      * @param nodes the nodes, as changes that expect version 0
      */
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsDelta.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsDelta.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a reader lacks.
+ * The changes that bring a reader up to date.
  *
- * @param position the position that the reader has reached once it has taken this in
- * @param full whether the nodes are the whole tree; else they are those changed since the reader's
- *     position
- * @param nodes the nodes; deleted ones only if not full
+ * @param position the reader's position after it has applied the delta
+ * @param full whether the nodes are the whole tree; if false, they are the nodes that changed after
+ *     the reader's position
+ * @param nodes the nodes; includes tombstones of deleted nodes if {@code full} is false
  */
 public record SettingsDelta(long position, boolean full, List<SettingsNode> nodes) {
     /** Copies the list. */
@@ -16,7 +16,7 @@
         nodes = List.copyOf(nodes);
     }
 
-    /** Returns whether it brings nothing. */
+    /** Returns whether the delta contains no changes. */
     public boolean isEmpty() {
         return !full && nodes.isEmpty();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsHistory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsHistory.java
@@ -10,27 +10,30 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The accepted changes of late, from which earlier trees and readers' deltas are worked out. */
+/** The recent accepted changes, from which earlier trees and readers' deltas are computed. */
 final class SettingsHistory {
     private final Deque<HistoryEntry> mEntries;
     private final SettingsStore.Limits mLimits;
     private long mBytes;
-    private long mForgotten;
+    private long mLastEvictedPosition;
 
-    SettingsHistory(Collection<HistoryEntry> entries, long forgotten, SettingsStore.Limits limits) {
+    SettingsHistory(
+            Collection<HistoryEntry> entries,
+            long lastEvictedPosition,
+            SettingsStore.Limits limits) {
         mEntries = new ArrayDeque<>(entries);
-        mBytes = entries.stream().mapToLong(HistoryEntry::bytes).sum();
-        mForgotten = forgotten;
+        mBytes = entries.stream().mapToLong(HistoryEntry::estimatedBytes).sum();
+        mLastEvictedPosition = lastEvictedPosition;
         mLimits = limits;
     }
 
     void add(HistoryEntry entry) {
         mEntries.addLast(entry);
-        mBytes += entry.bytes();
+        mBytes += entry.estimatedBytes();
         while (mEntries.size() > mLimits.historyEntries() || mBytes > mLimits.historyBytes()) {
             HistoryEntry oldest = mEntries.removeFirst();
-            mBytes -= oldest.bytes();
-            mForgotten = oldest.position();
+            mBytes -= oldest.estimatedBytes();
+            mLastEvictedPosition = oldest.position();
         }
     }
 
@@ -38,43 +41,45 @@
         return List.copyOf(mEntries);
     }
 
-    /** Returns the position of the newest change that was forgotten; 0 if none was. */
-    long forgotten() {
-        return mForgotten;
+    /** Returns the position of the newest evicted change; 0 if none was evicted. */
+    long lastEvictedPosition() {
+        return mLastEvictedPosition;
     }
 
-    /** Returns the newest entries, newest first; with a path only those that touch its node. */
+    /** Returns the newest entries, newest first; with a path, only changes of that node. */
     List<HistoryEntry> newest(Optional<NodePath> path, int limit) {
         List<HistoryEntry> found = new ArrayList<>();
         Iterator<HistoryEntry> newestFirst = mEntries.descendingIterator();
         while (newestFirst.hasNext() && found.size() < limit) {
             HistoryEntry e = newestFirst.next();
-            if (path.isEmpty() || e.touches(path.get())) {
+            if (path.isEmpty() || e.changesNode(path.get())) {
                 found.add(e);
             }
         }
         return found;
     }
 
-    /** Returns the nodes changed after a position, each with the position of its last change. */
-    Map<NodePath, Long> touchedAfter(long position) {
-        Map<NodePath, Long> touched = new LinkedHashMap<>();
-        for (HistoryEntry e : newestAfter(position)) {
-            e.before().forEach(n -> touched.putIfAbsent(n.path(), e.position()));
+    /**
+     * Returns the nodes that changed after a position, each with the position of its last change.
+     */
+    Map<NodePath, Long> changedAfter(long position) {
+        Map<NodePath, Long> changed = new LinkedHashMap<>();
+        for (HistoryEntry e : entriesAfter(position)) {
+            e.before().forEach(n -> changed.putIfAbsent(n.path(), e.position()));
         }
-        return touched;
+        return changed;
     }
 
-    /** Takes back the changes after a position. */
+    /** Returns the tree at an earlier position, by reverting the changes after it. */
     SettingsTree rewind(SettingsTree current, long position) {
         SettingsTree tree = current;
-        for (HistoryEntry e : newestAfter(position)) {
+        for (HistoryEntry e : entriesAfter(position)) {
             tree = tree.with(position, e.before());
         }
         return tree;
     }
 
-    private List<HistoryEntry> newestAfter(long position) {
+    private List<HistoryEntry> entriesAfter(long position) {
         List<HistoryEntry> after = new ArrayList<>();
         Iterator<HistoryEntry> newestFirst = mEntries.descendingIterator();
         while (newestFirst.hasNext()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsLookup.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsLookup.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Resolved settings of one process by service and client account, for the hot path. Any thread may
- * look up while one thread hands in new trees. Results are kept until the tree changes.
+ * A cache of one process's effective settings by service and client account, for the hot path. Any
+ * thread may read while one thread sets new trees. Results are cached until the tree changes.
  */
 public final class SettingsLookup {
-    /** Bounds the memory of a process that serves very many accounts between two changes. */
-    private static final int MAX_RESOLVED = 8192;
+    /** Limits the memory of a process that serves many client accounts between two changes. */
+    private static final int MAX_CACHED = 8192;
 
-    private final SettingsContext mProcess;
+    private final SettingsContext mProcessContext;
     private volatile Resolved mResolved;
 
     private record Key(String service, String account) {}
@@ -25,11 +25,11 @@
      * @param dataCentre its data centre, or null
      */
     public SettingsLookup(String region, String dataCentre) {
-        mProcess = SettingsContext.of(region, dataCentre);
+        mProcessContext = SettingsContext.of(region, dataCentre);
         setTree(SettingsTree.EMPTY);
     }
 
-    /** Puts a tree in force; all that was resolved before is dropped. */
+    /** Sets the tree in force and clears the cache. */
     public void setTree(SettingsTree tree) {
         mResolved = new Resolved(tree, new ConcurrentHashMap<>());
     }
@@ -47,11 +47,11 @@
      */
     public EffectiveSettings effective(String service, String account) {
         Resolved resolved = mResolved;
-        if (resolved.byKey.size() >= MAX_RESOLVED) {
+        if (resolved.byKey.size() >= MAX_CACHED) {
             resolved.byKey.clear();
         }
         return resolved.byKey.computeIfAbsent(
                 new Key(service, account),
-                k -> resolved.tree.effective(mProcess.with(k.service, k.account)));
+                k -> resolved.tree.effective(mProcessContext.with(k.service, k.account)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsNode.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsNode.java
@@ -6,63 +6,65 @@
 /**
  * One node of the settings tree.
  *
- * @param path where it stands
- * @param version the log position of the change that last touched it. It rises with each change and
- *     never comes again, not even when the node is deleted and made anew.
- * @param values what the node sets, as written, by key, in no order; empty for a deleted node
- * @param deleted whether this tells that the node is gone
+ * @param path the node's path
+ * @param version the log position of the node's last change. It rises with each change and is never
+ *     reused, even if the node is deleted and created again.
+ * @param values the node's values as written in settings, by key, in no order; empty for a
+ *     tombstone
+ * @param deleted whether this is a tombstone, which marks a deleted node
  */
 public record SettingsNode(
         NodePath path, long version, Map<String, String> values, boolean deleted) {
-    /** What a node takes besides the characters of its path and values, about. */
-    static final int FIXED_BYTES = 100;
+    /** The estimated size of a node without the characters of its path and values, in bytes. */
+    static final int OVERHEAD_BYTES = 100;
 
-    /** What a value takes besides its characters, about; its key's name is shared. */
-    private static final int VALUE_BYTES = 50;
+    /** The estimated size of a value without its characters, in bytes; the key name is shared. */
+    private static final int VALUE_OVERHEAD_BYTES = 50;
 
-    /** Returns what the node takes, about. */
-    long bytes() {
-        return bytesOf(path.toString(), values);
+    /** Returns the node's estimated size in bytes. */
+    long estimatedBytes() {
+        return estimateBytes(path.toString(), values);
     }
 
-    /** Returns what values at a path take, about. */
-    static long bytesOf(String path, Map<String, String> values) {
-        long bytes = FIXED_BYTES + path.length();
+    /** Returns the estimated size in bytes of a node with this path and these values. */
+    static long estimateBytes(String path, Map<String, String> values) {
+        long bytes = OVERHEAD_BYTES + path.length();
         for (String value : values.values()) {
-            bytes += VALUE_BYTES + value.length();
+            bytes += VALUE_OVERHEAD_BYTES + value.length();
         }
         return bytes;
     }
 
-    /** Copies the values. */
+    /** Copies the values and shares their key names. */
     public SettingsNode {
-        values = compact(values);
+        values = shareKeyNames(values);
     }
 
-    /** A tree has thousands of nodes that set the same few keys: they share the keys' names. */
-    private static Map<String, String> compact(Map<String, String> values) {
-        Map<String, String> compacted = new HashMap<>();
-        values.forEach((name, value) -> compacted.put(shared(name), value));
-        return Map.copyOf(compacted);
+    /** Copies a map and shares its key names: thousands of nodes set the same few keys. */
+    private static Map<String, String> shareKeyNames(Map<String, String> values) {
+        Map<String, String> copy = new HashMap<>();
+        values.forEach((name, value) -> copy.put(sharedKeyName(name), value));
+        return Map.copyOf(copy);
     }
 
-    private static String shared(String name) {
+    private static String sharedKeyName(String name) {
         return SettingKeys.find(name).map(SettingKey::name).orElse(name);
     }
 
-    /** Returns a node that exists. */
+    /** Returns a node that is not deleted. */
     public static SettingsNode of(NodePath path, long version, Map<String, String> values) {
         return new SettingsNode(path, version, values, false);
     }
 
-    /** Returns the sign that a node is gone. */
+    /** Returns the mark of a deleted node. */
     public static SettingsNode tombstone(NodePath path, long version) {
         return new SettingsNode(path, version, Map.of(), true);
     }
 
     /**
-     * Returns the parsed value of a key, or null if the node does not set it. A text that does not
-     * parse counts as not set: a newer control may know forms that this program does not.
+     * Returns the parsed value of a key, or null if the node does not set it. A text that can't be
+     * parsed counts as not set, since a newer control instance may accept formats that this program
+     * does not know.
      */
     public <T> T value(SettingKey<T> key) {
         String text = values.get(key.name());
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsReader.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsReader.java
@@ -1,29 +1,30 @@
 package org.laurelweir.settings;
 
 /**
- * The settings as one reader has them. It takes in only what brings it to a higher position, so
- * that a late answer, or one of a control instance that lags, never takes an accepted change back.
+ * A reader's copy of the settings tree. It applies only deltas that lead to a higher position, so
+ * that a late answer, or one of a control instance that lags behind, never reverts an accepted
+ * change.
  */
 public final class SettingsReader {
     private SettingsTree mTree = SettingsTree.EMPTY;
 
-    /** Returns the newest tree that the reader has. */
+    /** Returns the reader's current tree. */
     public SettingsTree tree() {
         return mTree;
     }
 
-    /** Returns the reader's position, to be sent with its next question. */
+    /** Returns the reader's position, which it sends with its next request. */
     public long position() {
         return mTree.position();
     }
 
     /**
-     * Takes in an answer to a question that was asked at the reader's position or an earlier one.
-     * An answer to an earlier question repeats nodes that the reader has, as they stand at the
-     * answer's higher position.
+     * Applies the answer to a request that was sent at the reader's position or an earlier one. The
+     * answer to an earlier request repeats nodes that the reader has, in their state at the
+     * answer's position.
      *
      * @param delta the answer
-     * @return whether the tree changed; false if the answer is not newer than what the reader has
+     * @return whether the tree changed; false if the answer is not newer than the reader's tree
      */
     public boolean apply(SettingsDelta delta) {
         if (delta.position() <= mTree.position()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsState.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * All that a {@link SettingsStore} has to remember, for snapshots of the replicated log.
+ * The complete state of a {@link SettingsStore}, for snapshots of the replicated log.
  *
- * @param position the position of the last accepted change
+ * @param position the log position of the last accepted change
  * @param nodes every node, sorted by path
- * @param lastEvictedPosition the position of the newest accepted change that the history no longer
- *     has
- * @param history accepted changes that are kept, the oldest first
- * @param answers answers that are kept, the oldest first
- * @param revision the operator's number of the tree that was replaced last, 0 if none was
- * @param source the operator's own text of that tree
+ * @param lastEvictedPosition the position of the newest accepted change that was evicted from the
+ *     history; 0 if none was
+ * @param history the kept accepted changes, the oldest first
+ * @param answers the kept answers, the oldest first
+ * @param revision the operator's revision of the last whole tree; 0 if the tree was never replaced
+ * @param source the operator's text of that tree
  */
 public record SettingsState(
         long position,
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -9,15 +9,14 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * The settings tree as the replicated log makes it. Every replica that applies the same commands at
- * the same positions holds the same state and gives the same answers.
+ * The replicated state machine of the settings tree. All replicas that apply the same commands at
+ * the same log positions have the same state and give the same answers.
  *
- * <p>A change is taken whole or not at all. A node's version is the position of its last change, so
- * versions rise and never come again. Not safe for use by several threads; the trees that it hands
- * out are.
+ * <p>A change is atomic. A node's version is the log position of its last change, so versions rise
+ * and are never reused. This class is not thread-safe; the trees that it returns are.
  */
 public final class SettingsStore {
-    private static final NodeFault NO_ID =
+    private static final NodeFault MISSING_ID =
             new NodeFault("change", "", "has no id", "an id that its author makes up");
 
     private final Limits mLimits;
@@ -26,17 +25,19 @@
     private SettingsTree mTree;
     private long mRevision;
     private String mSource;
-    private SettingsDelta mWhole = new SettingsDelta(0, true, List.of());
+    private SettingsDelta mFullDelta = new SettingsDelta(0, true, List.of());
 
     /**
-     * How much is kept; the same on every replica.
+     * The limits of the history and of the recorded answers. They must be the same on all replicas.
      *
-     * @param historyEntries accepted changes; a reader that lacks more gets the whole tree
-     * @param historyBytes what these changes may take, about; a change of a whole large tree takes
-     *     as much as some thousand others
-     * @param answers first answers
-     * @param answerBytes what these answers may take, about; the newest is kept in any case
-     * @param answerRetention how long a first answer is kept
+     * @param historyEntries the maximum number of accepted changes in the history; a reader that
+     *     lacks more gets the whole tree
+     * @param historyBytes the maximum estimated size of these changes in bytes; a change of a whole
+     *     large tree takes as much as some thousand others
+     * @param answers the maximum number of recorded answers
+     * @param answerBytes the maximum estimated size of these answers in bytes; the newest answer is
+     *     always recorded
+     * @param answerRetention how long an answer is recorded
      */
     public record Limits(
             int historyEntries,
@@ -45,14 +46,14 @@
             int answerBytes,
             Duration answerRetention) {
         /**
-         * Most of a day at 14,000 changes of a node or two; together a sixteenth of the smallest
-         * heap that is in use, 64 MB. Not a share of the heap, since every replica has to forget
-         * the same.
+         * Keeps most of a day's changes at 14,000 changes of one or two nodes per day. History and
+         * answers together take a sixteenth of the smallest heap in use, 64 MB. The limits don't
+         * depend on the heap, since all replicas have to evict the same entries.
          */
         public static final Limits DEFAULT =
                 new Limits(10_000, 3 << 20, 20_000, 1 << 20, Duration.ofDays(1));
 
-        /** Creates limits with the default's bytes. */
+        /** Creates limits with the default sizes in bytes. */
         public Limits(int historyEntries, int answers, Duration answerRetention) {
             this(
                     historyEntries,
@@ -64,10 +65,10 @@
     }
 
     /**
-     * Restores a store.
+     * Creates a store from a state.
      *
-     * @param state what an earlier store remembered, or {@link SettingsState#EMPTY}
-     * @param limits how much is kept
+     * @param state another store's state, or {@link SettingsState#EMPTY}
+     * @param limits the limits of the history and of the recorded answers
      */
     public SettingsStore(SettingsState state, Limits limits) {
         mLimits = limits;
@@ -78,12 +79,12 @@
         mSource = state.source();
     }
 
-    /** Returns all that the store remembers. */
+    /** Returns the complete state, from which an equal store can be created. */
     public SettingsState state() {
         return new SettingsState(
                 mTree.position(),
                 mTree.nodes(),
-                mHistory.forgotten(),
+                mHistory.lastEvictedPosition(),
                 mHistory.all(),
                 mAnswers.all(),
                 mRevision,
@@ -98,44 +99,45 @@
     /**
      * Applies a change.
      *
-     * @param position where the command stands in the log; rises from call to call
+     * @param position the command's log position; must rise from call to call
      * @param change the change
-     * @return OK; or the first answer if the change was sent before; CHANGE_ID_REUSED if another
-     *     one was sent under its id; SETTINGS_CONFLICT if a node is not at its expected version;
-     *     SETTINGS_INVALID with every fault. But for OK the tree stays as it was.
+     * @return OK; the recorded first answer if the change was sent before; CHANGE_ID_REUSED if
+     *     another change has the same ID; SETTINGS_CONFLICT if a node is not at its expected
+     *     version; SETTINGS_INVALID with all faults. The tree changes only after OK.
      */
     public SettingsAnswer apply(long position, Command.ChangeSettings change) {
         if (position <= mTree.position()) {
-            throw new IllegalArgumentException("position " + position + " has passed");
+            throw new IllegalArgumentException(
+                    "position " + position + " is not after the tree's position");
         }
-        mAnswers.expire(change.timestamp());
+        mAnswers.evictExpired(change.timestamp());
         if (change.changeId().isBlank()) {
-            return refusal(ResultCode.SETTINGS_INVALID, List.of(), List.of(NO_ID));
+            return rejection(ResultCode.SETTINGS_INVALID, List.of(), List.of(MISSING_ID));
         }
         String digest = ChangeDigest.of(change.changes());
-        RecordedAnswer kept = mAnswers.find(change.changeId());
-        if (kept == null) {
-            SettingsAnswer answer = decide(position, change);
-            mAnswers.keep(
+        RecordedAnswer recorded = mAnswers.find(change.changeId());
+        if (recorded == null) {
+            SettingsAnswer answer = applyNewChange(position, change);
+            mAnswers.recordAnswer(
                     new RecordedAnswer(change.changeId(), change.timestamp(), digest, answer));
             return answer;
         }
-        return kept.digest().equals(digest)
-                ? kept.answer()
-                : refusal(ResultCode.CHANGE_ID_REUSED, List.of(), List.of());
+        return recorded.digest().equals(digest)
+                ? recorded.answer()
+                : rejection(ResultCode.CHANGE_ID_REUSED, List.of(), List.of());
     }
 
-    private SettingsAnswer decide(long position, Command.ChangeSettings change) {
+    private SettingsAnswer applyNewChange(long position, Command.ChangeSettings change) {
         ChangePlan plan = ChangePlan.of(mTree, position, change.changes());
         if (!plan.conflicts().isEmpty()) {
-            return refusal(ResultCode.SETTINGS_CONFLICT, plan.conflicts(), List.of());
+            return rejection(ResultCode.SETTINGS_CONFLICT, plan.conflicts(), List.of());
         }
         SettingsTree after = mTree.with(position, plan.after());
         List<NodeFault> faults = new ArrayList<>(plan.faults());
         faults.addAll(ReferenceCheck.faultsOf(mTree, after, plan.after()));
         faults.addAll(TreeSizeLimit.faultsOf(mTree, after));
         if (!faults.isEmpty()) {
-            return refusal(ResultCode.SETTINGS_INVALID, List.of(), faults);
+            return rejection(ResultCode.SETTINGS_INVALID, List.of(), faults);
         }
         mTree = after;
         mHistory.add(
@@ -150,44 +152,48 @@
     }
 
     /**
-     * Replaces the tree.
+     * Replaces the whole tree.
      *
-     * @param position where the command stands in the log; rises from call to call
-     * @param whole the tree with its revision
-     * @return OK, also where the revision is not above the one in force and nothing changed; or
-     *     SETTINGS_INVALID with every fault, whatever the revision
+     * @param position the command's log position; must rise from call to call
+     * @param whole the new tree with its revision
+     * @return OK, even if the revision is not above the one in force and nothing changed; or
+     *     SETTINGS_INVALID with all faults, also if the revision is not above the one in force
      */
     public SettingsAnswer replace(long position, Command.ReplaceSettings whole) {
         if (position <= mTree.position()) {
-            throw new IllegalArgumentException("position " + position + " has passed");
+            throw new IllegalArgumentException(
+                    "position " + position + " is not after the tree's position");
         }
-        TreePatch difference = TreePatch.between(mTree, whole.nodes());
-        ReplacementInfo note = new ReplacementInfo(whole.timestamp(), whole.revision(), whole.author());
-        return replace(position, difference, note, whole.source());
+        TreePatch treePatch = TreePatch.between(mTree, whole.nodes());
+        ReplacementInfo info =
+                new ReplacementInfo(whole.timestamp(), whole.revision(), whole.author());
+        return replace(position, treePatch, info, whole.source());
     }
 
     /**
-     * Replaces the tree by one that is told by its difference.
+     * Replaces the whole tree by a patch of the tree in force.
      *
-     * @param position where the command stands in the log; rises from call to call
-     * @param patch the difference with its revision
-     * @return as {@link #replace}; or SETTINGS_CONFLICT if another tree is in force than the one
-     *     that it differs from, and nothing changed
+     * @param position the command's log position; must rise from call to call
+     * @param patch the patch with the new tree's revision
+     * @return as {@link #replace}; or SETTINGS_CONFLICT, without a change, if the tree in force is
+     *     not the one from which the patch was made
      */
     public SettingsAnswer patch(long position, Command.PatchSettings patch) {
         if (position <= mTree.position()) {
-            throw new IllegalArgumentException("position " + position + " has passed");
+            throw new IllegalArgumentException(
+                    "position " + position + " is not after the tree's position");
         }
         if (patch.base() != mTree.position()) {
-            return refusal(ResultCode.SETTINGS_CONFLICT, List.of(), List.of());
+            return rejection(ResultCode.SETTINGS_CONFLICT, List.of(), List.of());
         }
-        ReplacementInfo note = new ReplacementInfo(patch.timestamp(), patch.revision(), patch.author());
-        return replace(position, patch.difference(), note, patch.source().applyTo(mSource));
+        ReplacementInfo info =
+                new ReplacementInfo(patch.timestamp(), patch.revision(), patch.author());
+        return replace(position, patch.difference(), info, patch.source().applyTo(mSource));
     }
 
     /**
-     * Returns a whole tree as what it has other than the one in force: a log of whole trees would
-     * send megabytes to each replica for a change of one value.
+     * Returns the patch that turns the tree in force into another whole tree. Without patches, the
+     * log would send megabytes to each replica for a change of one value.
      */
     public Command.PatchSettings patchTo(Command.ReplaceSettings whole) {
         return new Command.PatchSettings(
@@ -200,88 +206,92 @@
     }
 
     private SettingsAnswer replace(
-            long position, TreePatch difference, ReplacementInfo note, String source) {
-        TreeReplacement replacement = TreeReplacement.of(mTree, position, difference);
+            long position, TreePatch treePatch, ReplacementInfo info, String source) {
+        TreeReplacement replacement = TreeReplacement.of(mTree, position, treePatch);
         if (!replacement.faults().isEmpty()) {
-            return refusal(ResultCode.SETTINGS_INVALID, List.of(), replacement.faults());
+            return rejection(ResultCode.SETTINGS_INVALID, List.of(), replacement.faults());
         }
-        if (note.revision() <= mRevision) {
-            return refusal(ResultCode.OK, List.of(), List.of());
+        if (info.revision() <= mRevision) {
+            return rejection(ResultCode.OK, List.of(), List.of());
         }
         mTree = mTree.with(position, replacement.after());
-        mRevision = note.revision();
+        mRevision = info.revision();
         mSource = source;
         mHistory.add(
                 new HistoryEntry(
                         position,
-                        note.at(),
-                        "revision-" + note.revision(),
-                        note.author(),
+                        info.timestamp(),
+                        "revision-" + info.revision(),
+                        info.author(),
                         replacement.changes(),
                         replacement.before()));
         return new SettingsAnswer(ResultCode.OK, position, replacement.after(), List.of());
     }
 
-    /** What the history tells of a replaced tree beside the nodes. */
-    private record ReplacementInfo(Instant at, long revision, String author) {}
+    /** The metadata of a replacement, for its history entry. */
+    private record ReplacementInfo(Instant timestamp, long revision, String author) {}
 
-    /** Returns the operator's number of the tree that was replaced last, 0 if none was. */
+    /** Returns the operator's revision of the last whole tree, or 0 if there was none. */
     public long revision() {
         return mRevision;
     }
 
-    /** Returns the operator's own text of the tree that was replaced last. */
+    /** Returns the operator's text of the last whole tree, or empty if there was none. */
     public String source() {
         return mSource;
     }
 
-    private SettingsAnswer refusal(
+    private SettingsAnswer rejection(
             ResultCode code, List<SettingsNode> nodes, List<NodeFault> faults) {
         return new SettingsAnswer(code, mTree.position(), nodes, faults);
     }
 
     /**
-     * Returns what a reader lacks.
+     * Returns the changes that a reader needs.
      *
      * @param position the reader's position
-     * @return the nodes changed since, or the whole tree if changes since have been forgotten;
-     *     empty, at the tree's position, for a reader that is at it or ahead of it
+     * @return the nodes that changed after that position, or the whole tree if some of these
+     *     changes have been evicted; empty, at the tree's position, for a reader that is at that
+     *     position or ahead of it
      */
     public SettingsDelta deltaSince(long position) {
-        if (position == 0 || position < mHistory.forgotten()) {
-            return whole();
+        if (position == 0 || position < mHistory.lastEvictedPosition()) {
+            return fullDelta();
         }
         List<SettingsNode> nodes = new ArrayList<>();
-        mHistory.touchedAfter(position)
+        mHistory.changedAfter(position)
                 .forEach((p, at) -> nodes.add(mTree.node(p).orElse(SettingsNode.tombstone(p, at))));
         return new SettingsDelta(mTree.position(), false, nodes);
     }
 
-    /** Made once for each position: after a start of everything each router asks for it. */
-    private SettingsDelta whole() {
-        if (mWhole.position() != mTree.position()) {
-            mWhole = new SettingsDelta(mTree.position(), true, mTree.nodes());
+    /**
+     * Returns the whole tree, built once per position: after a fleet restart all routers need it.
+     */
+    private SettingsDelta fullDelta() {
+        if (mFullDelta.position() != mTree.position()) {
+            mFullDelta = new SettingsDelta(mTree.position(), true, mTree.nodes());
         }
-        return mWhole;
+        return mFullDelta;
     }
 
     /**
      * Returns an earlier tree.
      *
-     * @param position a log position; the tree is the one in force there
-     * @return the tree, or nothing if changes since have been forgotten
+     * @param position the log position at which the tree was in force
+     * @return the tree, or empty if changes after that position have been evicted
      */
     public Optional<SettingsTree> treeAt(long position) {
-        if (position < mHistory.forgotten()) {
+        if (position < mHistory.lastEvictedPosition()) {
             return Optional.empty();
         }
         return Optional.of(mHistory.rewind(mTree, position));
     }
 
     /**
-     * Compares two positions.
+     * Compares the trees at two log positions.
      *
-     * @return what differs, sorted by path and key, or nothing if a position has been forgotten
+     * @return the values that differ, sorted by path and key; empty if one of the trees is not
+     *     available, as its changes have been evicted
      */
     public Optional<List<ValueDiff>> diff(long from, long to) {
         return treeAt(from).flatMap(a -> treeAt(to).map(b -> TreeDiff.between(a, b)));
@@ -290,14 +300,14 @@
     /**
      * Returns accepted changes, the newest first.
      *
-     * @param path only changes of this node, or nothing for all
-     * @param limit most entries
+     * @param path the node whose changes are returned, or empty for all nodes
+     * @param limit the maximum number of entries
      */
     public List<HistoryEntry> history(Optional<NodePath> path, int limit) {
         return mHistory.newest(path, limit);
     }
 
-    /** Returns how much the store keeps. */
+    /** Returns the limits of the history and of the recorded answers. */
     public Limits limits() {
         return mLimits;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsTree.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsTree.java
@@ -13,8 +13,8 @@
 import java.util.TreeSet;
 
 /**
- * The settings in force at one position of the replicated log. Immutable; a successor shares with
- * it all that did not change.
+ * The settings in force at one position of the replicated log. Immutable; successive trees share
+ * their unchanged parts.
  */
 public final class SettingsTree {
     /** The tree before any change. */
@@ -31,14 +31,14 @@
     private final long mPosition;
     private final PersistentMap<SettingsNode> mNodes;
 
-    /** Which node holds a claim of {@link NodeReferences}. */
-    private final PersistentMap<NodePath> mClaims;
+    /** The node that owns each unique key of {@link NodeReferences}. */
+    private final PersistentMap<NodePath> mOwnersByUniqueKey;
 
-    /** How many other nodes name a definition, by the definition's path. */
-    private final PersistentMap<Integer> mUses;
+    /** The number of other nodes that reference a definition, by the definition's path. */
+    private final PersistentMap<Integer> mReferenceCounts;
 
-    /** The rules below a node, by name, by the path without the rule. */
-    private final PersistentMap<List<NodePath>> mRules;
+    /** The rules below each node, sorted by name, by the path without the rule. */
+    private final PersistentMap<List<NodePath>> mRulesByParent;
 
     /** The names of the services, sorted. */
     private final List<String> mServices;
@@ -48,16 +48,16 @@
     private SettingsTree(
             long position,
             PersistentMap<SettingsNode> nodes,
-            PersistentMap<NodePath> claims,
-            PersistentMap<Integer> uses,
-            PersistentMap<List<NodePath>> rules,
+            PersistentMap<NodePath> ownersByUniqueKey,
+            PersistentMap<Integer> referenceCounts,
+            PersistentMap<List<NodePath>> rulesByParent,
             List<String> services,
             long bytes) {
         mPosition = position;
         mNodes = nodes;
-        mClaims = claims;
-        mUses = uses;
-        mRules = rules;
+        mOwnersByUniqueKey = ownersByUniqueKey;
+        mReferenceCounts = referenceCounts;
+        mRulesByParent = rulesByParent;
         mServices = services;
         mBytes = bytes;
     }
@@ -82,28 +82,28 @@
         return mNodes.size();
     }
 
-    /** Returns what all nodes take together, about: the same on every replica. */
-    long bytes() {
+    /** Returns the tree's estimated size in bytes, which is the same on every replica. */
+    long estimatedBytes() {
         return mBytes;
     }
 
-    /** Returns a node, or nothing if there is none at the path. */
+    /** Returns the node at a path, or empty if there is none. */
     public Optional<SettingsNode> node(NodePath path) {
         return Optional.ofNullable(mNodes.get(path.toString()));
     }
 
-    /** Returns whether there is a node at a path, as text. */
-    boolean has(String path) {
+    /** Returns whether there is a node at a path, given as text. */
+    boolean hasNode(String path) {
         return mNodes.get(path) != null;
     }
 
-    /** Returns whether there is a node at a path, as text, with just these values. */
-    boolean holds(String path, Map<String, String> values) {
+    /** Returns whether there is a node with exactly these values at a path, given as text. */
+    boolean hasNodeWithValues(String path, Map<String, String> values) {
         SettingsNode node = mNodes.get(path);
         return node != null && node.values().equals(values);
     }
 
-    /** Returns the nodes whose paths, as texts, are not among these; sorted by path. */
+    /** Returns the nodes whose paths are not in a set of path texts, sorted by path. */
     List<SettingsNode> nodesOutside(Set<String> paths) {
         SortedMap<String, SettingsNode> outside = new TreeMap<>();
         mNodes.forEach(
@@ -117,52 +117,52 @@
 
     /** Returns every node, sorted by path. */
     public List<SettingsNode> nodes() {
-        // By the map's keys: a path makes its text anew for each comparison.
+        // Sorts by the map's keys, since NodePath builds its text for each comparison.
         SortedMap<String, SettingsNode> byPath = new TreeMap<>();
         mNodes.forEach(byPath::put);
         return new ArrayList<>(byPath.values());
     }
 
     /**
-     * Returns the tree after a change. The caller has checked that it is valid.
+     * Returns the tree after a change, which is not validated.
      *
-     * @param position where the tree is in force
-     * @param changed nodes as they stand now; deleted ones are taken out
+     * @param position the log position at which the tree is in force
+     * @param changed the changed nodes in their new state; tombstones remove nodes
      */
     public SettingsTree with(long position, Collection<SettingsNode> changed) {
         Editor editor = new Editor(this);
-        // All old claims go first: a change may move a model from one service to another.
+        // Removes all old unique keys first, since a change may move a model between services.
         changed.forEach(n -> editor.remove(n.path()));
         changed.stream().filter(n -> !n.deleted()).forEach(editor::add);
         return editor.toTree(position);
     }
 
-    /** Returns the client account that a bearer key's digest names. */
+    /** Returns the client account that has the bearer key with this digest. */
     public Optional<String> accountOfKey(String digest) {
-        return holderOf(NodeReferences.keyDigest(digest)).map(NodePath::account);
+        return ownerOf(NodeReferences.digestKey(digest)).map(NodePath::account);
     }
 
-    /** Returns the service that answers for a model. */
+    /** Returns the service that serves a model. */
     public Optional<String> serviceOfModel(String model) {
-        return holderOf(NodeReferences.model(model)).map(NodePath::service);
+        return ownerOf(NodeReferences.modelKey(model)).map(NodePath::service);
     }
 
-    /** Returns the plain service whose path prefix is the longest that fits a URL's path. */
+    /** Returns the plain service with the longest path prefix that matches a URL's path. */
     public Optional<String> serviceOfPath(String path) {
         String prefix = path;
         while (prefix.startsWith("/")) {
-            Optional<NodePath> holder = holderOf(NodeReferences.pathPrefix(prefix));
-            if (holder.isPresent()) {
-                return holder.map(NodePath::service);
+            Optional<NodePath> owner = ownerOf(NodeReferences.pathPrefixKey(prefix));
+            if (owner.isPresent()) {
+                return owner.map(NodePath::service);
             }
             prefix = prefix.substring(0, prefix.lastIndexOf('/'));
         }
         return Optional.empty();
     }
 
-    /** Returns the node of the route that has just this host and path prefix. */
+    /** Returns the node of the route with exactly this host and path prefix. */
     public Optional<SettingsNode> routeAt(String host, String prefix) {
-        return holderOf(NodeReferences.place(host, prefix)).flatMap(this::node);
+        return ownerOf(NodeReferences.routeKey(host, prefix)).flatMap(this::node);
     }
 
     /** Returns every service's name, sorted. */
@@ -170,40 +170,42 @@
         return mServices;
     }
 
-    /** Returns the settings that hold for a context, each with the node it comes from. */
+    /** Returns the effective settings of a context. */
     public EffectiveSettings effective(SettingsContext context) {
         return EffectiveSettings.of(this, context);
     }
 
-    Optional<NodePath> holderOf(String claim) {
-        return Optional.ofNullable(mClaims.get(claim));
+    Optional<NodePath> ownerOf(String uniqueKey) {
+        return Optional.ofNullable(mOwnersByUniqueKey.get(uniqueKey));
     }
 
-    /** Returns how many other nodes name the service or client account of a definition. */
-    int usesOf(NodePath definition) {
-        Integer count = mUses.get(definition.toString());
+    /**
+     * Returns the number of other nodes that name the service or client account of a definition.
+     */
+    int referenceCount(NodePath definition) {
+        Integer count = mReferenceCounts.get(definition.toString());
         return count == null ? 0 : count;
     }
 
     List<NodePath> rulesBelow(NodePath path) {
-        List<NodePath> rules = mRules.get(path.toString());
+        List<NodePath> rules = mRulesByParent.get(path.toString());
         return rules == null ? List.of() : rules;
     }
 
-    /** Makes the successor of a tree, one node at a time. */
+    /** Builds the successor of a tree, one node at a time. */
     private static final class Editor {
         private PersistentMap<SettingsNode> mNewNodes;
-        private PersistentMap<NodePath> mNewClaims;
-        private PersistentMap<Integer> mNewUses;
-        private PersistentMap<List<NodePath>> mNewRules;
+        private PersistentMap<NodePath> mNewOwnersByUniqueKey;
+        private PersistentMap<Integer> mNewReferenceCounts;
+        private PersistentMap<List<NodePath>> mNewRulesByParent;
         private final SortedSet<String> mNewServices;
         private long mNewBytes;
 
         Editor(SettingsTree tree) {
             mNewNodes = tree.mNodes;
-            mNewClaims = tree.mClaims;
-            mNewUses = tree.mUses;
-            mNewRules = tree.mRules;
+            mNewOwnersByUniqueKey = tree.mOwnersByUniqueKey;
+            mNewReferenceCounts = tree.mReferenceCounts;
+            mNewRulesByParent = tree.mRulesByParent;
             mNewServices = new TreeSet<>(tree.mServices);
             mNewBytes = tree.mBytes;
         }
@@ -214,9 +216,10 @@
                 return;
             }
             mNewNodes = mNewNodes.with(path.toString(), null);
-            mNewBytes -= old.bytes();
-            NodeReferences.claimsOf(old).forEach(c -> mNewClaims = mNewClaims.with(c, null));
-            count(old, -1);
+            mNewBytes -= old.estimatedBytes();
+            NodeReferences.uniqueKeysOf(old)
+                    .forEach(k -> mNewOwnersByUniqueKey = mNewOwnersByUniqueKey.with(k, null));
+            adjustReferenceCounts(old, -1);
             if (path.isOnly(Level.SERVICE)) {
                 mNewServices.remove(path.service());
             }
@@ -230,9 +233,10 @@
         void add(SettingsNode node) {
             NodePath path = node.path();
             mNewNodes = mNewNodes.with(path.toString(), node);
-            mNewBytes += node.bytes();
-            NodeReferences.claimsOf(node).forEach(c -> mNewClaims = mNewClaims.with(c, path));
-            count(node, 1);
+            mNewBytes += node.estimatedBytes();
+            NodeReferences.uniqueKeysOf(node)
+                    .forEach(k -> mNewOwnersByUniqueKey = mNewOwnersByUniqueKey.with(k, path));
+            adjustReferenceCounts(node, 1);
             if (path.isOnly(Level.SERVICE)) {
                 mNewServices.add(path.service());
             }
@@ -244,32 +248,32 @@
             }
         }
 
-        private void count(SettingsNode node, int change) {
-            for (NodePath definition : NodeReferences.definitionsOf(node)) {
+        private void adjustReferenceCounts(SettingsNode node, int change) {
+            for (NodePath definition : NodeReferences.referencedDefinitions(node)) {
                 String key = definition.toString();
-                Integer before = mNewUses.get(key);
+                Integer before = mNewReferenceCounts.get(key);
                 int after = (before == null ? 0 : before) + change;
-                mNewUses = mNewUses.with(key, after == 0 ? null : after);
+                mNewReferenceCounts = mNewReferenceCounts.with(key, after == 0 ? null : after);
             }
         }
 
         private List<NodePath> rules(NodePath rule) {
-            List<NodePath> rules = mNewRules.get(rule.withoutRule().toString());
+            List<NodePath> rules = mNewRulesByParent.get(rule.withoutRule().toString());
             return rules == null ? List.of() : rules;
         }
 
         private void setRules(NodePath rule, List<NodePath> rules) {
             List<NodePath> value = rules.isEmpty() ? null : List.copyOf(rules);
-            mNewRules = mNewRules.with(rule.withoutRule().toString(), value);
+            mNewRulesByParent = mNewRulesByParent.with(rule.withoutRule().toString(), value);
         }
 
         SettingsTree toTree(long position) {
             return new SettingsTree(
                     position,
                     mNewNodes,
-                    mNewClaims,
-                    mNewUses,
-                    mNewRules,
+                    mNewOwnersByUniqueKey,
+                    mNewReferenceCounts,
+                    mNewRulesByParent,
                     List.copyOf(mNewServices),
                     mNewBytes);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TextPatch.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TextPatch.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 
 /**
- * A text as what it has in common with another one, and the rest of it. Texts are compared in
- * chunks, each up to the end of an object or line: what is equal is found wherever it stands, at a
- * cost in proportion to the texts, and the patch is not always the shortest.
+ * A patch that turns a base text into another text. The texts are compared in chunks, each of which
+ * ends at the end of an object or line. Equal chunks are found at any offset, in time proportional
+ * to the length of the texts; the patch is not always the shortest one.
  *
- * @param pieces put together in their order they are the text
+ * @param pieces the pieces whose concatenation is the text
  */
 public record TextPatch(List<Piece> pieces) {
-    /** What ends a chunk: documents of settings are lists of objects, or of lines. */
-    private static final String CHUNK_ENDS = "}\n";
+    /** The characters that end a chunk: settings documents are lists of objects or of lines. */
+    private static final String CHUNK_END_CHARS = "}\n";
 
-    /** Shorter chunks cost more to name than to repeat. */
-    private static final int LEAST_CHUNK = 24;
+    /** A reference to a shorter chunk would take more bytes than the chunk itself. */
+    private static final int MIN_CHUNK_CHARS = 24;
 
     /**
-     * A part of the text: what stands in the other one, then what doesn't.
+     * A part of the text: a range of the base text, followed by literal text.
      *
-     * @param offset where the first begins in the other text
-     * @param length how long it is there, in characters; may be 0
-     * @param literal the rest; may be empty
+     * @param offset the range's offset in the base text, in characters
+     * @param length the range's length in characters; may be 0
+     * @param literal the literal text; may be empty
      */
     public record Piece(int offset, int length, String literal) {}
 
@@ -34,10 +34,10 @@
     }
 
     /**
-     * Returns the patch that makes a text of another one.
+     * Returns the patch that turns one text into another.
      *
-     * @param base the other text
-     * @param text the text
+     * @param base the base text
+     * @param text the text that the patch produces
      */
     public static TextPatch between(String base, String text) {
         Map<String, Integer> offsets = new HashMap<>();
@@ -57,8 +57,8 @@
         List<String> chunks = new ArrayList<>();
         int start = 0;
         for (int i = 0; i < text.length(); i++) {
-            boolean ends = CHUNK_ENDS.indexOf(text.charAt(i)) >= 0;
-            if (ends && i + 1 - start >= LEAST_CHUNK) {
+            boolean isEnd = CHUNK_END_CHARS.indexOf(text.charAt(i)) >= 0;
+            if (isEnd && i + 1 - start >= MIN_CHUNK_CHARS) {
                 chunks.add(text.substring(start, i + 1));
                 start = i + 1;
             }
@@ -68,10 +68,10 @@
     }
 
     /**
-     * Returns the text.
+     * Returns the patched text.
      *
-     * @param base the other text, just as it was when the patch was made
-     * @throws IndexOutOfBoundsException if it is another one, too short
+     * @param base the base text from which the patch was made
+     * @throws IndexOutOfBoundsException if a range exceeds the base text, as it is a shorter one
      */
     public String applyTo(String base) {
         StringBuilder text = new StringBuilder();
@@ -81,7 +81,7 @@
         return text.toString();
     }
 
-    /** Puts pieces together; what follows on the piece before becomes one with it. */
+    /** Builds the pieces; a chunk that follows the previous piece in the base text extends it. */
     private static final class Builder {
         private final String mBase;
         private final List<Piece> mPieces = new ArrayList<>();
@@ -93,10 +93,10 @@
             mBase = base;
         }
 
-        /** Adds a chunk that stands at an offset of the base, or nowhere there if it is null. */
+        /** Adds a chunk with its offset in the base text; null if the base does not contain it. */
         void add(String chunk, Integer offset) {
-            boolean goesOn = mLength > 0 && mBase.startsWith(chunk, mOffset + mLength);
-            if (goesOn && mLiteral.isEmpty()) {
+            boolean extendsPiece = mLength > 0 && mBase.startsWith(chunk, mOffset + mLength);
+            if (extendsPiece && mLiteral.isEmpty()) {
                 mLength += chunk.length();
             } else if (offset == null) {
                 mLiteral.append(chunk);
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeDiff.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeDiff.java
@@ -13,12 +13,12 @@
 
     static List<ValueDiff> between(SettingsTree before, SettingsTree after) {
         Map<NodePath, Map<String, String>> old = valuesOf(before);
-        Map<NodePath, Map<String, String>> now = valuesOf(after);
+        Map<NodePath, Map<String, String>> current = valuesOf(after);
         TreeSet<NodePath> paths = new TreeSet<>(old.keySet());
-        paths.addAll(now.keySet());
+        paths.addAll(current.keySet());
         List<ValueDiff> diffs = new ArrayList<>();
         for (NodePath p : paths) {
-            add(p, old.getOrDefault(p, Map.of()), now.getOrDefault(p, Map.of()), diffs);
+            add(p, old.getOrDefault(p, Map.of()), current.getOrDefault(p, Map.of()), diffs);
         }
         return diffs;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreePatch.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreePatch.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 
 /**
- * What a whole tree has other than the one in force.
+ * The differences between a whole tree and the tree in force.
  *
- * @param changed the values of each node that is new or has other ones, by its path
- * @param removed the paths of nodes that go
+ * @param changed the values of each new or changed node, by its path
+ * @param removed the paths of the removed nodes
  */
 public record TreePatch(Map<String, Map<String, String>> changed, List<String> removed) {
     /** Copies the list. */
@@ -17,21 +17,23 @@
     }
 
     /**
-     * Returns the difference.
+     * Returns the differences.
      *
-     * @param now the tree in force
-     * @param nodes the values of every node of the whole tree by its path
+     * @param current the tree in force
+     * @param nodes the values of every node of the whole tree, by its path
      */
-    static TreePatch between(SettingsTree now, Map<String, Map<String, String>> nodes) {
+    static TreePatch between(SettingsTree current, Map<String, Map<String, String>> nodes) {
         Map<String, Map<String, String>> changed = new TreeMap<>();
         nodes.forEach(
                 (path, values) -> {
-                    if (!now.holds(path, values)) {
+                    if (!current.hasNodeWithValues(path, values)) {
                         changed.put(path, values);
                     }
                 });
         List<String> removed =
-                now.nodesOutside(nodes.keySet()).stream().map(n -> n.path().toString()).toList();
+                current.nodesOutside(nodes.keySet()).stream()
+                        .map(n -> n.path().toString())
+                        .toList();
         return new TreePatch(changed, removed);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeReplacement.java
@@ -6,8 +6,8 @@
 import org.laurelweir.coordination.Command.NodeChange;
 
 /**
- * What replacing the whole tree changes, node by node. Nodes that stay as they are keep their
- * version, so that readers are told of the others only.
+ * The effect of replacing the whole tree, node by node. Unchanged nodes keep their version, so that
+ * readers receive only the changed ones.
  */
 final class TreeReplacement {
     private final long mPosition;
@@ -22,37 +22,37 @@
     }
 
     /**
-     * Works out a replacement. Nodes that stay as they are were valid when they came, so that only
-     * the others are checked, and what they do to the references between nodes: a control instance
-     * that starts has every replacement since the last snapshot to apply before it can serve.
+     * Computes a replacement. Only the changed nodes and their references are validated, as the
+     * unchanged nodes are valid already. This saves time when a control instance starts, which has
+     * to apply every replacement since the last snapshot before it can serve.
      *
-     * @param now the tree in force
-     * @param position where the new tree will be in force
-     * @param difference what the new tree has other than the one in force
+     * @param current the tree in force
+     * @param position the log position at which the new tree will be in force
+     * @param patch the differences between the new tree and the one in force
      */
-    static TreeReplacement of(SettingsTree now, long position, TreePatch difference) {
-        List<NodeChange> wanted = new ArrayList<>();
-        int size = now.size() - difference.removed().size();
-        for (Map.Entry<String, Map<String, String>> e : difference.changed().entrySet()) {
-            wanted.add(new NodeChange(e.getKey(), 0, e.getValue(), List.of(), false));
-            size += now.has(e.getKey()) ? 0 : 1;
+    static TreeReplacement of(SettingsTree current, long position, TreePatch patch) {
+        List<NodeChange> nodeChanges = new ArrayList<>();
+        int size = current.size() - patch.removed().size();
+        for (Map.Entry<String, Map<String, String>> e : patch.changed().entrySet()) {
+            nodeChanges.add(new NodeChange(e.getKey(), 0, e.getValue(), List.of(), false));
+            size += current.hasNode(e.getKey()) ? 0 : 1;
         }
-        ChangePlan plan = ChangePlan.ofWhole(position, size, wanted);
+        ChangePlan plan = ChangePlan.ofWholeTree(position, size, nodeChanges);
         TreeReplacement replacement = new TreeReplacement(position, plan.faults());
         if (replacement.mFaults.isEmpty()) {
-            plan.after().forEach(n -> replacement.edit(now.node(n.path()).orElse(null), n));
-            difference.removed().stream()
-                    .flatMap(path -> now.node(NodePath.parse(path)).stream())
+            plan.after().forEach(n -> replacement.edit(current.node(n.path()).orElse(null), n));
+            patch.removed().stream()
+                    .flatMap(path -> current.node(NodePath.parse(path)).stream())
                     .forEach(replacement::delete);
-            replacement.checkWhole(now);
+            replacement.checkTree(current);
         }
         return replacement;
     }
 
-    private void checkWhole(SettingsTree now) {
-        SettingsTree after = now.with(mPosition, mAfter);
-        mFaults.addAll(ReferenceCheck.faultsOf(now, after, mAfter));
-        mFaults.addAll(TreeSizeLimit.faultsOf(now, after));
+    private void checkTree(SettingsTree current) {
+        SettingsTree after = current.with(mPosition, mAfter);
+        mFaults.addAll(ReferenceCheck.faultsOf(current, after, mAfter));
+        mFaults.addAll(TreeSizeLimit.faultsOf(current, after));
     }
 
     private void edit(SettingsNode before, SettingsNode after) {
@@ -72,12 +72,12 @@
                 new NodeChange(old.path().toString(), old.version(), Map.of(), List.of(), true));
     }
 
-    /** Returns the changed nodes as they stand before, a missing one marked as gone. */
+    /** Returns the changed nodes in their previous state; a tombstone for one that is new. */
     List<SettingsNode> before() {
         return mBefore;
     }
 
-    /** Returns the changed nodes as they stand after, deleted ones marked as gone. */
+    /** Returns the changed nodes in their new state; a tombstone for one that is deleted. */
     List<SettingsNode> after() {
         return mAfter;
     }
@@ -87,7 +87,7 @@
         return mChanges;
     }
 
-    /** Returns everything wrong; if there is anything, nothing is changed. */
+    /** Returns all faults; if there are any, the replacement must not be applied. */
     List<NodeFault> faults() {
         return mFaults;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/TreeSizeLimit.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/TreeSizeLimit.java
@@ -3,33 +3,33 @@
 import java.util.List;
 
 /**
- * How large a tree of settings may become. Each change is bounded, and without a bound on what they
- * make together every control instance and router would fill its heap, and fill it again at each
- * start, while it reads the tree back.
+ * Limits the size of the settings tree. Each single change is limited, but without a limit on the
+ * tree, many changes together would fill the heap of every control instance and router, and fill it
+ * again at each start, when the tree is loaded.
  */
 final class TreeSizeLimit {
     /**
-     * An eighth of the smallest heap that is in use, 64 MB: a tree is held beside its snapshot, the
-     * log and the changes on their way. Client accounts of some 300 B each leave room for all of
-     * the 19,000 that are aimed at. Not a share of the heap, since every replica has to refuse the
-     * same.
+     * The maximum estimated size of a tree. It is an eighth of the smallest heap in use, 64 MB,
+     * since the heap also holds the tree's snapshot, the log and the changes in flight. The target
+     * of 19,000 client accounts of about 300 B each fits into it. The limit does not depend on the
+     * heap, since all replicas have to reject the same changes.
      */
-    static final long MOST_BYTES = 8 << 20;
+    static final long MAX_BYTES = 8 << 20;
 
     private TreeSizeLimit() {}
 
     /**
-     * Returns a fault if a change makes a tree larger than is taken. One that makes it smaller is
-     * taken however large the tree still is.
+     * Returns a fault if a change makes the tree larger than the limit. A change that makes the
+     * tree smaller is allowed even if the tree still exceeds the limit.
      *
      * @param before the tree in force
      * @param after the tree with the change
      */
     static List<NodeFault> faultsOf(SettingsTree before, SettingsTree after) {
-        if (after.bytes() <= Math.max(MOST_BYTES, before.bytes())) {
+        if (after.estimatedBytes() <= Math.max(MAX_BYTES, before.estimatedBytes())) {
             return List.of();
         }
-        String problem = "makes a tree of " + after.bytes() + " B";
-        return List.of(new NodeFault("change", "", problem, "up to " + MOST_BYTES + " B"));
+        String problem = "makes a tree of " + after.estimatedBytes() + " B";
+        return List.of(new NodeFault("change", "", problem, "up to " + MAX_BYTES + " B"));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/ValueDiff.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/ValueDiff.java
@@ -1,7 +1,7 @@
 package org.laurelweir.settings;
 
 /**
- * One value that differs between two positions.
+ * A value that differs between the trees at two log positions.
  *
  * @param path the node
  * @param key the key's name
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The settings tree that operators edit and every program obeys: its keys, nodes, versions, changes
- * and the rules by which a value is inherited; and the units in which values are written.
+ * The settings tree, which operators edit and all programs apply: its keys, nodes, versions and
+ * changes, the inheritance of values, and the formats in which values are written.
  */
 package org.laurelweir.settings;
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/InheritanceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/InheritanceTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Which node's value holds, against a slow oracle that follows the words of the page. */
+/** Compares effective settings with a slow oracle that follows the rules of inheritance. */
 class InheritanceTest {
     private static final SettingKey<Integer> KEY = SettingKeys.RETRY_MAX_ATTEMPTS;
 
@@ -44,7 +44,7 @@
     }
 
     @Property(seed = "301", tries = 500)
-    void theMostSpecificNodeThatAppliesWins(
+    void mostSpecificApplicableNodeWins(
             @ForAll("trees") SettingsTree tree, @ForAll("contexts") SettingsContext context) {
         SettingsNode expected =
                 tree.nodes().stream()
@@ -70,20 +70,20 @@
 
     private static boolean applies(SettingsNode n, SettingsContext c) {
         NodePath p = n.path();
-        boolean named =
-                agrees(p.region(), c.region())
-                        && agrees(p.dataCentre(), c.dataCentre())
-                        && agrees(p.service(), c.service())
-                        && agrees(p.account(), c.account());
-        if (p.rule() == null || !named) {
-            return named;
+        boolean levelsMatch =
+                matches(p.region(), c.region())
+                        && matches(p.dataCentre(), c.dataCentre())
+                        && matches(p.service(), c.service())
+                        && matches(p.account(), c.account());
+        if (p.rule() == null || !levelsMatch) {
+            return levelsMatch;
         }
         String methods = n.values().get("match.method");
         return c.call() != null && List.of(methods.split(",")).contains(c.call().method());
     }
 
-    private static boolean agrees(String named, String known) {
-        return named == null || Objects.equals(named, known);
+    private static boolean matches(String inPath, String inContext) {
+        return inPath == null || Objects.equals(inPath, inContext);
     }
 
     private static int compareSpecificFirst(SettingsNode a, SettingsNode b) {
@@ -100,11 +100,11 @@
     }
 
     @Test
-    void readsPathsInOneFormOnly() {
+    void rejectsMalformedPaths() {
         String text = "/region=vestkyst/service=seilhjerne/account=broker-1/rule=night";
         assertThat(NodePath.parse(text)).hasToString(text);
         assertThat(NodePath.parse("/")).isEqualTo(NodePath.DEPLOYMENT);
-        for (String wrong :
+        for (String malformed :
                 List.of(
                         "",
                         "region=x",
@@ -113,14 +113,14 @@
                         "/x=y",
                         "//",
                         "/service=a/region=b")) {
-            org.assertj.core.api.Assertions.assertThatThrownBy(() -> NodePath.parse(wrong))
-                    .as(wrong)
+            org.assertj.core.api.Assertions.assertThatThrownBy(() -> NodePath.parse(malformed))
+                    .as(malformed)
                     .isInstanceOf(IllegalArgumentException.class);
         }
     }
 
     @Test
-    void decidesWhichCallsMayBeRepeated() {
+    void decidesWhichCallsAreIdempotent() {
         SettingsNode service =
                 SettingsNode.of(
                         NodePath.ofService("havnebok"),
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/KeyTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/KeyTableTest.java
@@ -7,16 +7,16 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The operators' page lists the keys as the code knows them. */
+/** Compares the settings page for operators with the keys in the code. */
 class KeyTableTest {
     @Test
-    void theSettingsPageHoldsTheTableOfKeys() throws IOException {
+    void settingsPageContainsKeyTable() throws IOException {
         Path page = Path.of(System.getProperty("laurelweir.root"), "docs", "SETTINGS.md");
         assertThat(Files.readString(page)).contains(KeyTable.markdown());
     }
 
     @Test
-    void everyKeyTakesItsOwnDefault() {
+    void everyKeyAcceptsItsDefault() {
         for (SettingKey<?> key : SettingKeys.all()) {
             assertThat(key.parse(key.defaultText())).isEqualTo(key.defaultValue());
             assertThat(key.doc()).as(key.name()).endsWith(".");
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsHistoryTest.java
@@ -20,20 +20,35 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Histories of operators who race, resend and err, and of readers who hear late, twice or from a
- * control instance that lags.
+ * Random histories of operators whose changes conflict, are sent again or are invalid, and of
+ * readers that receive answers late, twice or from a control instance that lags behind.
  */
 class SettingsHistoryTest {
-    private static final SettingsStore.Limits SMALL =
+    private static final SettingsStore.Limits SMALL_LIMITS =
             new SettingsStore.Limits(8, 1000, Duration.ofDays(1));
     private static final List<String> PATHS =
             List.of("/", "/region=a", "/service=s", "/service=s/account=x", "/account=x");
 
-    /** One command: which nodes, how far behind their author is, and what it sets. */
-    private record Op(List<Integer> nodes, int behind, int value, boolean delete, int resendOf) {}
+    /**
+     * A command.
+     *
+     * @param nodes the indexes of the changed nodes in {@code PATHS}
+     * @param changesBehind how many changes ago its author read the tree
+     * @param value the value to set
+     * @param delete whether the nodes are deleted
+     * @param resendOf how many commands ago the command was sent that this one repeats; 0 for a new
+     *     command
+     */
+    private record Op(
+            List<Integer> nodes, int changesBehind, int value, boolean delete, int resendOf) {}
 
-    /** One message to a reader: asked at which past position, answered by how late a replica. */
-    private record Message(int asked, int lag) {}
+    /**
+     * An answer to a reader's request.
+     *
+     * @param requestAge how many messages ago the reader had the position in the request
+     * @param replicaLag how many changes the answering replica lags behind
+     */
+    private record Message(int requestAge, int replicaLag) {}
 
     @Provide
     Arbitrary<List<Op>> ops() {
@@ -60,9 +75,9 @@
         return Combinators.combine(few, few).as(Message::new).list().ofMaxSize(60);
     }
 
-    /** Turns an op into a command; its author saw the tree as it was some changes ago. */
-    private static ChangeSettings command(Op op, int index, List<SettingsTree> seen) {
-        SettingsTree tree = seen.get(Math.max(0, seen.size() - 1 - op.behind()));
+    /** Returns the command of an op; its author read the tree some changes ago. */
+    private static ChangeSettings command(Op op, int index, List<SettingsTree> seenTrees) {
+        SettingsTree tree = seenTrees.get(Math.max(0, seenTrees.size() - 1 - op.changesBehind()));
         List<NodeChange> changes = new ArrayList<>();
         for (int n : op.nodes()) {
             long version =
@@ -71,11 +86,11 @@
                     op.delete() ? Map.of() : Map.of("retry.max-attempts", "" + op.value());
             changes.add(new NodeChange(PATHS.get(n), version, set, List.of(), op.delete()));
         }
-        Instant at = Instant.EPOCH.plusSeconds(index);
-        return new ChangeSettings(at, "c" + index, "tester", changes);
+        Instant timestamp = Instant.EPOCH.plusSeconds(index);
+        return new ChangeSettings(timestamp, "c" + index, "tester", changes);
     }
 
-    /** Runs the ops; gives the tree after each, the empty one first. */
+    /** Applies the ops and returns the initial tree and the tree after each op. */
     private static List<SettingsTree> run(SettingsStore store, List<Op> ops) {
         List<SettingsTree> trees = new ArrayList<>(List.of(store.tree()));
         for (int i = 0; i < ops.size(); i++) {
@@ -86,8 +101,8 @@
     }
 
     @Property(seed = "311", tries = 300)
-    void changesAreTakenWholeOrNotAtAllAndResendsGetTheFirstAnswer(@ForAll("ops") List<Op> ops) {
-        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL);
+    void changesAreAtomicAndResendsGetTheFirstAnswer(@ForAll("ops") List<Op> ops) {
+        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL_LIMITS);
         Map<String, Long> model = new HashMap<>();
         List<ChangeSettings> sent = new ArrayList<>();
         List<SettingsAnswer> answers = new ArrayList<>();
@@ -117,10 +132,10 @@
             long position,
             SettingsTree before,
             SettingsTree after) {
-        boolean raced =
+        boolean isConflict =
                 c.changes().stream()
                         .anyMatch(n -> model.getOrDefault(n.path(), 0L) != n.expectedVersion());
-        assertThat(answer.code() == ResultCode.SETTINGS_CONFLICT).isEqualTo(raced);
+        assertThat(answer.code() == ResultCode.SETTINGS_CONFLICT).isEqualTo(isConflict);
         if (answer.code() != ResultCode.OK) {
             assertThat(after).isSameAs(before);
             return;
@@ -138,11 +153,11 @@
     }
 
     @Property(seed = "312", tries = 300)
-    void aReplicaRestoredFromASnapshotGoesOnAlike(
+    void restoredReplicaBehavesLikeTheOriginal(
             @ForAll("ops") List<Op> first, @ForAll("ops") List<Op> rest) {
-        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL);
+        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL_LIMITS);
         List<SettingsTree> trees = run(store, first);
-        SettingsStore restored = new SettingsStore(store.state(), SMALL);
+        SettingsStore restored = new SettingsStore(store.state(), SMALL_LIMITS);
         for (int i = 0; i < rest.size(); i++) {
             int index = first.size() + i;
             ChangeSettings c = command(rest.get(i), index, trees);
@@ -156,8 +171,8 @@
     }
 
     @Property(seed = "313", tries = 300)
-    void earlierTreesAreWorkedOutWhileTheirChangesAreKept(@ForAll("ops") List<Op> ops) {
-        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL);
+    void earlierTreesAreAvailableWhileTheirChangesAreKept(@ForAll("ops") List<Op> ops) {
+        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL_LIMITS);
         List<SettingsTree> trees = run(store, ops);
         for (int p = 0; p < trees.size(); p++) {
             Optional<SettingsTree> earlier = store.treeAt(p);
@@ -170,20 +185,22 @@
     }
 
     @Property(seed = "314", tries = 300)
-    void aReaderNeverGoesBackAndAlwaysHoldsAWholeTree(
+    void readerNeverGoesBackAndAlwaysHasAConsistentTree(
             @ForAll("ops") List<Op> ops, @ForAll("messages") List<Message> messages) {
-        // A reader asks several control instances, some of which lag; answers come late and out of
-        // order, and each brings the nodes changed since the position of its question. Were an old
-        // answer taken in, an accepted change would be in force, then not, then in force again.
-        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL);
+        // A reader sends requests to several control instances, some of which lag behind. Answers
+        // arrive late and out of order; each contains the nodes that changed after the position of
+        // its request. If an old answer were applied, an accepted change would be in force, then
+        // reverted, then in force again.
+        SettingsStore store = new SettingsStore(SettingsState.EMPTY, SMALL_LIMITS);
         List<SettingsTree> trees = run(store, ops);
         SettingsReader reader = new SettingsReader();
         List<Long> positions = new ArrayList<>(List.of(0L));
         for (Message m : messages) {
-            long asked = positions.get(Math.max(0, positions.size() - 1 - m.asked()));
+            long requestPosition =
+                    positions.get(Math.max(0, positions.size() - 1 - m.requestAge()));
             long before = reader.position();
-            int at = Math.max(0, trees.size() - 1 - m.lag());
-            reader.apply(replicaAt(at, ops).deltaSince(asked));
+            int replicaPosition = Math.max(0, trees.size() - 1 - m.replicaLag());
+            reader.apply(replicaAt(replicaPosition, ops).deltaSince(requestPosition));
             assertThat(reader.position()).isGreaterThanOrEqualTo(before);
             assertThat(reader.tree().nodes()).isEqualTo(trees.get((int) reader.position()).nodes());
             positions.add(reader.position());
@@ -193,7 +210,7 @@
     }
 
     private static SettingsStore replicaAt(int position, List<Op> ops) {
-        SettingsStore replica = new SettingsStore(SettingsState.EMPTY, SMALL);
+        SettingsStore replica = new SettingsStore(SettingsState.EMPTY, SMALL_LIMITS);
         run(replica, ops.subList(0, position));
         return replica;
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsSamples.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsSamples.java
@@ -9,9 +9,9 @@
 import org.laurelweir.coordination.Command.ChangeSettings;
 import org.laurelweir.coordination.Command.NodeChange;
 
-/** Changes and arbitraries that the tests of the settings tree share. */
+/** Sample changes and jqwik arbitraries for the tests of the settings tree. */
 final class SettingsSamples {
-    private static final List<String> FEW = List.of("a", "b");
+    private static final List<String> NAMES = List.of("a", "b");
 
     private SettingsSamples() {}
 
@@ -35,14 +35,14 @@
         return new SettingsStore(SettingsState.EMPTY, SettingsStore.Limits.DEFAULT);
     }
 
-    /** Paths over so few names that many apply to one context. */
+    /** Returns paths with few distinct names, so that many of them apply to one context. */
     static Arbitrary<NodePath> paths() {
-        Arbitrary<String> name = Arbitraries.of(FEW).injectNull(0.5);
+        Arbitrary<String> name = Arbitraries.of(NAMES).injectNull(0.5);
         return Combinators.combine(name, name, name, name, name).as(NodePath::new);
     }
 
     static Arbitrary<SettingsContext> contexts() {
-        Arbitrary<String> name = Arbitraries.of(FEW).injectNull(0.2);
+        Arbitrary<String> name = Arbitraries.of(NAMES).injectNull(0.2);
         Arbitrary<SettingsContext.Call> call =
                 Arbitraries.of("GET", "POST")
                         .map(m -> new SettingsContext.Call(m, "/x", null))
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
@@ -17,14 +17,14 @@
 import org.laurelweir.coordination.Command.NodeChange;
 import org.laurelweir.lib.ResultCode;
 
-/** Answers to changes, and what they leave in force. */
+/** Changes of settings: their answers and the resulting state. */
 class SettingsStoreTest {
     private static final String DIGEST = KeyDigest.of("secret");
 
     private final SettingsStore mStore = SettingsSamples.store();
 
     /** Defines services s and p and accounts x and y at position 1. */
-    private void define() {
+    private void defineServicesAndAccounts() {
         SettingsAnswer answer =
                 mStore.apply(
                         1,
@@ -45,7 +45,7 @@
 
     @Test
     void findsServicesAndAccounts() {
-        define();
+        defineServicesAndAccounts();
         SettingsTree tree = mStore.tree();
         assertThat(tree.serviceOfModel("m2")).contains("s");
         assertThat(tree.serviceOfModel("m3")).isEmpty();
@@ -57,11 +57,11 @@
     }
 
     @Test
-    void theSecondOfTwoOperatorsLearnsTheWinnersVersion() {
-        // Two operators read version 1 of a node and both change it. Both changes reach the log;
-        // the second one must not silently undo the first: its author gets a conflict with the
-        // node as the winner left it, and nothing of the change, here also of another node, holds.
-        define();
+    void conflictReturnsTheCurrentNode() {
+        // Two operators read version 1 of a node and both change it. The second change must not
+        // silently overwrite the first one. Its author gets a conflict with the node's current
+        // state, and no part of the change is applied, including that of another node.
+        defineServicesAndAccounts();
         mStore.apply(2, change("first", set("/service=s", 1, "bound.factor", "1.5")));
 
         SettingsAnswer answer =
@@ -83,11 +83,11 @@
     }
 
     @Test
-    void aChangeSentAgainGetsItsFirstAnswerEvenAfterLaterChanges() {
-        // The answer to an accepted change is lost and its author sends it again, after another
-        // operator has changed the node further. Judged anew it would be a conflict with itself,
-        // and its author would wrongly believe that it never held.
-        define();
+    void resentChangeGetsItsFirstAnswerAfterLaterChanges() {
+        // The answer to an accepted change is lost. Its author sends the change again after another
+        // operator has changed the node. If the change were evaluated again, the result would be a
+        // conflict, and the author would wrongly conclude that it was never applied.
+        defineServicesAndAccounts();
         ChangeSettings lost = change("lost", set("/service=s", 1, "bound.factor", "1.5"));
         SettingsAnswer first = mStore.apply(2, lost);
         mStore.apply(3, change("later", set("/service=s", 2, "bound.factor", "3")));
@@ -99,8 +99,8 @@
     }
 
     @Test
-    void namesEveryFaultAndLeavesWhatIsInForce() {
-        define();
+    void reportsEveryFaultAndChangesNothing() {
+        defineServicesAndAccounts();
         SettingsState before = mStore.state();
 
         SettingsAnswer answer =
@@ -140,7 +140,7 @@
 
     @Test
     void movesAModelFromOneServiceToAnotherInOneChange() {
-        define();
+        defineServicesAndAccounts();
         SettingsAnswer answer =
                 mStore.apply(
                         2,
@@ -154,8 +154,8 @@
     }
 
     @Test
-    void aNodeMadeAnewNeverRepeatsAVersion() {
-        define();
+    void recreatedNodeDoesNotReuseAVersion() {
+        defineServicesAndAccounts();
         mStore.apply(2, change("delete", delete("/account=y", 1)));
         mStore.apply(3, change("again", set("/account=y", 0)));
         SettingsAnswer stale =
@@ -166,7 +166,7 @@
 
     @Test
     void comparesPositionsAndListsChanges() {
-        define();
+        defineServicesAndAccounts();
         mStore.apply(5, change("a", set("/service=s", 1, "bound.factor", "1.5")));
         mStore.apply(7, change("b", set("/service=s", 5, "bound.factor", "2")));
         mStore.apply(8, change("c", set("/account=y", 1, "account.weight", "2")));
@@ -181,7 +181,7 @@
     }
 
     @Test
-    void forgetsOldChangesAndAnswersWithinItsLimits() {
+    void evictsOldChangesAndAnswersBeyondTheLimits() {
         SettingsStore.Limits limits = new SettingsStore.Limits(2, 10, Duration.ofHours(1));
         SettingsStore store = new SettingsStore(SettingsState.EMPTY, limits);
         ChangeSettings first = change("1", set("/", 0));
@@ -199,11 +199,11 @@
         assertThat(store.state().answers()).hasSize(1);
     }
 
-    // Operators see: control instances whose memory and snapshots grow with each large change.
-    // Order: changes of several nodes, far fewer than are kept by number. Why: the history and the
-    // first answers are bounded in bytes too; who lacks what was forgotten gets the whole tree.
+    // Guards against memory and snapshots that grow with each large change. The history and the
+    // recorded answers are limited in bytes, too, so that fewer changes are kept than the limit on
+    // their number allows. A reader that lacks evicted changes gets the whole tree.
     @Test
-    void forgetsFewLargeChangesAsManySmallOnes() {
+    void evictsLargeChangesBySize() {
         int bytes = 3_000;
         SettingsStore.Limits limits =
                 new SettingsStore.Limits(100, bytes, 100, bytes, Duration.ofHours(1));
@@ -224,22 +224,23 @@
         assertThat(restored.state()).isEqualTo(store.state());
     }
 
-    // Each change was small, and together they made a tree that no start could read back.
+    // Guards against small changes that together make a tree too large to be loaded at a start.
     @Test
-    void theTreeOfAcceptedChangesFitsIntoTheSmallestHeap() {
-        define();
+    void acceptedChangesFitIntoTheSmallestHeap() {
+        defineServicesAndAccounts();
         int smallestHeap = 64 << 20;
         String path = "/" + "p".repeat(16_000);
         for (int position = 2; position <= 60; position++) {
             mStore.apply(position, change("rules " + position, rules(position, path)));
         }
-        long bytes = mStore.tree().nodes().stream().mapToLong(SettingsNode::bytes).sum();
+        long bytes = mStore.tree().nodes().stream().mapToLong(SettingsNode::estimatedBytes).sum();
         assertThat(bytes).isLessThan(smallestHeap);
     }
 
-    // A tree that an earlier version let grow beyond the bound could not be made smaller again.
+    // Guards against a tree that exceeds the size limit, as it is from a version without the limit,
+    // and that can't be made smaller.
     @Test
-    void aTreeBeyondTheBoundTakesWhatMakesItSmaller() {
+    void oversizedTreeAcceptsChangesThatShrinkIt() {
         String path = "/" + "p".repeat(16_000);
         List<SettingsNode> nodes = new ArrayList<>(List.of(node("/service=s")));
         for (int i = 0; i < 1_000; i++) {
@@ -247,14 +248,17 @@
         }
         SettingsState large = new SettingsState(1, nodes, 1, List.of(), List.of(), 0, "");
         SettingsStore store = new SettingsStore(large, SettingsStore.Limits.DEFAULT);
-        assertThat(store.tree().bytes()).isGreaterThan(TreeSizeLimit.MOST_BYTES);
+        assertThat(store.tree().estimatedBytes()).isGreaterThan(TreeSizeLimit.MAX_BYTES);
 
         SettingsAnswer more = store.apply(2, change("more", set("/account=x", 0)));
         assertThat(more.code()).isEqualTo(ResultCode.SETTINGS_INVALID);
         SettingsAnswer less = store.apply(3, change("less", delete("/service=s/rule=g7", 1)));
         assertThat(less.code()).isEqualTo(ResultCode.OK);
-        assertThat(store.tree().bytes())
-                .isEqualTo(store.tree().nodes().stream().mapToLong(SettingsNode::bytes).sum());
+        assertThat(store.tree().estimatedBytes())
+                .isEqualTo(
+                        store.tree().nodes().stream()
+                                .mapToLong(SettingsNode::estimatedBytes)
+                                .sum());
     }
 
     private static SettingsNode node(String path, String... keyAndValue) {
@@ -277,8 +281,8 @@
     }
 
     @Test
-    void rulesBindOnlyTheCallsTheyMatch() {
-        define();
+    void rulesApplyOnlyToMatchingCalls() {
+        defineServicesAndAccounts();
         mStore.apply(
                 2,
                 change(
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/TextPatchTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/TextPatchTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/** Texts that are told by what they have other than the one before. */
+/** Patches between texts. */
 class TextPatchTest {
     private static final int ROUTES = 900;
 
@@ -27,30 +27,31 @@
                 .formatted(i, i % 7, timeout);
     }
 
-    private static int literals(TextPatch patch) {
+    private static int literalLength(TextPatch patch) {
         return patch.pieces().stream().mapToInt(p -> p.literal().length()).sum();
     }
 
     @Example
-    void aChangeOfOneValueTakesItsPlaceAlone() {
+    void changeOfOneValueGivesSmallPatch() {
         String before = document(1, -1, 0);
         String after = document(2, 500, 6000);
         TextPatch patch = TextPatch.between(before, after);
         assertThat(patch.applyTo(before)).isEqualTo(after);
-        assertThat(literals(patch)).isLessThan(250);
+        assertThat(literalLength(patch)).isLessThan(250);
         assertThat(patch.pieces()).hasSizeLessThan(10);
     }
 
     @Example
-    void aTextThatHasNothingInCommonComesWhole() {
+    void unrelatedTextIsOneLiteral() {
         TextPatch patch = TextPatch.between("", "a whole text");
         assertThat(patch.applyTo("")).isEqualTo("a whole text");
         assertThat(TextPatch.between("a whole text", "").applyTo("a whole text")).isEmpty();
     }
 
-    // Settings that were read back differed from what their operator had sent.
+    // Guards against a patch that gives another text than the one from which it was made: operators
+    // would read back settings that differ from those that they sent.
     @Property(seed = "3", tries = 500, shrinking = ShrinkingMode.OFF)
-    void anyTextComesOutAsItWas(@ForAll long seed) {
+    void patchRestoresAnyText(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         String before = randomText(random);
         String after = random.nextBoolean() ? randomText(random) : edited(before, random);
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/TreeReplacementTest.java
@@ -41,14 +41,14 @@
                 new ReplaceSettings(Instant.EPOCH, revision, "op", nodes, "text " + revision));
     }
 
-    private ResultCode fault(String path, Map<String, String> values) {
+    private ResultCode replaceNode(String path, Map<String, String> values) {
         Map<String, Map<String, String>> nodes = tree("x");
         nodes.put(path, values);
         return replace(100, nodes).code();
     }
 
     @Test
-    void theHighestRevisionWins() {
+    void highestRevisionWins() {
         assertThat(replace(5, tree("x", "y")).code()).isEqualTo(ResultCode.OK);
         assertThat(replace(3, tree("z")).code()).isEqualTo(ResultCode.OK);
         assertThat(mStore.revision()).isEqualTo(5);
@@ -65,50 +65,55 @@
     }
 
     @Test
-    void readersAreToldOnlyOfWhatChanged() {
+    void readersReceiveOnlyChangedNodes() {
         replace(5, tree("x", "y"));
         long before = mStore.tree().position();
         Map<String, Map<String, String>> nodes = tree("x", "z");
         replace(6, nodes);
-        Map<String, Boolean> told = new HashMap<>();
-        mStore.deltaSince(before).nodes().forEach(n -> told.put(n.path().toString(), n.deleted()));
-        assertThat(told).isEqualTo(Map.of("/route=y", true, "/route=z", false));
+        Map<String, Boolean> received = new HashMap<>();
+        mStore.deltaSince(before)
+                .nodes()
+                .forEach(n -> received.put(n.path().toString(), n.deleted()));
+        assertThat(received).isEqualTo(Map.of("/route=y", true, "/route=z", false));
     }
 
     @Test
-    void anInvalidTreeIsRefusedWhole() {
+    void invalidTreeIsRejected() {
         replace(5, tree("x"));
-        assertThat(fault("/route=y", route("/y/", "nobody:1")))
+        assertThat(replaceNode("/route=y", route("/y/", "nobody:1")))
                 .isEqualTo(ResultCode.SETTINGS_INVALID);
-        assertThat(fault("/route=y", route("/x/", "s:1"))).isEqualTo(ResultCode.SETTINGS_INVALID);
-        assertThat(fault("/route=y", route("/y/", "s:0"))).isEqualTo(ResultCode.SETTINGS_INVALID);
-        assertThat(fault("/route=y", route("/y", "s:1"))).isEqualTo(ResultCode.SETTINGS_INVALID);
-        assertThat(fault("/route=y", Map.of("route.host", "h")))
+        assertThat(replaceNode("/route=y", route("/x/", "s:1")))
+                .isEqualTo(ResultCode.SETTINGS_INVALID);
+        assertThat(replaceNode("/route=y", route("/y/", "s:0")))
+                .isEqualTo(ResultCode.SETTINGS_INVALID);
+        assertThat(replaceNode("/route=y", route("/y", "s:1")))
+                .isEqualTo(ResultCode.SETTINGS_INVALID);
+        assertThat(replaceNode("/route=y", Map.of("route.host", "h")))
                 .isEqualTo(ResultCode.SETTINGS_INVALID);
         Map<String, String> noTime = new HashMap<>(route("/y/", "s:1"));
         noTime.put("route.timeout", "0ms");
-        assertThat(fault("/route=y", noTime)).isEqualTo(ResultCode.SETTINGS_INVALID);
-        assertThat(fault("/account=b", Map.of("account.key-digests", KeyDigest.of("secret"))))
+        assertThat(replaceNode("/route=y", noTime)).isEqualTo(ResultCode.SETTINGS_INVALID);
+        assertThat(replaceNode("/account=b", Map.of("account.key-digests", KeyDigest.of("secret"))))
                 .isEqualTo(ResultCode.SETTINGS_INVALID);
         assertThat(mStore.revision()).isEqualTo(5);
         assertThat(mStore.source()).isEqualTo("text 5");
     }
 
     @Test
-    void anInvalidTreeIsRefusedUnderAnOldRevisionToo() {
+    void invalidTreeIsRejectedUnderOldRevision() {
         replace(200, tree("x"));
-        assertThat(fault("/route=y", route("/y/", "nobody:1")))
+        assertThat(replaceNode("/route=y", route("/y/", "nobody:1")))
                 .isEqualTo(ResultCode.SETTINGS_INVALID);
     }
 
-    // Operators see: a tree is refused that is sound, or taken though two routes have one prefix.
-    // Order: trees follow each other that move prefixes and keys between nodes, drop services that
-    // are still named, and name services that are gone. Why: only the nodes that differ are
-    // checked.
+    // Guards against a valid tree that is rejected, and against an accepted tree in which two
+    // routes have the same prefix. Only the changed nodes are validated. The random trees move
+    // prefixes and bearer keys between nodes, remove services that are still referenced, and
+    // reference removed services.
     @Test
-    void aTreeIsTakenAfterAnotherJustIfItIsTakenAlone() {
+    void treeIsAcceptedAfterAnotherIfAndOnlyIfItIsValid() {
         SplittableRandom random = new SplittableRandom(SEED);
-        int taken = 0;
+        int acceptedCount = 0;
         for (int revision = 1; revision <= TREES; revision++) {
             Map<String, Map<String, String>> nodes = randomTree(random);
             SettingsStore alone = SettingsSamples.store();
@@ -117,39 +122,41 @@
             ResultCode code = replace(revision, nodes).code();
             assertThat(code).as("seed %d, tree %d: %s", SEED, revision, nodes).isEqualTo(expected);
             if (code == ResultCode.OK) {
-                taken++;
+                acceptedCount++;
                 assertThat(values(mStore)).isEqualTo(values(alone));
                 assertThat(values(mStore)).isEqualTo(nodes);
             }
         }
-        assertThat(taken).isBetween(TREES / 5, TREES * 4 / 5);
+        assertThat(acceptedCount).isBetween(TREES / 5, TREES * 4 / 5);
     }
 
-    // A replica that was told of a tree by its difference held another one than the others.
+    // Guards against replicas that diverge because one applies a patch and another the whole tree.
     @Test
-    void aTreeToldByItsDifferenceIsTheWholeTree() {
+    void patchGivesTheSameTreeAsReplacement() {
         SplittableRandom random = new SplittableRandom(SEED);
-        SettingsStore told = SettingsSamples.store();
+        SettingsStore patched = SettingsSamples.store();
         for (int revision = 1; revision <= TREES; revision++) {
             ReplaceSettings whole =
                     new ReplaceSettings(
                             Instant.EPOCH, revision, "op", randomTree(random), "text " + revision);
-            SettingsAnswer byDifference = told.patch(revision, told.patchTo(whole));
-            assertThat(byDifference).isEqualTo(mStore.replace(revision, whole));
+            SettingsAnswer patchAnswer = patched.patch(revision, patched.patchTo(whole));
+            assertThat(patchAnswer).isEqualTo(mStore.replace(revision, whole));
         }
-        assertThat(told.state()).isEqualTo(mStore.state());
+        assertThat(patched.state()).isEqualTo(mStore.state());
     }
 
-    // A difference from a tree that was no longer in force made a tree that nobody had sent.
+    // Guards against a late patch that is applied to another tree than the one from which it was
+    // made: the result would be a tree that no operator sent.
     @Test
-    void aDifferenceFromAnotherTreeChangesNothing() {
+    void patchOfAnotherTreeIsRejected() {
         replace(5, tree("x"));
         ReplaceSettings whole =
                 new ReplaceSettings(Instant.EPOCH, 7, "op", tree("x", "y"), "text 7");
-        PatchSettings late = mStore.patchTo(whole);
+        PatchSettings latePatch = mStore.patchTo(whole);
         replace(6, tree("z"));
         SettingsState before = mStore.state();
-        assertThat(mStore.patch(++mPosition, late).code()).isEqualTo(ResultCode.SETTINGS_CONFLICT);
+        assertThat(mStore.patch(++mPosition, latePatch).code())
+                .isEqualTo(ResultCode.SETTINGS_CONFLICT);
         assertThat(mStore.state()).isEqualTo(before);
     }
 
@@ -175,7 +182,7 @@
     }
 
     @Test
-    void comesBackFromWhatItRemembers() {
+    void restoresRevisionAndSourceFromState() {
         replace(5, tree("x", "y"));
         SettingsStore copy = new SettingsStore(mStore.state(), mStore.limits());
         assertThat(copy.revision()).isEqualTo(5);
