--- a/org.laurelweir/src/main/java/org/laurelweir/errors/LaurelweirException.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/errors/LaurelweirException.java
@@ -2,7 +2,7 @@
 
 import org.laurelweir.lib.ResultCode;
 
-/** An error with a numbered result code; the message is meant for an operator or a caller. */
+/** An error with a numbered result code and a message for an operator or a caller. */
 public class LaurelweirException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -11,8 +11,8 @@
     /**
      * Creates an error.
      *
-     * @param code what went wrong, from the table in docs/CODES.md
-     * @param message details for the reader
+     * @param code the result code, from the table in docs/CODES.md
+     * @param message a description for the operator or caller
      */
     public LaurelweirException(ResultCode code, String message) {
         super(message);
@@ -20,10 +20,10 @@
     }
 
     /**
-     * Creates an error caused by another.
+     * Creates an error that was caused by another exception.
      *
-     * @param code what went wrong, from the table in docs/CODES.md
-     * @param message details for the reader
+     * @param code the result code, from the table in docs/CODES.md
+     * @param message a description for the operator or caller
      * @param cause the underlying failure
      */
     public LaurelweirException(ResultCode code, String message, Throwable cause) {
@@ -31,10 +31,12 @@
         mCode = code;
     }
 
+    /** Returns the result code. */
     public ResultCode getCode() {
         return mCode;
     }
 
+    /** Returns the code's number and name, followed by the message. */
     @Override
     public String toString() {
         return "E" + mCode.number() + " " + mCode + ": " + getMessage();
--- a/org.laurelweir/src/main/java/org/laurelweir/errors/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/errors/package-info.java
@@ -1,2 +1,2 @@
-/** Unchecked exceptions, each carrying a numbered result code. */
+/** Unchecked exceptions with numbered result codes. */
 package org.laurelweir.errors;
