--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/AppendReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/AppendReceiver.java
@@ -18,8 +18,8 @@
 
     /** Takes an append of this term. */
     void onAppend(ReplicaId from, AppendRequest m) {
-        if (!matches(m)) {
-            reply(from, m, false, lastToTry(m));
+        if (!matchesLog(m)) {
+            reply(from, m, false, conflictHint(m));
             return;
         }
         if (!hasRoomFor(m.entries())) {
@@ -40,23 +40,24 @@
      * log that is full of entries not yet committed has to take those that commit them.
      */
     private boolean hasRoomFor(List<LogEntry> entries) {
-        long bytes = LogEntry.bytesOf(entries);
+        long bytes = LogEntry.totalBytes(entries);
         if (bytes == 0) {
             return true;
         }
-        boolean diskLags = mState.durability().unsyncedBytes() > 0 && !mState.mayWaitForDisk(bytes);
+        boolean diskLags =
+                mState.diskWrites().unsyncedBytes() > 0 && !mState.hasDiskQueueRoom(bytes);
         boolean snapshotLags =
-                mApplier.isSnapshotUnderWay()
-                        && mState.log().bytes() + bytes > mState.config().bounds().held();
+                mApplier.isSnapshotPending()
+                        && mState.log().bytes() + bytes > mState.config().logLimits().maxLogBytes();
         return !diskLags && !snapshotLags;
     }
 
     private void reply(ReplicaId from, AppendRequest m, boolean success, long index) {
-        mState.sendDurable(from, new AppendReply(mState.term(), success, index, m.round()));
+        mState.sendAfterSync(from, new AppendReply(mState.term(), success, index, m.round()));
     }
 
     /** What lies before the entries held was committed, so it is the leader's too. */
-    private boolean matches(AppendRequest m) {
+    private boolean matchesLog(AppendRequest m) {
         ReplicatedLog log = mState.log();
         if (m.prevIndex() > log.lastIndex()) {
             return false;
@@ -65,7 +66,7 @@
     }
 
     /** Skips a whole term that conflicts, instead of one entry for each exchange. */
-    private long lastToTry(AppendRequest m) {
+    private long conflictHint(AppendRequest m) {
         ReplicatedLog log = mState.log();
         if (m.prevIndex() > log.lastIndex()) {
             return log.lastIndex();
@@ -81,7 +82,7 @@
     private void appendMissing(List<LogEntry> entries) {
         ReplicatedLog log = mState.log();
         int i = 0;
-        while (i < entries.size() && isHeld(entries.get(i))) {
+        while (i < entries.size() && isInLog(entries.get(i))) {
             i++;
         }
         if (i == entries.size()) {
@@ -99,7 +100,7 @@
         mState.append(missing);
     }
 
-    private boolean isHeld(LogEntry e) {
+    private boolean isInLog(LogEntry e) {
         ReplicatedLog log = mState.log();
         return e.index() <= log.baseIndex() || log.termAt(e.index()) == e.term();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Applier.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Applier.java
@@ -7,11 +7,11 @@
     private final ReplicaState mState;
     private final LongConsumer mAppliedListener;
     private long mCommitIndex;
-    private long mMarked;
-    private boolean mSnapshotAsked;
+    private long mMarkedIndex;
+    private boolean mIsSnapshotPending;
 
     /** Bytes of the entries applied since the last snapshot. */
-    private long mAppliedBytes;
+    private long mBytesSinceSnapshot;
 
     /**
      * Creates an applier.
@@ -35,8 +35,8 @@
      */
     void recover(long committed) {
         mCommitIndex = mState.log().snapshot().index();
-        mAppliedBytes = 0;
-        mMarked = committed;
+        mBytesSinceSnapshot = 0;
+        mMarkedIndex = committed;
         commitTo(committed);
     }
 
@@ -45,10 +45,10 @@
      * committed by others but not synced here could be missing after a loss of power, and another
      * one could stand in its place for a moment.
      */
-    void mark() {
-        long index = Math.min(mCommitIndex, mState.durability().durableIndex());
-        if (index > mMarked) {
-            mMarked = index;
+    void markCommitted() {
+        long index = Math.min(mCommitIndex, mState.diskWrites().durableIndex());
+        if (index > mMarkedIndex) {
+            mMarkedIndex = index;
             mState.emit(new ConsensusEffect.MarkCommitted(index));
         }
     }
@@ -56,8 +56,8 @@
     /** Goes on after a snapshot that the shell is told to load in place of its state. */
     void install(Snapshot snapshot) {
         mCommitIndex = snapshot.index();
-        mAppliedBytes = 0;
-        mSnapshotAsked = false;
+        mBytesSinceSnapshot = 0;
+        mIsSnapshotPending = false;
         mState.emit(new ConsensusEffect.InstallSnapshot(snapshot));
     }
 
@@ -68,18 +68,18 @@
         while (mCommitIndex < end) {
             mCommitIndex++;
             LogEntry e = log.entry(mCommitIndex);
-            mAppliedBytes += e.bytes();
+            mBytesSinceSnapshot += e.bytes();
             if (e.kind() == LogEntry.Kind.COMMAND) {
                 mState.emit(new ConsensusEffect.Apply(e.index(), e.term(), e.payload()));
             }
             mAppliedListener.accept(mCommitIndex);
         }
-        askForSnapshot();
+        requestSnapshotIfDue();
     }
 
-    private void askForSnapshot() {
-        if (!mSnapshotAsked && isSnapshotDue()) {
-            mSnapshotAsked = true;
+    private void requestSnapshotIfDue() {
+        if (!mIsSnapshotPending && isSnapshotDue()) {
+            mIsSnapshotPending = true;
             mState.emit(new ConsensusEffect.TakeSnapshot(mCommitIndex));
         }
     }
@@ -87,28 +87,29 @@
     private boolean isSnapshotDue() {
         Snapshot last = mState.log().snapshot();
         ConsensusConfig config = mState.config();
-        return mCommitIndex - last.index() >= config.snapshotEvery()
-                || mAppliedBytes >= config.bounds().snapshotDue(last.state().length);
+        return mCommitIndex - last.index() >= config.snapshotIntervalEntries()
+                || mBytesSinceSnapshot
+                        >= config.logLimits().snapshotThresholdBytes(last.state().length);
     }
 
     /** Returns whether a snapshot is on its way, after which the log is shorter. */
-    boolean isSnapshotUnderWay() {
-        return mSnapshotAsked;
+    boolean isSnapshotPending() {
+        return mIsSnapshotPending;
     }
 
     void onSnapshotTaken(ConsensusEvent.SnapshotTaken taken) {
         ReplicatedLog log = mState.log();
         long index = taken.index();
         if (index <= log.snapshot().index() || index > mCommitIndex) {
-            mSnapshotAsked = false;
+            mIsSnapshotPending = false;
             return;
         }
         Snapshot snapshot =
                 new Snapshot(index, log.termAt(index), log.membershipAt(index), taken.state());
         mState.compact(snapshot);
-        mAppliedBytes = log.bytesBetween(index, mCommitIndex);
-        mState.durability().write(snapshot, false);
+        mBytesSinceSnapshot = log.bytesBetween(index, mCommitIndex);
+        mState.diskWrites().write(snapshot, false);
         // On a disk that hangs, one snapshot after the other would wait in memory.
-        mState.durability().afterSync(() -> mSnapshotAsked = false);
+        mState.diskWrites().afterSync(() -> mIsSnapshotPending = false);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
@@ -9,23 +9,25 @@
  *     leader that hears no quorum for this time steps down
  * @param heartbeatInterval how often a leader shows that it is alive
  * @param maxBatchBytes about the size of one append message, if more than one entry is in it
- * @param maxInFlight unanswered append messages to one follower
- * @param bounds what the log takes in bytes
- * @param snapshotEvery entries applied between two snapshots, where the bytes ask for none before
- * @param snapshotTail entries kept in memory before a snapshot, for followers slightly behind
+ * @param maxInFlightAppends unanswered append messages to one follower
+ * @param logLimits what the log takes in bytes
+ * @param snapshotIntervalEntries entries applied between two snapshots, where the bytes ask for
+ *     none before
+ * @param snapshotTailEntries entries kept in memory before a snapshot, for followers slightly
+ *     behind
  * @param snapshotChunkBytes the size of one piece of a snapshot
- * @param catchUpLag entries by which a learner may lag and still become a voter
+ * @param maxLearnerLagEntries entries by which a learner may lag and still become a voter
  */
 public record ConsensusConfig(
         Duration electionTimeout,
         Duration heartbeatInterval,
         int maxBatchBytes,
-        int maxInFlight,
-        LogBounds bounds,
-        int snapshotEvery,
-        int snapshotTail,
+        int maxInFlightAppends,
+        LogLimits logLimits,
+        int snapshotIntervalEntries,
+        int snapshotTailEntries,
         int snapshotChunkBytes,
-        int catchUpLag) {
+        int maxLearnerLagEntries) {
 
     /** Returns a builder with the defaults for regions some tens of milliseconds apart. */
     public static Builder builder() {
@@ -35,14 +37,14 @@
     /** Builds an {@link ConsensusConfig}. */
     public static final class Builder {
         private Duration mElectionTimeout = Duration.ofMillis(1000);
-        private Duration mHeartbeat = Duration.ofMillis(150);
+        private Duration mHeartbeatInterval = Duration.ofMillis(150);
         private int mMaxBatchBytes = 256 << 10;
-        private int mMaxInFlight = 8;
-        private LogBounds mBounds = LogBounds.ofHeap(Runtime.getRuntime().maxMemory());
-        private int mSnapshotEvery = 20_000;
-        private int mSnapshotTail = 5_000;
+        private int mMaxInFlightAppends = 8;
+        private LogLimits mLogLimits = LogLimits.ofHeap(Runtime.getRuntime().maxMemory());
+        private int mSnapshotIntervalEntries = 20_000;
+        private int mSnapshotTailEntries = 5_000;
         private int mSnapshotChunkBytes = 256 << 10;
-        private int mCatchUpLag = 100;
+        private int mMaxLearnerLagEntries = 100;
 
         /** Sets the time without contact after which a leader is given up. */
         public Builder electionTimeout(Duration timeout) {
@@ -52,20 +54,20 @@
 
         /** Sets how often a leader shows that it is alive. */
         public Builder heartbeatInterval(Duration interval) {
-            mHeartbeat = interval;
+            mHeartbeatInterval = interval;
             return this;
         }
 
         /** Sets the size of append messages and how many to one follower may be unanswered. */
-        public Builder flow(int maxBatchBytes, int maxInFlight) {
+        public Builder appendFlow(int maxBatchBytes, int maxInFlight) {
             mMaxBatchBytes = maxBatchBytes;
-            mMaxInFlight = maxInFlight;
+            mMaxInFlightAppends = maxInFlight;
             return this;
         }
 
         /** Sets what the log takes in bytes, in place of the shares of this program's heap. */
-        public Builder bounds(LogBounds bounds) {
-            mBounds = bounds;
+        public Builder logLimits(LogLimits bounds) {
+            mLogLimits = bounds;
             return this;
         }
 
@@ -73,15 +75,15 @@
          * Sets how many entries lie between snapshots, how many stay before one, and its pieces.
          */
         public Builder snapshots(int every, int tail, int chunkBytes) {
-            mSnapshotEvery = every;
-            mSnapshotTail = tail;
+            mSnapshotIntervalEntries = every;
+            mSnapshotTailEntries = tail;
             mSnapshotChunkBytes = chunkBytes;
             return this;
         }
 
         /** Sets by how many entries a learner may lag and still become a voter. */
-        public Builder catchUpLag(int entries) {
-            mCatchUpLag = entries;
+        public Builder maxLearnerLagEntries(int entries) {
+            mMaxLearnerLagEntries = entries;
             return this;
         }
 
@@ -89,14 +91,14 @@
         public ConsensusConfig build() {
             return new ConsensusConfig(
                     mElectionTimeout,
-                    mHeartbeat,
+                    mHeartbeatInterval,
                     mMaxBatchBytes,
-                    mMaxInFlight,
-                    mBounds,
-                    mSnapshotEvery,
-                    mSnapshotTail,
+                    mMaxInFlightAppends,
+                    mLogLimits,
+                    mSnapshotIntervalEntries,
+                    mSnapshotTailEntries,
                     mSnapshotChunkBytes,
-                    mCatchUpLag);
+                    mMaxLearnerLagEntries);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
@@ -31,8 +31,8 @@
     private final ReplicaState mState;
     private final Elections mElections;
     private final Applier mApplier;
-    private final AppendReceiver mAppends;
-    private final SnapshotReceiver mSnapshots;
+    private final AppendReceiver mAppendReceiver;
+    private final SnapshotReceiver mSnapshotReceiver;
     private Leadership mLeadership;
 
     /**
@@ -46,8 +46,8 @@
         mState = new ReplicaState(self, config);
         mElections = new Elections(mState, seed);
         mApplier = new Applier(mState, this::onApplied);
-        mAppends = new AppendReceiver(mState, mApplier);
-        mSnapshots = new SnapshotReceiver(mState, mApplier);
+        mAppendReceiver = new AppendReceiver(mState, mApplier);
+        mSnapshotReceiver = new SnapshotReceiver(mState, mApplier);
     }
 
     public Role role() {
@@ -89,19 +89,19 @@
 
     @Override
     public void step(Instant now, ConsensusEvent event, Consumer<? super ConsensusEffect> effects) {
-        mState.begin(now, effects);
+        mState.beginStep(now, effects);
         dispatch(event);
-        followRole();
+        updateLeadership();
         if (mLeadership != null) {
             mLeadership.advance();
-            followRole();
+            updateLeadership();
         }
-        mApplier.mark();
-        mState.finish();
+        mApplier.markCommitted();
+        mState.endStep();
     }
 
     /** Opens or closes a term of leading when the role has changed. */
-    private void followRole() {
+    private void updateLeadership() {
         boolean leads = mState.role() == Role.LEADER;
         if (mLeadership != null && !leads) {
             mLeadership.end();
@@ -120,7 +120,7 @@
         } else if (event instanceof ConsensusEvent.Tick) {
             onTick();
         } else if (event instanceof Persisted e) {
-            mState.durability().persisted(e.sequence());
+            mState.diskWrites().onSynced(e.sequence());
         } else if (event instanceof Proposed e) {
             onProposed(e);
         } else if (event instanceof ReadRequested e) {
@@ -132,7 +132,7 @@
         } else if (event instanceof Recovered e) {
             onRecovered(e);
         } else if (event instanceof ConsensusEvent.LeadershipTransferRequested) {
-            onHandOverRequested();
+            onTransferRequested();
         } else if (event instanceof Bootstrapped e) {
             onBootstrapped(e);
         }
@@ -141,7 +141,7 @@
     private void onRecovered(Recovered disk) {
         mState.recover(disk);
         mApplier.recover(disk.commitIndex());
-        mElections.startTimer();
+        mElections.startStartupTimer();
     }
 
     private void onBootstrapped(Bootstrapped e) {
@@ -152,11 +152,11 @@
         mState.append(List.of(new LogEntry(1, 0, LogEntry.Kind.MEMBERSHIP, members)));
     }
 
-    private void onHandOverRequested() {
+    private void onTransferRequested() {
         if (mLeadership == null) {
             mState.emit(new ConsensusEffect.LeadershipTransferEnded());
         } else {
-            mLeadership.onHandOverRequested();
+            mLeadership.onTransferRequested();
         }
     }
 
@@ -221,39 +221,39 @@
     private void onTermMessage(ReplicaId from, ReplicaMessage message) {
         if (message.term() > mState.term()) {
             mState.adoptTerm(message.term());
-            followRole();
+            updateLeadership();
         }
         if (message.term() < mState.term()) {
-            refuseOldTerm(from, message);
+            rejectOldTerm(from, message);
         } else if (message instanceof VoteReply m) {
             mElections.onVoteReply(from, m);
         } else if (message instanceof ReplicaMessage.TimeoutNow) {
-            mElections.takeOver();
+            mElections.onTimeoutNow();
         } else if (message instanceof AppendRequest m) {
-            followLeader(from);
-            mAppends.onAppend(from, m);
+            acceptLeader(from);
+            mAppendReceiver.onAppend(from, m);
         } else if (message instanceof SnapshotChunk m) {
-            followLeader(from);
-            mSnapshots.onChunk(from, m);
+            acceptLeader(from);
+            mSnapshotReceiver.onChunk(from, m);
         } else {
             onFollowerReply(from, message);
         }
     }
 
     /** Tells a leader of an earlier term that it has been replaced; ignores late replies. */
-    private void refuseOldTerm(ReplicaId from, ReplicaMessage message) {
+    private void rejectOldTerm(ReplicaId from, ReplicaMessage message) {
         if (message instanceof AppendRequest || message instanceof SnapshotChunk) {
-            mState.sendDurable(from, new AppendReply(mState.term(), false, 0, 0));
+            mState.sendAfterSync(from, new AppendReply(mState.term(), false, 0, 0));
         }
     }
 
-    private void followLeader(ReplicaId from) {
+    private void acceptLeader(ReplicaId from) {
         if (mState.role() == Role.LEADER) {
             throw new LaurelweirException(
                     ResultCode.LOG_CORRUPT,
                     "term " + mState.term() + " has a second leader " + from);
         }
-        mElections.leaderHeard(from);
+        mElections.onLeaderContact(from);
     }
 
     private void onFollowerReply(ReplicaId from, ReplicaMessage message) {
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Elections.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Elections.java
@@ -17,13 +17,13 @@
      * there is a leader is refused and harms nobody, so that nothing is won by waiting for a sign
      * of one.
      */
-    private static final int FIRST_TIMEOUT_DIVISOR = 6;
+    private static final int STARTUP_TIMEOUT_DIVISOR = 6;
 
     private final ReplicaState mState;
     private final SplittableRandom mRandom;
     private final Set<ReplicaId> mVotes = new HashSet<>();
-    private Instant mDeadline;
-    private Instant mLeaderHeard = Instant.MIN;
+    private Instant mElectionDeadline;
+    private Instant mLastLeaderContact = Instant.MIN;
 
     Elections(ReplicaState state, long seed) {
         mState = state;
@@ -36,9 +36,9 @@
      * the others refuse the pre-vote of a replica that asks too early, and it hears the leader
      * next.
      */
-    void startTimer() {
-        long base = mState.config().electionTimeout().toNanos() / FIRST_TIMEOUT_DIVISOR;
-        mDeadline = mState.now().plus(Duration.ofNanos(base + mRandom.nextLong(base)));
+    void startStartupTimer() {
+        long base = mState.config().electionTimeout().toNanos() / STARTUP_TIMEOUT_DIVISOR;
+        mElectionDeadline = mState.now().plus(Duration.ofNanos(base + mRandom.nextLong(base)));
     }
 
     /**
@@ -46,23 +46,23 @@
      */
     void restartTimer() {
         long base = mState.config().electionTimeout().toNanos();
-        mDeadline = mState.now().plus(Duration.ofNanos(base + mRandom.nextLong(base)));
+        mElectionDeadline = mState.now().plus(Duration.ofNanos(base + mRandom.nextLong(base)));
     }
 
     /** Takes note of a sign of life from the leader of this term. */
-    void leaderHeard(ReplicaId leader) {
-        mLeaderHeard = mState.now();
+    void onLeaderContact(ReplicaId leader) {
+        mLastLeaderContact = mState.now();
         restartTimer();
         mState.become(Role.FOLLOWER, leader);
     }
 
     void onTick() {
-        if (mState.role() == Role.LEADER || mState.now().isBefore(mDeadline)) {
+        if (mState.role() == Role.LEADER || mState.now().isBefore(mElectionDeadline)) {
             return;
         }
         restartTimer();
         if (mState.isVoter()) {
-            askPreVotes();
+            requestPreVotes();
         } else {
             mState.become(Role.FOLLOWER, null);
         }
@@ -72,7 +72,7 @@
      * Asks first whether a vote would be granted. A replica that was cut off would otherwise raise
      * its term again and again, and depose a healthy leader on its return.
      */
-    private void askPreVotes() {
+    private void requestPreVotes() {
         mState.become(Role.PRE_CANDIDATE, null);
         mVotes.clear();
         ReplicatedLog log = mState.log();
@@ -81,7 +81,7 @@
     }
 
     /** Campaigns without waiting, since the leader has asked for it. */
-    void takeOver() {
+    void onTimeoutNow() {
         if (mState.isVoter()) {
             campaign(true);
         }
@@ -95,10 +95,10 @@
         long term = mState.term();
         // A candidate that forgot its own vote in a crash could give it to another of the same
         // term.
-        mState.durability().afterSync(() -> askVotes(term, handedOver));
+        mState.diskWrites().afterSync(() -> requestVotes(term, handedOver));
     }
 
-    private void askVotes(long term, boolean handedOver) {
+    private void requestVotes(long term, boolean handedOver) {
         if (mState.term() != term || mState.role() != Role.CANDIDATE) {
             return;
         }
@@ -138,7 +138,7 @@
                         && mState.log().isUpToDate(m.lastIndex(), m.lastTerm());
         mState.send(from, new PreVoteReply(granted ? m.term() : mState.term(), granted));
         if (granted) {
-            makeWayFor(from);
+            yieldTo(from);
         }
     }
 
@@ -149,7 +149,7 @@
      * one with the higher name yields, which leaves one of them; a replica that has not asked yet
      * waits. If nothing comes of that campaign, the timer starts the next one.
      */
-    private void makeWayFor(ReplicaId other) {
+    private void yieldTo(ReplicaId other) {
         boolean asks = mState.role() == Role.PRE_CANDIDATE;
         if (asks && mState.self().compareTo(other) < 0) {
             return;
@@ -188,7 +188,7 @@
                 mState.setHardState(new HardState(mState.term(), from));
             }
         }
-        mState.sendDurable(from, new VoteReply(mState.term(), granted));
+        mState.sendAfterSync(from, new VoteReply(mState.term(), granted));
     }
 
     private boolean mayVoteFor(ReplicaId candidate, VoteRequest m) {
@@ -212,6 +212,7 @@
             return true;
         }
         return mState.leader() != null
-                && mState.now().isBefore(mLeaderHeard.plus(mState.config().electionTimeout()));
+                && mState.now()
+                        .isBefore(mLastLeaderContact.plus(mState.config().electionTimeout()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/FollowerProgress.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/FollowerProgress.java
@@ -16,22 +16,22 @@
     }
 
     /** An append message without an answer. */
-    private record Sent(long lastIndex, long bytes) {}
+    private record InFlightAppend(long lastIndex, long bytes) {}
 
-    private final ArrayDeque<Sent> mInFlight = new ArrayDeque<>();
+    private final ArrayDeque<InFlightAppend> mInFlight = new ArrayDeque<>();
     private long mInFlightBytes;
     private Mode mMode = Mode.PROBE;
     private boolean mProbeSent;
     private long mMatchIndex;
     private long mNextIndex;
-    private Instant mHeard;
-    private long mRound;
+    private Instant mLastContact;
+    private long mAnsweredRound;
     private Snapshot mSnapshot;
     private int mSnapshotOffset;
 
     FollowerProgress(long nextIndex, Instant now) {
         mNextIndex = nextIndex;
-        mHeard = now;
+        mLastContact = now;
     }
 
     Mode mode() {
@@ -47,18 +47,18 @@
     }
 
     /** Returns when the last reply came. */
-    Instant heard() {
-        return mHeard;
+    Instant lastContact() {
+        return mLastContact;
     }
 
     /** Returns the last contact round that was answered. */
-    long round() {
-        return mRound;
+    long answeredRound() {
+        return mAnsweredRound;
     }
 
-    void heard(Instant now, long round) {
-        mHeard = now;
-        mRound = Math.max(mRound, round);
+    void lastContact(Instant now, long round) {
+        mLastContact = now;
+        mAnsweredRound = Math.max(mAnsweredRound, round);
     }
 
     /**
@@ -77,22 +77,22 @@
     }
 
     /** Takes note of entries sent, up to an index, and of their bytes. */
-    void sent(long lastIndex, long bytes) {
+    void onSent(long lastIndex, long bytes) {
         if (mMode == Mode.PROBE) {
             mProbeSent = true;
             return;
         }
-        mInFlight.add(new Sent(lastIndex, bytes));
+        mInFlight.add(new InFlightAppend(lastIndex, bytes));
         mInFlightBytes += bytes;
         mNextIndex = lastIndex + 1;
     }
 
     /** Lets a probe be sent again, since it or its reply may be lost. */
-    void retryProbe() {
+    void allowProbe() {
         mProbeSent = false;
     }
 
-    void matched(long index) {
+    void onMatch(long index) {
         mMatchIndex = Math.max(mMatchIndex, index);
         while (!mInFlight.isEmpty() && mInFlight.peek().lastIndex() <= mMatchIndex) {
             mInFlightBytes -= mInFlight.poll().bytes();
@@ -108,7 +108,7 @@
      * Goes back after a mismatch, though never before what is known to match: a follower that skips
      * a whole term may name an index before it, and so may a late reply.
      */
-    void mismatched(long lastToTry) {
+    void onMismatch(long lastToTry) {
         if (mMode == Mode.SNAPSHOT) {
             return;
         }
@@ -147,7 +147,7 @@
      *
      * @return whether the next piece is due now
      */
-    boolean snapshotAnswered(ReplicaMessage.SnapshotReply reply) {
+    boolean onSnapshotReply(ReplicaMessage.SnapshotReply reply) {
         if (mMode != Mode.SNAPSHOT || reply.index() != mSnapshot.index()) {
             return false;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
@@ -13,20 +13,20 @@
     private final ReplicaState mState;
     private final Applier mApplier;
     private final Replication mReplication;
-    private final Proposals mProposals;
-    private final Reads mReads;
-    private final MembershipRules mRules;
-    private final LeadershipTransfer mHandOver;
+    private final PendingProposals mPendingProposals;
+    private final PendingReads mPendingReads;
+    private final MembershipRules mMembershipRules;
+    private final LeadershipTransfer mTransfer;
     private Instant mNextHeartbeat;
 
     Leadership(ReplicaState state, Applier applier) {
         mState = state;
         mApplier = applier;
         mReplication = new Replication(state, applier);
-        mProposals = new Proposals(state);
-        mReads = new Reads(state, applier, mReplication);
-        mRules = new MembershipRules(state, mReplication, this::isHeard);
-        mHandOver = new LeadershipTransfer(state, mReplication, this::isHeard);
+        mPendingProposals = new PendingProposals(state);
+        mPendingReads = new PendingReads(state, applier, mReplication);
+        mMembershipRules = new MembershipRules(state, mReplication, this::isInContact);
+        mTransfer = new LeadershipTransfer(state, mReplication, this::isInContact);
         mNextHeartbeat = state.now();
     }
 
@@ -37,9 +37,9 @@
 
     /** Closes the term; what is pending gets its answer. */
     void end() {
-        mProposals.end();
-        mReads.end();
-        mHandOver.end();
+        mPendingProposals.rejectAll();
+        mPendingReads.rejectAll();
+        mTransfer.end();
     }
 
     private LogEntry append(LogEntry.Kind kind, byte[] payload) {
@@ -48,39 +48,39 @@
         return entry;
     }
 
-    void onHandOverRequested() {
-        mHandOver.begin();
+    void onTransferRequested() {
+        mTransfer.begin();
     }
 
     void onProposed(long proposalId, byte[] command) {
-        if (isLeaving(proposalId)) {
+        if (rejectDuringTransfer(proposalId)) {
             return;
         }
-        if (command.length > mState.config().bounds().command()) {
+        if (command.length > mState.config().logLimits().maxCommandBytes()) {
             reject(proposalId, ResultCode.BODY_TOO_LARGE);
             return;
         }
-        if (!mProposals.hasRoom(command.length)) {
+        if (!mPendingProposals.hasRoom(command.length)) {
             reject(proposalId, ResultCode.OVERLOADED);
             return;
         }
-        mProposals.add(proposalId, append(LogEntry.Kind.COMMAND, command));
+        mPendingProposals.add(proposalId, append(LogEntry.Kind.COMMAND, command));
     }
 
     /** Turns a proposal away while another is to lead; it is in no log. */
-    private boolean isLeaving(long proposalId) {
-        if (mHandOver.isUnderWay()) {
+    private boolean rejectDuringTransfer(long proposalId) {
+        if (mTransfer.isInProgress()) {
             mState.emit(new ProposalRejected(proposalId, ResultCode.NOT_LEADER, null));
         }
-        return mHandOver.isUnderWay();
+        return mTransfer.isInProgress();
     }
 
     void onMembershipChange(long proposalId, MembershipChange change) {
-        if (isLeaving(proposalId)) {
+        if (rejectDuringTransfer(proposalId)) {
             return;
         }
-        Membership next = mRules.after(change);
-        ResultCode code = mRules.judge(change, next, isSettled());
+        Membership next = mMembershipRules.resultOf(change);
+        ResultCode code = mMembershipRules.check(change, next, isMembershipCommitted());
         if (code != ResultCode.OK) {
             reject(proposalId, code);
             return;
@@ -89,7 +89,7 @@
             mState.emit(new ProposalAccepted(proposalId, mState.log().membershipIndex()));
             return;
         }
-        mProposals.add(proposalId, append(LogEntry.Kind.MEMBERSHIP, next.encode()));
+        mPendingProposals.add(proposalId, append(LogEntry.Kind.MEMBERSHIP, next.encode()));
         mReplication.updateFollowers();
     }
 
@@ -97,20 +97,20 @@
         mState.emit(new ProposalRejected(proposalId, code, mState.self()));
     }
 
-    private boolean isSettled() {
-        return isTermCommitted() && mState.log().membershipIndex() <= mApplier.commitIndex();
+    private boolean isMembershipCommitted() {
+        return hasCommittedInTerm() && mState.log().membershipIndex() <= mApplier.commitIndex();
     }
 
-    private boolean isTermCommitted() {
+    private boolean hasCommittedInTerm() {
         return mState.log().termAt(mApplier.commitIndex()) == mState.term();
     }
 
     void onReadRequested(long readId) {
-        mReads.add(readId);
+        mPendingReads.add(readId);
     }
 
     void onTick() {
-        if (!isQuorumHeard()) {
+        if (!isQuorumInContact()) {
             // A leader cut off from its quorum can't commit; its callers should look for another.
             mState.become(Role.FOLLOWER, null);
             return;
@@ -118,22 +118,23 @@
         if (!mState.now().isBefore(mNextHeartbeat)) {
             mNextHeartbeat = mState.now().plus(mState.config().heartbeatInterval());
             mReplication.sendHeartbeats();
-            mHandOver.onHeartbeat();
+            mTransfer.onHeartbeat();
         }
     }
 
-    private boolean isQuorumHeard() {
+    private boolean isQuorumInContact() {
         Membership membership = mState.log().membership();
-        return membership.voters().stream().filter(this::isHeard).count() >= membership.quorum();
+        return membership.voters().stream().filter(this::isInContact).count()
+                >= membership.quorum();
     }
 
-    private boolean isHeard(ReplicaId id) {
+    private boolean isInContact(ReplicaId id) {
         if (id.equals(mState.self())) {
             return true;
         }
         FollowerProgress p = mReplication.progress(id);
         Instant limit = mState.now().minus(mState.config().electionTimeout());
-        return p != null && p.heard().isAfter(limit);
+        return p != null && p.lastContact().isAfter(limit);
     }
 
     void onAppendReply(ReplicaId from, ReplicaMessage.AppendReply m) {
@@ -147,10 +148,10 @@
     /** Does what the event of this step has made possible: commits, answers reads, sends. */
     void advance() {
         commit();
-        mReads.advance(isTermCommitted());
+        mPendingReads.advance(hasCommittedInTerm());
         mReplication.sendEntries();
-        mHandOver.advance(mApplier.commitIndex());
-        stepDownOnceRemoved();
+        mTransfer.advance(mApplier.commitIndex());
+        stepDownIfRemoved();
     }
 
     /**
@@ -174,18 +175,18 @@
 
     private long durableIndexOf(ReplicaId voter) {
         if (voter.equals(mState.self())) {
-            return mState.durability().durableIndex();
+            return mState.diskWrites().durableIndex();
         }
         return mReplication.progress(voter).matchIndex();
     }
 
-    private void stepDownOnceRemoved() {
-        if (!mState.isVoter() && isSettled()) {
+    private void stepDownIfRemoved() {
+        if (!mState.isVoter() && isMembershipCommitted()) {
             mState.become(Role.FOLLOWER, null);
         }
     }
 
     void onApplied(long index) {
-        mProposals.onApplied(index);
+        mPendingProposals.onApplied(index);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LeadershipTransfer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LeadershipTransfer.java
@@ -14,37 +14,37 @@
 final class LeadershipTransfer {
     private final ReplicaState mState;
     private final Replication mReplication;
-    private final Predicate<ReplicaId> mIsHeard;
-    private Instant mEnd;
-    private boolean mAsked;
+    private final Predicate<ReplicaId> mIsInContact;
+    private Instant mDeadline;
+    private boolean mIsRequestSent;
 
     LeadershipTransfer(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
         mState = state;
         mReplication = replication;
-        mIsHeard = isHeard;
+        mIsInContact = isHeard;
     }
 
     void begin() {
-        mEnd = mState.now().plus(mState.config().electionTimeout());
-        mAsked = false;
+        mDeadline = mState.now().plus(mState.config().electionTimeout());
+        mIsRequestSent = false;
     }
 
-    boolean isUnderWay() {
-        return mEnd != null;
+    boolean isInProgress() {
+        return mDeadline != null;
     }
 
     /** Tells that it is over, if it was under way: another leads, or it took too long. */
     void end() {
-        if (isUnderWay()) {
-            mEnd = null;
+        if (isInProgress()) {
+            mDeadline = null;
             mState.emit(new ConsensusEffect.LeadershipTransferEnded());
         }
     }
 
     /** Lets a request be repeated that may be lost, or gives up and goes on leading. */
     void onHeartbeat() {
-        mAsked = false;
-        if (isUnderWay() && !mState.now().isBefore(mEnd)) {
+        mIsRequestSent = false;
+        if (isInProgress() && !mState.now().isBefore(mDeadline)) {
             end();
         }
     }
@@ -57,21 +57,21 @@
      */
     void advance(long commitIndex) {
         long last = mState.log().lastIndex();
-        if (!isUnderWay() || mAsked || commitIndex < last) {
+        if (!isInProgress() || mIsRequestSent || commitIndex < last) {
             return;
         }
         Optional<ReplicaId> next = successor();
         if (next.isEmpty()) {
             end();
         } else if (matchIndex(next.get()) == last) {
-            mAsked = true;
+            mIsRequestSent = true;
             mState.send(next.get(), new TimeoutNow(mState.term()));
         }
     }
 
     private Optional<ReplicaId> successor() {
         return mState.log().membership().voters().stream()
-                .filter(v -> !v.equals(mState.self()) && mIsHeard.test(v))
+                .filter(v -> !v.equals(mState.self()) && mIsInContact.test(v))
                 .max(Comparator.comparingLong(this::matchIndex));
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LogEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LogEntry.java
@@ -12,16 +12,16 @@
  */
 public record LogEntry(long index, long term, Kind kind, byte[] payload) {
     /** What an entry takes in a message besides its payload, about. */
-    private static final int FIXED_BYTES = 24;
+    private static final int OVERHEAD_BYTES = 24;
 
     /** Returns what entries take in a message, about. */
-    static long bytesOf(List<LogEntry> entries) {
+    static long totalBytes(List<LogEntry> entries) {
         return entries.stream().mapToLong(LogEntry::bytes).sum();
     }
 
     /** Returns what the entry takes in a message, about. */
     public int bytes() {
-        return FIXED_BYTES + payload.length;
+        return OVERHEAD_BYTES + payload.length;
     }
 
     /** What an entry is for. Numbers are stable, files and messages hold them. */
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LogBounds.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LogLimits.java
@@ -7,30 +7,38 @@
  * so that they hold together whatever its size; the state itself, what is decoded at the moment and
  * a snapshot on its way take the rest. Replicas of one log need heaps of one size.
  *
- * @param command the largest command, in bytes of its encoding; a larger one is refused
- * @param uncommitted bytes of proposals of one leader that are not committed, and of entries that
- *     are not synced; what would pass it is refused, and taken later where it comes from the leader
- * @param held bytes of all entries in memory; no more proposals are taken beyond
- * @param snapshot bytes of entries applied since the last snapshot after which the next one is due
- * @param tail bytes of entries kept before a snapshot, for followers slightly behind
- * @param inFlight bytes of unanswered append messages to one follower after which no other is sent
+ * @param maxCommandBytes the largest command, in bytes of its encoding; a larger one is refused
+ * @param maxUncommittedBytes bytes of proposals of one leader that are not committed, and of
+ *     entries that are not synced; what would pass it is refused, and taken later where it comes
+ *     from the leader
+ * @param maxLogBytes bytes of all entries in memory; no more proposals are taken beyond
+ * @param snapshotIntervalBytes bytes of entries applied since the last snapshot after which the
+ *     next one is due
+ * @param snapshotTailBytes bytes of entries kept before a snapshot, for followers slightly behind
+ * @param maxInFlightBytes bytes of unanswered append messages to one follower after which no other
+ *     is sent
  */
-public record LogBounds(
-        int command, int uncommitted, int held, int snapshot, int tail, int inFlight) {
+public record LogLimits(
+        int maxCommandBytes,
+        int maxUncommittedBytes,
+        int maxLogBytes,
+        int snapshotIntervalBytes,
+        int snapshotTailBytes,
+        int maxInFlightBytes) {
     /**
      * A larger heap gets no larger log: its largest command would not fit into a message between
      * replicas, which may have 32 MB, and could never be replicated.
      */
-    private static final long LARGEST_HEAP = 512L << 20;
+    private static final long MAX_HEAP_BYTES = 512L << 20;
 
     /** A start applies as many bytes before it can serve; a larger heap gets no fewer snapshots. */
-    private static final int MOST_BETWEEN_SNAPSHOTS = 2 << 20;
+    private static final int MAX_SNAPSHOT_INTERVAL_BYTES = 2 << 20;
 
     /**
      * A tree is decoded beside the one in force, and several operators may send theirs at once;
      * decoded, a tree takes several times the bytes of its command.
      */
-    private static final int HEAP_OF_COMMAND = 32;
+    private static final int HEAP_PER_COMMAND_BYTE = 32;
 
     /**
      * Returns the bounds for a heap.
@@ -38,10 +46,10 @@
      * @param heapBytes the largest size of the heap; 64 MB give commands of 2 MB, a log of 12 MB
      *     and a snapshot after each 2 MB
      */
-    public static LogBounds ofHeap(long heapBytes) {
-        int command = (int) (Math.min(heapBytes, LARGEST_HEAP) / HEAP_OF_COMMAND);
-        int snapshot = Math.min(command, MOST_BETWEEN_SNAPSHOTS);
-        return new LogBounds(
+    public static LogLimits ofHeap(long heapBytes) {
+        int command = (int) (Math.min(heapBytes, MAX_HEAP_BYTES) / HEAP_PER_COMMAND_BYTE);
+        int snapshot = Math.min(command, MAX_SNAPSHOT_INTERVAL_BYTES);
+        return new LogLimits(
                 command, 2 * command, 6 * command, snapshot, snapshot / 2, command / 2);
     }
 
@@ -52,7 +60,7 @@
      *
      * @param lastSnapshotBytes the size of the last snapshot's state
      */
-    int snapshotDue(int lastSnapshotBytes) {
-        return Math.min(Math.max(snapshot, lastSnapshotBytes), held / 2);
+    int snapshotThresholdBytes(int lastSnapshotBytes) {
+        return Math.min(Math.max(snapshotIntervalBytes, lastSnapshotBytes), maxLogBytes / 2);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Membership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Membership.java
@@ -82,8 +82,8 @@
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            writeAll(out, voters);
-            writeAll(out, learners);
+            writeIds(out, voters);
+            writeIds(out, learners);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -97,13 +97,13 @@
      */
     public static Membership decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            return new Membership(readAll(in), readAll(in));
+            return new Membership(readIds(in), readIds(in));
         } catch (IOException e) {
             throw new IllegalArgumentException("not a membership", e);
         }
     }
 
-    private static void writeAll(DataOutputStream out, SortedSet<ReplicaId> ids)
+    private static void writeIds(DataOutputStream out, SortedSet<ReplicaId> ids)
             throws IOException {
         out.writeInt(ids.size());
         for (ReplicaId id : ids) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private static SortedSet<ReplicaId> readAll(DataInputStream in) throws IOException {
+    private static SortedSet<ReplicaId> readIds(DataInputStream in) throws IOException {
         SortedSet<ReplicaId> ids = new TreeSet<>();
         int count = in.readInt();
         for (int i = 0; i < count; i++) {
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipRules.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipRules.java
@@ -12,7 +12,7 @@
 
     private final ReplicaState mState;
     private final Replication mReplication;
-    private final Predicate<ReplicaId> mIsHeard;
+    private final Predicate<ReplicaId> mIsInContact;
 
     /**
      * Creates the rules.
@@ -22,11 +22,11 @@
     MembershipRules(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
         mState = state;
         mReplication = replication;
-        mIsHeard = isHeard;
+        mIsInContact = isHeard;
     }
 
     /** Returns the membership after a change, equal to the present one if it has been made. */
-    Membership after(MembershipChange change) {
+    Membership resultOf(MembershipChange change) {
         Membership now = mState.log().membership();
         ReplicaId id = change.replica();
         if (change instanceof AddLearner) {
@@ -47,7 +47,7 @@
      *     commit
      * @return OK, or why not
      */
-    ResultCode judge(MembershipChange change, Membership next, boolean settled) {
+    ResultCode check(MembershipChange change, Membership next, boolean settled) {
         if (!settled) {
             return ResultCode.MEMBERSHIP_CHANGE_PENDING;
         }
@@ -61,7 +61,7 @@
         if (change instanceof Promote && !hasCaughtUp(change.replica())) {
             return ResultCode.MEMBERSHIP_CHANGE_PENDING;
         }
-        long heard = next.voters().stream().filter(mIsHeard).count();
+        long heard = next.voters().stream().filter(mIsInContact).count();
         return heard >= next.quorum() ? ResultCode.OK : ResultCode.NO_QUORUM;
     }
 
@@ -72,7 +72,7 @@
     private boolean hasCaughtUp(ReplicaId learner) {
         FollowerProgress p = mReplication.progress(learner);
         long lag = mState.log().lastIndex() - p.matchIndex();
-        boolean isClose = p.matchIndex() > 0 && lag <= mState.config().catchUpLag();
-        return isClose && mIsHeard.test(learner);
+        boolean isClose = p.matchIndex() > 0 && lag <= mState.config().maxLearnerLagEntries();
+        return isClose && mIsInContact.test(learner);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Proposals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingProposals.java
@@ -6,38 +6,38 @@
 import org.laurelweir.lib.ResultCode;
 
 /** The proposals of one term of leading that are not yet committed. */
-final class Proposals {
+final class PendingProposals {
     private final ReplicaState mState;
     private final ArrayDeque<Pending> mPending = new ArrayDeque<>();
-    private long mBytes;
+    private long mPendingBytes;
 
-    Proposals(ReplicaState state) {
+    PendingProposals(ReplicaState state) {
         mState = state;
     }
 
     /** Returns whether a command of this size has room, here, in the log and before the disk. */
     boolean hasRoom(int bytes) {
-        LogBounds bounds = mState.config().bounds();
-        return mBytes + bytes <= bounds.uncommitted()
-                && mState.log().bytes() + bytes <= bounds.held()
-                && mState.mayWaitForDisk(bytes);
+        LogLimits bounds = mState.config().logLimits();
+        return mPendingBytes + bytes <= bounds.maxUncommittedBytes()
+                && mState.log().bytes() + bytes <= bounds.maxLogBytes()
+                && mState.hasDiskQueueRoom(bytes);
     }
 
     void add(long proposalId, LogEntry entry) {
         mPending.add(new Pending(proposalId, entry.index(), entry.payload().length));
-        mBytes += entry.payload().length;
+        mPendingBytes += entry.payload().length;
     }
 
     void onApplied(long index) {
         while (!mPending.isEmpty() && mPending.peek().mIndex <= index) {
             Pending p = mPending.poll();
-            mBytes -= p.mBytes;
+            mPendingBytes -= p.mBytes;
             mState.emit(new ProposalAccepted(p.mId, p.mIndex));
         }
     }
 
     /** Ends what is pending: the next leader may hold it or not. */
-    void end() {
+    void rejectAll() {
         for (Pending p : mPending) {
             mState.emit(new ProposalRejected(p.mId, ResultCode.OUTCOME_UNKNOWN, mState.leader()));
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Reads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingReads.java
@@ -12,15 +12,15 @@
  * state older than what its successor has accepted; no clock has to be trusted for that. Reads that
  * come during a round share the next one.
  */
-final class Reads {
+final class PendingReads {
     private final ReplicaState mState;
     private final Applier mApplier;
     private final Replication mReplication;
     private List<Long> mWaiting = new ArrayList<>();
-    private List<Long> mAsked = new ArrayList<>();
+    private List<Long> mInRound = new ArrayList<>();
     private long mRound;
 
-    Reads(ReplicaState state, Applier applier, Replication replication) {
+    PendingReads(ReplicaState state, Applier applier, Replication replication) {
         mState = state;
         mApplier = applier;
         mReplication = replication;
@@ -37,21 +37,21 @@
      *     not know all that its predecessors have committed
      */
     void advance(boolean termCommitted) {
-        if (!mAsked.isEmpty() && isAnswered()) {
-            mAsked.forEach(id -> mState.emit(new ReadReady(id, mApplier.commitIndex())));
-            mAsked = new ArrayList<>();
+        if (!mInRound.isEmpty() && isRoundAnswered()) {
+            mInRound.forEach(id -> mState.emit(new ReadReady(id, mApplier.commitIndex())));
+            mInRound = new ArrayList<>();
         }
-        if (mAsked.isEmpty() && !mWaiting.isEmpty() && termCommitted) {
-            mAsked = mWaiting;
+        if (mInRound.isEmpty() && !mWaiting.isEmpty() && termCommitted) {
+            mInRound = mWaiting;
             mWaiting = new ArrayList<>();
-            mRound = mReplication.openRound();
-            if (isAnswered()) {
+            mRound = mReplication.startRound();
+            if (isRoundAnswered()) {
                 advance(true);
             }
         }
     }
 
-    private boolean isAnswered() {
+    private boolean isRoundAnswered() {
         Membership membership = mState.log().membership();
         long answers =
                 membership.voters().stream()
@@ -62,16 +62,16 @@
 
     private boolean hasAnswered(ReplicaId voter) {
         FollowerProgress p = mReplication.progress(voter);
-        return p != null && p.round() >= mRound;
+        return p != null && p.answeredRound() >= mRound;
     }
 
     /** Ends what is pending. */
-    void end() {
-        mAsked.addAll(mWaiting);
+    void rejectAll() {
+        mInRound.addAll(mWaiting);
         mWaiting.clear();
-        for (long id : mAsked) {
+        for (long id : mInRound) {
             mState.emit(new ReadRejected(id, ResultCode.NOT_LEADER, mState.leader()));
         }
-        mAsked.clear();
+        mInRound.clear();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
@@ -9,11 +9,11 @@
     private final ReplicaId mSelf;
     private final ConsensusConfig mConfig;
     private final ReplicatedLog mLog = new ReplicatedLog();
-    private final Durability mDurability = new Durability();
+    private final DiskWriteQueue mDiskWrites = new DiskWriteQueue();
     private HardState mHardState = HardState.INITIAL;
     private Role mRole = Role.FOLLOWER;
     private ReplicaId mLeader;
-    private Membership mAnnounced = Membership.EMPTY;
+    private Membership mReportedMembership = Membership.EMPTY;
     private Instant mNow;
     private Consumer<? super ConsensusEffect> mEffects;
 
@@ -23,17 +23,17 @@
     }
 
     /** Opens a step. */
-    void begin(Instant now, Consumer<? super ConsensusEffect> effects) {
+    void beginStep(Instant now, Consumer<? super ConsensusEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
     /** Ends a step: writes what has gathered and tells of a new membership. */
-    void finish() {
-        mDurability.flush(mEffects);
-        if (!mAnnounced.equals(mLog.membership())) {
-            mAnnounced = mLog.membership();
-            emit(new ConsensusEffect.MembershipChanged(mAnnounced));
+    void endStep() {
+        mDiskWrites.flush(mEffects);
+        if (!mReportedMembership.equals(mLog.membership())) {
+            mReportedMembership = mLog.membership();
+            emit(new ConsensusEffect.MembershipChanged(mReportedMembership));
         }
         mEffects = null;
     }
@@ -42,7 +42,7 @@
         mHardState = disk.hardState();
         mLog.reset(disk.snapshot());
         disk.entries().forEach(mLog::append);
-        mDurability.recovered(mLog.lastIndex());
+        mDiskWrites.reset(mLog.lastIndex());
         emit(new ConsensusEffect.RoleChanged(mRole, term(), mLeader));
     }
 
@@ -58,8 +58,8 @@
         return mLog;
     }
 
-    Durability durability() {
-        return mDurability;
+    DiskWriteQueue diskWrites() {
+        return mDiskWrites;
     }
 
     Instant now() {
@@ -95,7 +95,7 @@
 
     void setHardState(HardState hardState) {
         mHardState = hardState;
-        mDurability.write(hardState);
+        mDiskWrites.write(hardState);
     }
 
     void become(Role role, ReplicaId leader) {
@@ -109,21 +109,22 @@
 
     /** Keeps a snapshot of a part of the log, and of the log as much as is set. */
     void compact(Snapshot snapshot) {
-        mLog.compact(snapshot, mConfig.snapshotTail(), mConfig.bounds().tail());
+        mLog.compact(
+                snapshot, mConfig.snapshotTailEntries(), mConfig.logLimits().snapshotTailBytes());
     }
 
     /**
      * Returns whether so many bytes may wait for the disk besides those that do. While a disk hangs
      * the other replicas may go on, and without a bound all that they accept would gather here.
      */
-    boolean mayWaitForDisk(long bytes) {
-        return mDurability.unsyncedBytes() + bytes <= mConfig.bounds().uncommitted();
+    boolean hasDiskQueueRoom(long bytes) {
+        return mDiskWrites.unsyncedBytes() + bytes <= mConfig.logLimits().maxUncommittedBytes();
     }
 
     /** Appends entries that continue the log, here and on disk. */
     void append(List<LogEntry> entries) {
         entries.forEach(mLog::append);
-        mDurability.write(entries);
+        mDiskWrites.write(entries);
     }
 
     void emit(ConsensusEffect effect) {
@@ -140,9 +141,9 @@
      * accepted proposal could be lost. A promise made in an earlier term is dropped: nobody waits
      * for it any more.
      */
-    void sendDurable(ReplicaId to, ReplicaMessage message) {
+    void sendAfterSync(ReplicaId to, ReplicaMessage message) {
         long term = term();
-        mDurability.afterSync(
+        mDiskWrites.afterSync(
                 () -> {
                     if (term() == term) {
                         send(to, message);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Replication.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Replication.java
@@ -46,7 +46,7 @@
      *
      * @return the round's number
      */
-    long openRound() {
+    long startRound() {
         mRound++;
         mFollowers.forEach(
                 (id, p) -> {
@@ -72,13 +72,13 @@
             }
             List<LogEntry> entries = log.slice(p.nextIndex(), mState.config().maxBatchBytes());
             sendAppend(to, p, entries);
-            p.sent(entries.get(entries.size() - 1).index(), LogEntry.bytesOf(entries));
+            p.onSent(entries.get(entries.size() - 1).index(), LogEntry.totalBytes(entries));
         }
     }
 
     private boolean canSend(FollowerProgress p) {
         ConsensusConfig config = mState.config();
-        return p.canSend(config.maxInFlight(), config.bounds().inFlight());
+        return p.canSend(config.maxInFlightAppends(), config.logLimits().maxInFlightBytes());
     }
 
     /** Shows every replica that this leader is alive, and repeats what may be lost. */
@@ -94,7 +94,7 @@
             sendChunk(to, p);
             return;
         }
-        p.retryProbe();
+        p.allowProbe();
         boolean probes = p.mode() == FollowerProgress.Mode.PROBE;
         if (probes && p.nextIndex() <= mState.log().lastIndex()) {
             sendEntries(to, p);
@@ -137,11 +137,11 @@
         if (p == null) {
             return;
         }
-        p.heard(mState.now(), m.round());
+        p.lastContact(mState.now(), m.round());
         if (m.success()) {
-            p.matched(m.matchIndex());
+            p.onMatch(m.matchIndex());
         } else {
-            p.mismatched(m.matchIndex());
+            p.onMismatch(m.matchIndex());
         }
         sendEntries(from, p);
     }
@@ -151,8 +151,8 @@
         if (p == null) {
             return;
         }
-        p.heard(mState.now(), m.round());
-        if (p.snapshotAnswered(m)) {
+        p.lastContact(mState.now(), m.round());
+        if (p.onSnapshotReply(m)) {
             sendChunk(from, p);
         }
         sendEntries(from, p);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
@@ -7,10 +7,10 @@
 final class SnapshotReceiver {
     private final ReplicaState mState;
     private final Applier mApplier;
-    private long mTerm;
-    private long mIndex;
+    private long mLeaderTerm;
+    private long mSnapshotIndex;
     private byte[] mData = new byte[0];
-    private int mReceived;
+    private int mReceivedBytes;
 
     SnapshotReceiver(ReplicaState state, Applier applier) {
         mState = state;
@@ -24,21 +24,21 @@
             return;
         }
         // Two leaders may encode the same state differently, so pieces of one term only fit.
-        if (m.term() != mTerm || m.index() != mIndex) {
-            mTerm = m.term();
-            mIndex = m.index();
+        if (m.term() != mLeaderTerm || m.index() != mSnapshotIndex) {
+            mLeaderTerm = m.term();
+            mSnapshotIndex = m.index();
             mData = new byte[m.totalBytes()];
-            mReceived = 0;
+            mReceivedBytes = 0;
         }
-        if (m.offset() == mReceived) {
-            System.arraycopy(m.data(), 0, mData, mReceived, m.data().length);
-            mReceived += m.data().length;
+        if (m.offset() == mReceivedBytes) {
+            System.arraycopy(m.data(), 0, mData, mReceivedBytes, m.data().length);
+            mReceivedBytes += m.data().length;
         }
-        boolean whole = mReceived == mData.length;
+        boolean whole = mReceivedBytes == mData.length;
         if (whole) {
             install(new Snapshot(m.index(), m.snapshotTerm(), m.membership(), mData));
         }
-        reply(from, m, mReceived, whole);
+        reply(from, m, mReceivedBytes, whole);
     }
 
     private void install(Snapshot snapshot) {
@@ -49,14 +49,14 @@
         } else {
             log.reset(snapshot);
         }
-        mState.durability().write(snapshot, !continues);
+        mState.diskWrites().write(snapshot, !continues);
         mApplier.install(snapshot);
-        mTerm = 0;
+        mLeaderTerm = 0;
         mData = new byte[0];
     }
 
     private void reply(ReplicaId from, SnapshotChunk m, int nextOffset, boolean installed) {
-        mState.sendDurable(
+        mState.sendAfterSync(
                 from,
                 new SnapshotReply(mState.term(), m.index(), nextOffset, installed, m.round()));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -115,7 +115,7 @@
     /** A whole tree goes into the log as what changes, where it is small enough to be taken. */
     private byte[] encode(Command command) {
         byte[] encoded = mCodec.encode(command);
-        boolean fits = encoded.length <= mConfig.consensus().bounds().command();
+        boolean fits = encoded.length <= mConfig.consensus().logLimits().maxCommandBytes();
         if (!fits || !leads() || !(command instanceof Command.ReplaceSettings whole)) {
             return encoded;
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/AgreementPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusPropertyTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.statistics.Statistics;
 
 /** What must hold of the replicated log, whatever happens to messages, processes and disks. */
-class AgreementPropertyTest {
+class ConsensusPropertyTest {
     private static final int STEPS = 4000;
 
     // Callers see: an accepted proposal stays, a read shows at least what was answered before it.
@@ -19,10 +19,10 @@
     // still for a while, crash between a write and its sync and come back; syncs are late.
     // Why: quorums overlap and whatever counts towards one is on disk first.
     @Property(seed = "1", tries = 250, shrinking = ShrinkingMode.OFF)
-    void keepsWhatItAccepted(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int faults) {
+    void keepsAcceptedProposals(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int faults) {
         ReplicaNetwork network = new ReplicaNetwork(seed, 2 * faults + 1);
         for (int i = 0; i < STEPS; i++) {
-            act(network, i);
+            takeRandomAction(network, i);
             crashOrRestart(network);
         }
         assertRecovers(network);
@@ -34,18 +34,18 @@
     // Why: a new id never answers for the old one, and one change at a time keeps quorums
     // overlapping.
     @Property(seed = "2", tries = 250, shrinking = ShrinkingMode.OFF)
-    void keepsWhatItAcceptedWhenDisksAreLost(
+    void keepsAcceptedProposalsAcrossDiskLoss(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int faults) {
         ReplicaNetwork network = new ReplicaNetwork(seed, 2 * faults + 1);
         for (int i = 0; i < STEPS; i++) {
-            act(network, i);
+            takeRandomAction(network, i);
             crashOrRestart(network);
             changeMembers(network);
         }
         assertRecovers(network);
     }
 
-    private static void act(ReplicaNetwork network, int step) {
+    private static void takeRandomAction(ReplicaNetwork network, int step) {
         double choice = network.mRandom.nextDouble();
         if (choice < 0.60) {
             network.deliverSome(0.05, 0.05);
@@ -54,12 +54,12 @@
         } else if (choice < 0.85) {
             network.syncSome();
         } else if (choice < 0.95) {
-            network.propose(network.anyLeader(), "c" + step);
+            network.propose(network.randomLeader(), "c" + step);
         } else {
-            network.read(network.anyLeader());
+            network.read(network.randomLeader());
         }
         if (network.mRandom.nextDouble() < 0.005) {
-            network.step(network.anyLeader(), new ConsensusEvent.LeadershipTransferRequested());
+            network.step(network.randomLeader(), new ConsensusEvent.LeadershipTransferRequested());
         }
         if (step % 100 == 0) {
             network.assertLogsMatch();
@@ -68,20 +68,20 @@
 
     private static void crashOrRestart(ReplicaNetwork network) {
         double choice = network.mRandom.nextDouble();
-        TestReplica replica = network.any();
-        if (choice < 0.006 && replica.isUp()) {
+        TestReplica replica = network.randomReplica();
+        if (choice < 0.006 && replica.isRunning()) {
             replica.crash(network.mRandom);
             if (network.mRandom.nextBoolean()) {
                 network.start(replica);
             }
-        } else if (choice < 0.020 && !replica.isUp()) {
+        } else if (choice < 0.020 && !replica.isRunning()) {
             network.start(replica);
         } else if (choice < 0.022) {
-            network.cutOff(List.of(replica.mId.name(), network.any().mId.name()));
+            network.partition(List.of(replica.mId.name(), network.randomReplica().mId.name()));
         } else if (choice < 0.026) {
-            network.cutOff(List.of());
+            network.partition(List.of());
         } else if (choice < 0.028) {
-            replica.mIsPaused = replica.isUp();
+            replica.mIsPaused = replica.isRunning();
         } else if (choice < 0.034) {
             replica.mIsPaused = false;
         }
@@ -90,8 +90,8 @@
     private static void changeMembers(ReplicaNetwork network) {
         double choice = network.mRandom.nextDouble();
         TestReplica leader = network.leader();
-        if (choice < 0.02 && network.isWhole()) {
-            TestReplica replica = network.any();
+        if (choice < 0.02 && network.isMembershipRepaired()) {
+            TestReplica replica = network.randomReplica();
             replica.crash(network.mRandom);
             network.replaceDisk(replica.mId.name());
         } else if (choice < 0.05 && leader != null) {
@@ -100,30 +100,30 @@
     }
 
     /** Most runs must get something done and change their leader, or the property shows little. */
-    private static void assertBusy(String what, boolean is) {
+    private static void checkCoverage(String what, boolean is) {
         Statistics.label(what).collect(is).coverage(c -> c.check(true).percentage(p -> p > 60));
     }
 
     /** Once failures end, all replicas are voters, hold all accepted commands and take new ones. */
     private static void assertRecovers(ReplicaNetwork network) {
-        network.mReplicas.values().stream().filter(r -> !r.isUp()).forEach(network::start);
-        network.calm(Duration.ofSeconds(10));
-        for (int i = 0; i < 100 && !network.isWhole(); i++) {
-            network.calm(Duration.ofMillis(500));
+        network.mReplicas.values().stream().filter(r -> !r.isRunning()).forEach(network::start);
+        network.healAndRun(Duration.ofSeconds(10));
+        for (int i = 0; i < 100 && !network.isMembershipRepaired(); i++) {
+            network.healAndRun(Duration.ofMillis(500));
             if (network.leader() != null) {
                 network.repairMembership(network.leader());
             }
         }
-        assertThat(network.isWhole()).as("membership repaired").isTrue();
-        int before = network.mHistory.acceptedCount();
-        assertBusy("accepted ten", before >= 10);
-        assertBusy("led thrice", network.mHistory.termsLedCount() >= 3);
+        assertThat(network.isMembershipRepaired()).as("membership repaired").isTrue();
+        int before = network.mChecker.acceptedCount();
+        checkCoverage("accepted ten", before >= 10);
+        checkCoverage("led thrice", network.mChecker.termsWithLeaderCount() >= 3);
         network.propose(network.leader(), "last");
-        for (int i = 0; i < 100 && !network.isLevel(); i++) {
-            network.calm(Duration.ofMillis(500));
+        for (int i = 0; i < 100 && !network.isFullyReplicated(); i++) {
+            network.healAndRun(Duration.ofMillis(500));
         }
-        assertThat(network.mHistory.acceptedCount()).isEqualTo(before + 1);
-        network.up().forEach(network.mHistory::assertHoldsAccepted);
+        assertThat(network.mChecker.acceptedCount()).isEqualTo(before + 1);
+        network.running().forEach(network.mChecker::assertHoldsAccepted);
         network.assertLogsMatch();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/AgreementRulesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusRulesTest.java
@@ -24,7 +24,7 @@
 import org.laurelweir.lib.ResultCode;
 
 /** Single rules, in the one order of events that needs each. */
-class AgreementRulesTest {
+class ConsensusRulesTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
     private ReplicaNetwork mNetwork;
@@ -32,17 +32,17 @@
     private TestReplica mFollower;
 
     @BeforeEach
-    void elect() {
+    void electLeader() {
         mNetwork = new ReplicaNetwork(1, 3);
-        mNetwork.calm(SECOND.multipliedBy(3));
+        mNetwork.healAndRun(SECOND.multipliedBy(3));
         mLeader = mNetwork.leader();
-        mFollower = mNetwork.up().stream().filter(r -> r != mLeader).findFirst().orElseThrow();
+        mFollower = mNetwork.running().stream().filter(r -> r != mLeader).findFirst().orElseThrow();
     }
 
     // Callers see: nothing lost. Order: a replica grants a vote, crashes before the sync, and
     // grants another one in the same term. Why: the first grant was never sent.
     @Test
-    void sendsAVoteOnlyOnceItIsSynced() {
+    void sendsVoteOnlyAfterSync() {
         TestReplica voter = new TestReplica(new ReplicaId("v", 1));
         voter.start(Instant.EPOCH, 1);
         VoteRequest request = new VoteRequest(5, 9, 4, false);
@@ -58,72 +58,72 @@
     // another is elected and accepts a command, a read reaches the old leader as it wakes up. Why:
     // it first asks a quorum, which no longer follows it.
     @Test
-    void aLeaderThatStoodStillAnswersNoReadFromItsOldState() {
+    void pausedLeaderServesNoStaleRead() {
         mLeader.mIsPaused = true;
         mNetwork.run(SECOND);
         TestReplica next = mNetwork.leader();
         assertThat(next).isNotSameAs(mLeader);
         mNetwork.propose(next, "new");
         mNetwork.run(SECOND);
-        assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(1);
+        assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
         mNetwork.read(mLeader);
         mLeader.mIsPaused = false;
         mNetwork.syncAndRunLocal(mLeader);
-        mNetwork.calm(SECOND);
+        mNetwork.healAndRun(SECOND);
     }
 
     // Operators see: MEMBERSHIP_CHANGE_PENDING. Order: a second change is asked for before the
     // first is committed. Why: the quorums of the first and the last of three memberships may not
     // overlap.
     @Test
-    void changesTheMembershipOneStepAtATime() {
+    void rejectsSecondUncommittedMembershipChange() {
         mNetwork.propose(mLeader, new Remove(mFollower.mId));
-        assertRefused(mLeader, new AddLearner(new ReplicaId("x", 1)));
+        assertChangePending(mLeader, new AddLearner(new ReplicaId("x", 1)));
     }
 
     // Operators see: MEMBERSHIP_CHANGE_PENDING. Order: a leader is elected and asked for a change
     // before an entry of its term is committed. Why: its predecessor's change may still be open.
     @Test
-    void aNewLeaderFirstCommitsAnEntryOfItsTerm() {
+    void newLeaderRejectsMembershipChangeBeforeItCommits() {
         mLeader.crash(mNetwork.mRandom);
         while (mNetwork.leader() == null) {
             mNetwork.run(Duration.ofMillis(20));
         }
-        assertRefused(mNetwork.leader(), new AddLearner(new ReplicaId("x", 1)));
+        assertChangePending(mNetwork.leader(), new AddLearner(new ReplicaId("x", 1)));
     }
 
     // Operators see: MEMBERSHIP_CHANGE_PENDING until the learner holds the log, then success.
     // Order: a replica returns on a new disk, cut off at first. Why: a voter without the log makes
     // the quorum larger and can't help to reach it.
     @Test
-    void promotesALearnerOnlyOnceItHasCaughtUp() {
+    void promotesLearnerOnlyAfterCatchUp() {
         mFollower.crash(mNetwork.mRandom);
         mNetwork.replaceDisk(mFollower.mId.name());
         ReplicaId learner = mNetwork.mReplicas.get(mFollower.mId.name()).mId;
-        mNetwork.cutOff(List.of(learner.name()));
+        mNetwork.partition(List.of(learner.name()));
         mNetwork.propose(mLeader, new AddLearner(learner));
         mNetwork.run(Duration.ofMillis(100));
-        assertRefused(mLeader, new Promote(learner));
-        mNetwork.calm(SECOND);
+        assertChangePending(mLeader, new Promote(learner));
+        mNetwork.healAndRun(SECOND);
         mNetwork.propose(mNetwork.leader(), new Promote(learner));
-        mNetwork.calm(SECOND);
+        mNetwork.healAndRun(SECOND);
         assertThat(mNetwork.leader().mReducer.membership().isVoter(learner)).isTrue();
     }
 
     // Operators see: NO_QUORUM. Order: one of three voters is down, and the other follower is to be
     // removed. Why: of the two voters left only one would be there, and nothing could be committed.
     @Test
-    void refusesAChangeThatLeavesNoQuorumInContact() {
+    void rejectsChangeThatLeavesNoQuorumInContact() {
         mFollower.crash(mNetwork.mRandom);
         mNetwork.run(SECOND);
         ReplicaId other =
-                mNetwork.up().stream().filter(r -> r != mLeader).findFirst().orElseThrow().mId;
+                mNetwork.running().stream().filter(r -> r != mLeader).findFirst().orElseThrow().mId;
         List<ConsensusEffect> effects =
                 mNetwork.effectsOf(mLeader, new MembershipChangeProposed(1, new Remove(other)));
         assertThat(effects).contains(new ProposalRejected(1, ResultCode.NO_QUORUM, mLeader.mId));
     }
 
-    private void assertRefused(TestReplica leader, MembershipChange change) {
+    private void assertChangePending(TestReplica leader, MembershipChange change) {
         List<ConsensusEffect> effects =
                 mNetwork.effectsOf(leader, new MembershipChangeProposed(9, change));
         ResultCode code = ResultCode.MEMBERSHIP_CHANGE_PENDING;
@@ -133,11 +133,11 @@
     // Callers see: no pause. Order: a follower is cut off for long and comes back.
     // Why: it asked in vain whether it could win, and so did not raise its term.
     @Test
-    void aReplicaThatWasCutOffDeposesNobody() {
+    void rejoiningReplicaDoesNotDeposeLeader() {
         long term = mLeader.mReducer.term();
-        mNetwork.cutOff(List.of(mFollower.mId.name()));
+        mNetwork.partition(List.of(mFollower.mId.name()));
         mNetwork.run(SECOND.multipliedBy(5));
-        mNetwork.calm(SECOND);
+        mNetwork.healAndRun(SECOND);
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.LEADER);
         assertThat(mLeader.mReducer.term()).isEqualTo(term);
     }
@@ -145,16 +145,16 @@
     // Callers see: no pause. Order: a removed replica that does not know it asks for votes in a
     // high term. Why: whoever hears the leader doesn't even look at the term.
     @Test
-    void votesForNobodyWhileTheLeaderIsHeard() {
+    void grantsNoVoteWhileLeaderIsInContact() {
         VoteRequest request = new VoteRequest(99, 99, 98, false);
         PreVoteRequest before = new PreVoteRequest(99, 99, 98);
-        for (TestReplica r : mNetwork.up()) {
+        for (TestReplica r : mNetwork.running()) {
             PreVoteReply refused = new PreVoteReply(r.mReducer.term(), false);
             assertThat(mNetwork.effectsOf(r, new MessageReceived(mLeader.mId, before)))
                     .contains(new Send(mLeader.mId, refused));
             mNetwork.step(r, new MessageReceived(new ReplicaId("removed", 1), request));
         }
-        assertThat(mNetwork.up()).allMatch(r -> r.mReducer.term() < 99);
+        assertThat(mNetwork.running()).allMatch(r -> r.mReducer.term() < 99);
     }
 
     // Callers see: what is under way is accepted, what comes now is turned away as not run, and the
@@ -162,13 +162,13 @@
     // is asked to hand over, and gets another one. Why: it commits the first before it asks the
     // successor to campaign, and voters need not have lost the leader to vote then.
     @Test
-    void aLeaderThatLeavesHandsOverOnceAllIsCommitted() {
+    void transfersLeadershipAfterPendingProposalsCommit() {
         mNetwork.propose(mLeader, "under way");
         mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         assertThat(mNetwork.effectsOf(mLeader, new ConsensusEvent.Proposed(9, new byte[1])))
                 .contains(new ProposalRejected(9, ResultCode.NOT_LEADER, null));
         mNetwork.run(Duration.ofMillis(80));
-        assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(1);
+        assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.FOLLOWER);
         assertThat(mNetwork.leader()).isNotNull();
     }
@@ -177,11 +177,11 @@
     // follower hold a proposal as the leader is asked to hand over; then a third gets it.
     // Why: a successor that holds all is not enough, the proposal has to be committed first.
     @Test
-    void aLeaderThatLeavesWaitsForWhatIsNotCommitted() {
+    void transferWaitsUntilQuorumHoldsProposal() {
         mNetwork = new ReplicaNetwork(1, 5);
-        mNetwork.calm(SECOND.multipliedBy(3));
+        mNetwork.healAndRun(SECOND.multipliedBy(3));
         mLeader = mNetwork.leader();
-        List<TestReplica> others = mNetwork.up().stream().filter(r -> r != mLeader).toList();
+        List<TestReplica> others = mNetwork.running().stream().filter(r -> r != mLeader).toList();
         others.subList(1, 4).forEach(r -> r.mIsPaused = true);
         mNetwork.propose(mLeader, "under way");
         mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
@@ -189,27 +189,27 @@
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.LEADER);
         others.get(1).mIsPaused = false;
         mNetwork.run(Duration.ofMillis(80));
-        assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(1);
+        assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.FOLLOWER);
     }
 
     // Callers see: the leader takes proposals again. Order: it is asked to hand over while all
     // others are cut off, and they come back. Why: a hand-over ends after an election timeout.
     @Test
-    void aHandOverThatReachesNobodyEnds() {
-        mNetwork.cutOff(List.of(mLeader.mId.name()));
+    void transferTimesOutWithoutReachableSuccessor() {
+        mNetwork.partition(List.of(mLeader.mId.name()));
         mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
-        mNetwork.calm(SECOND);
+        mNetwork.healAndRun(SECOND);
         mNetwork.propose(mNetwork.leader(), "c");
         mNetwork.run(SECOND);
-        assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(1);
+        assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
     }
 
     // Callers see: OUTCOME_UNKNOWN soon, instead of waiting for the cut to end. Order: the leader
     // is cut off from both followers with a proposal under way. Why: it counts its contacts.
     @Test
-    void aLeaderWithoutAQuorumStepsDown() {
-        mNetwork.cutOff(List.of(mLeader.mId.name()));
+    void leaderWithoutQuorumStepsDown() {
+        mNetwork.partition(List.of(mLeader.mId.name()));
         mNetwork.propose(mLeader, "c");
         mNetwork.run(Duration.ofMillis(200));
         assertThat(mLeader.mReducer.role()).isNotEqualTo(Role.LEADER);
@@ -218,7 +218,7 @@
     // Callers see: nothing lost. Order: a follower's log ends in entries of an old term and the
     // leader's previous entry is missing or of another term. Why: the follower refuses the append.
     @Test
-    void refusesEntriesThatDoNotContinueTheLog() {
+    void rejectsEntriesThatLeaveAGap() {
         long last = mFollower.mReducer.log().lastIndex();
         long term = mLeader.mReducer.term();
         List<LogEntry> entries = List.of(entry(last + 2, term));
@@ -230,15 +230,15 @@
     // Callers see: nothing lost. Order: entries are being synced as a new leader replaces the last
     // two; the first sync ends, the second has not. Why: what was replaced no longer counts.
     @Test
-    void aSyncOfReplacedEntriesDoesNotCount() {
-        Durability durability = new Durability();
+    void syncOfReplacedEntriesDoesNotCount() {
+        DiskWriteQueue durability = new DiskWriteQueue();
         durability.write(List.of(entry(1, 1), entry(2, 1), entry(3, 1)));
         durability.flush(e -> {});
         durability.write(List.of(entry(2, 2), entry(3, 2)));
         durability.flush(e -> {});
-        durability.persisted(1);
+        durability.onSynced(1);
         assertThat(durability.durableIndex()).isEqualTo(1);
-        durability.persisted(2);
+        durability.onSynced(2);
         assertThat(durability.durableIndex()).isEqualTo(3);
     }
 
@@ -246,7 +246,7 @@
     // the leader's snapshot ends in a newer one. Why: what the disk holds after it belongs to no
     // history.
     @Test
-    void discardsALogThatTheSnapshotDoesNotContinue() {
+    void discardsLogThatConflictsWithSnapshot() {
         long index = mFollower.mReducer.log().lastIndex() + 1;
         long term = mLeader.mReducer.term();
         mNetwork.step(mFollower, append(term, index - 1, entry(index, term)));
@@ -263,11 +263,11 @@
     // property). Why: the leader goes on after the match, and does not take the refusal for a late
     // one.
     @Test
-    void probesAfterTheMatchWhenTheHintLiesBeforeIt() {
+    void probesAfterMatchIndexWhenHintIsLower() {
         FollowerProgress progress = new FollowerProgress(88, Instant.EPOCH);
-        progress.matched(80);
-        progress.sent(88, 1);
-        progress.mismatched(79);
+        progress.onMatch(80);
+        progress.onSent(88, 1);
+        progress.onMismatch(79);
         assertThat(progress.mode()).isEqualTo(FollowerProgress.Mode.PROBE);
         assertThat(progress.nextIndex()).isEqualTo(81);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ElectionRaceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ElectionRaceTest.java
@@ -22,11 +22,11 @@
 
 /** How soon replicas that were all stopped at once have a leader again. */
 class ElectionRaceTest {
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration SYNC = Duration.ofMillis(5);
-    private static final int STARTED_WITHIN_MILLIS = 100;
-    private static final int FASTEST_MESSAGE_MILLIS = 20;
-    private static final int SLOWEST_MESSAGE_MILLIS = 80;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration SYNC_DURATION = Duration.ofMillis(5);
+    private static final int START_WINDOW_MILLIS = 100;
+    private static final int MIN_MESSAGE_DELAY_MILLIS = 20;
+    private static final int MAX_MESSAGE_DELAY_MILLIS = 80;
     private static final int RACES = 500;
     private static final long SEED = 20;
     private static final ConsensusConfig CONFIG =
@@ -35,15 +35,18 @@
                     .heartbeatInterval(Duration.ofMillis(100))
                     .build();
 
-    private record Due(Instant at, long order, ReplicaId to, ConsensusEvent event) {}
+    private record ScheduledEvent(
+            Instant time, long sequence, ReplicaId to, ConsensusEvent event) {}
 
-    private final PriorityQueue<Due> mDue =
-            new PriorityQueue<>(Comparator.comparing(Due::at).thenComparing(Due::order));
+    private final PriorityQueue<ScheduledEvent> mScheduledEvents =
+            new PriorityQueue<>(
+                    Comparator.comparing(ScheduledEvent::time)
+                            .thenComparing(ScheduledEvent::sequence));
     private final Map<ReplicaId, ConsensusReducer> mReducers = new HashMap<>();
     private SplittableRandom mRandom;
     private Instant mNow;
-    private Instant mLed;
-    private long mOrder;
+    private Instant mElectedAt;
+    private long mNextSequence;
 
     // Callers see: no router has settings for about a second longer than usual. Order: every
     // replica is killed and starts again within 0.1 s; messages between programs that are still
@@ -51,7 +54,7 @@
     // them, and each votes for itself. Why: nobody has a majority in that term, and the next
     // attempt waits for a whole election timeout.
     @Test
-    void replicasThatStartTogetherSeldomSplitTheirVotes() {
+    void replicasThatStartTogetherSeldomSplitVotes() {
         List<Duration> times = new ArrayList<>();
         int split = 0;
         for (int race = 0; race < RACES; race++) {
@@ -78,9 +81,9 @@
     /** Returns how long after the last start one replica leads. */
     private Duration race(long seed, int size) {
         mRandom = new SplittableRandom(seed);
-        mDue.clear();
+        mScheduledEvents.clear();
         mReducers.clear();
-        mLed = null;
+        mElectedAt = null;
         mNow = Instant.EPOCH;
         List<ReplicaId> ids = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -90,43 +93,43 @@
         Instant lastStart = Instant.EPOCH;
         for (ReplicaId id : ids) {
             mReducers.put(id, new ConsensusReducer(id, CONFIG, mRandom.nextLong()));
-            Duration delay = Duration.ofMillis(mRandom.nextInt(STARTED_WITHIN_MILLIS));
-            due(delay, id, new Recovered(new HardState(1, ids.get(0)), snapshot, List.of()));
-            due(delay, id, new Tick());
+            Duration delay = Duration.ofMillis(mRandom.nextInt(START_WINDOW_MILLIS));
+            schedule(delay, id, new Recovered(new HardState(1, ids.get(0)), snapshot, List.of()));
+            schedule(delay, id, new Tick());
             lastStart = max(lastStart, mNow.plus(delay));
         }
-        while (mLed == null) {
-            Due next = mDue.poll();
-            mNow = next.at();
+        while (mElectedAt == null) {
+            ScheduledEvent next = mScheduledEvents.poll();
+            mNow = next.time();
             step(next.to(), next.event());
         }
-        return Duration.between(lastStart, mLed);
+        return Duration.between(lastStart, mElectedAt);
     }
 
     private static Instant max(Instant a, Instant b) {
         return a.isAfter(b) ? a : b;
     }
 
-    private void due(Duration delay, ReplicaId to, ConsensusEvent event) {
-        mDue.add(new Due(mNow.plus(delay), mOrder++, to, event));
+    private void schedule(Duration delay, ReplicaId to, ConsensusEvent event) {
+        mScheduledEvents.add(new ScheduledEvent(mNow.plus(delay), mNextSequence++, to, event));
     }
 
     private void step(ReplicaId id, ConsensusEvent event) {
         if (event instanceof Tick) {
-            due(TICK, id, event);
+            schedule(TICK_INTERVAL, id, event);
         }
-        mReducers.get(id).step(mNow, event, effect -> follow(id, effect));
+        mReducers.get(id).step(mNow, event, effect -> handle(id, effect));
     }
 
-    private void follow(ReplicaId id, ConsensusEffect effect) {
+    private void handle(ReplicaId id, ConsensusEffect effect) {
         if (effect instanceof Send e) {
-            int spread = SLOWEST_MESSAGE_MILLIS - FASTEST_MESSAGE_MILLIS;
-            Duration way = Duration.ofMillis(FASTEST_MESSAGE_MILLIS + mRandom.nextInt(spread));
-            due(way, e.to(), new MessageReceived(id, e.message()));
+            int spread = MAX_MESSAGE_DELAY_MILLIS - MIN_MESSAGE_DELAY_MILLIS;
+            Duration way = Duration.ofMillis(MIN_MESSAGE_DELAY_MILLIS + mRandom.nextInt(spread));
+            schedule(way, e.to(), new MessageReceived(id, e.message()));
         } else if (effect instanceof Persist e) {
-            due(SYNC, id, new Persisted(e.sequence()));
+            schedule(SYNC_DURATION, id, new Persisted(e.sequence()));
         } else if (effect instanceof RoleChanged e && e.role() == Role.LEADER) {
-            mLed = mNow;
+            mElectedAt = mNow;
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/LogBoundsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/LogLimitsTest.java
@@ -7,9 +7,9 @@
 import org.laurelweir.lib.ResultCode;
 
 /** What a replica takes and refuses where its log, its disk or a command has no room. */
-class LogBoundsTest {
+class LogLimitsTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
-    private static final LogBounds BOUNDS = TestReplica.CONFIG.bounds();
+    private static final LogLimits LIMITS = TestReplica.CONFIG.logLimits();
 
     private final ReplicaNetwork mNetwork = new ReplicaNetwork(1, 3);
 
@@ -18,7 +18,7 @@
     }
 
     /** Proposes to the leader and returns what it is told at once, or null. */
-    private ResultCode refusalOf(int bytes) {
+    private ResultCode proposeAndGetRejection(int bytes) {
         return mNetwork
                 .effectsOf(
                         mNetwork.leader(),
@@ -34,36 +34,37 @@
     // takes.
     // Why: it is refused before it is in the log, with a code that says that it never fits.
     @Test
-    void aCommandThatNeverFitsIsRefusedAtOnce() {
-        mNetwork.calm(SECOND.multipliedBy(3));
-        assertThat(refusalOf(BOUNDS.command() + 1)).isEqualTo(ResultCode.BODY_TOO_LARGE);
-        assertThat(refusalOf(BOUNDS.command())).isNull();
+    void rejectsOversizedCommandAtOnce() {
+        mNetwork.healAndRun(SECOND.multipliedBy(3));
+        assertThat(proposeAndGetRejection(LIMITS.maxCommandBytes() + 1))
+                .isEqualTo(ResultCode.BODY_TOO_LARGE);
+        assertThat(proposeAndGetRejection(LIMITS.maxCommandBytes())).isNull();
     }
 
     // Operators see: control takes ever more memory. Order: the leader's disk hangs, the others go
     // on and commit. Why: what waits for the disk is bounded, and more is refused until it is back.
     @Test
-    void aLeaderWhoseDiskHangsTakesOnlySoMuch() {
-        mNetwork.calm(SECOND.multipliedBy(3));
+    void leaderWithHangingDiskBoundsItsLog() {
+        mNetwork.healAndRun(SECOND.multipliedBy(3));
         TestReplica leader = mNetwork.leader();
         int taken = 0;
         ResultCode refusal = null;
         while (refusal == null && taken < 100) {
-            refusal = refusalOf(1_000);
+            refusal = proposeAndGetRejection(1_000);
             taken++;
         }
         assertThat(refusal).isEqualTo(ResultCode.OVERLOADED);
-        assertThat(leader.mReducer.logBytes()).isLessThanOrEqualTo(BOUNDS.held());
+        assertThat(leader.mReducer.logBytes()).isLessThanOrEqualTo(LIMITS.maxLogBytes());
     }
 
     // Callers see: nothing; all that was accepted is on every replica. Order: one follower stands
     // still while many large commands are accepted, and comes back. Why: what is under way to it is
     // bounded, and it gets the rest by and by or a snapshot.
     @Test
-    void aFollowerThatStoodStillCatchesUpWithinTheBounds() {
-        mNetwork.calm(SECOND.multipliedBy(3));
+    void pausedFollowerCatchesUpWithinLimits() {
+        mNetwork.healAndRun(SECOND.multipliedBy(3));
         TestReplica late =
-                mNetwork.up().stream()
+                mNetwork.running().stream()
                         .filter(r -> r != mNetwork.leader())
                         .findFirst()
                         .orElseThrow();
@@ -71,22 +72,23 @@
         for (int i = 0; i < 12; i++) {
             mNetwork.propose(mNetwork.leader(), i + command(3_000));
             mNetwork.run(Duration.ofMillis(200));
-            assertThat(mNetwork.leader().mReducer.logBytes()).isLessThan(BOUNDS.held());
+            assertThat(mNetwork.leader().mReducer.logBytes()).isLessThan(LIMITS.maxLogBytes());
         }
-        mNetwork.calm(SECOND.multipliedBy(200));
-        assertThat(mNetwork.mHistory.acceptedCount()).isEqualTo(12);
-        assertThat(mNetwork.isLevel()).isTrue();
+        mNetwork.healAndRun(SECOND.multipliedBy(200));
+        assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(12);
+        assertThat(mNetwork.isFullyReplicated()).isTrue();
     }
 
     @Test
-    void aSnapshotIsDueBeforeTheLogIsFullWhateverTheSizeOfTheLast() {
-        assertThat(BOUNDS.snapshotDue(0)).isEqualTo(BOUNDS.snapshot());
-        assertThat(BOUNDS.snapshotDue(Integer.MAX_VALUE)).isLessThan(BOUNDS.held());
+    void snapshotIsDueBeforeLogIsFull() {
+        assertThat(LIMITS.snapshotThresholdBytes(0)).isEqualTo(LIMITS.snapshotIntervalBytes());
+        assertThat(LIMITS.snapshotThresholdBytes(Integer.MAX_VALUE))
+                .isLessThan(LIMITS.maxLogBytes());
     }
 
     @Test
-    void theLargestCommandFitsIntoAMessageWhateverTheHeap() {
+    void maxCommandFitsIntoMessageForAnyHeap() {
         int largestMessage = 32 << 20;
-        assertThat(LogBounds.ofHeap(Long.MAX_VALUE).command()).isLessThan(largestMessage);
+        assertThat(LogLimits.ofHeap(Long.MAX_VALUE).maxCommandBytes()).isLessThan(largestMessage);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ReplicaNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ReplicaNetwork.java
@@ -29,12 +29,12 @@
     /** A message on its way. */
     private record Envelope(ReplicaId from, ReplicaId to, ReplicaMessage message) {}
 
-    final AgreementHistory mHistory = new AgreementHistory();
+    final SafetyChecker mChecker = new SafetyChecker();
     final Map<String, TestReplica> mReplicas = new TreeMap<>();
     final SplittableRandom mRandom;
 
-    private final List<Envelope> mMessages = new ArrayList<>();
-    private final Set<String> mCutOff = new HashSet<>();
+    private final List<Envelope> mInFlightMessages = new ArrayList<>();
+    private final Set<String> mPartitioned = new HashSet<>();
     private Instant mNow = Instant.EPOCH;
     private long mNextId = 1;
 
@@ -61,7 +61,7 @@
     }
 
     void step(TestReplica replica, ConsensusEvent event) {
-        if (!replica.isUp()) {
+        if (!replica.isRunning()) {
             return;
         }
         if (replica.mIsPaused) {
@@ -76,34 +76,36 @@
     private void handle(TestReplica replica, List<ConsensusEffect> effects) {
         for (ConsensusEffect effect : effects) {
             if (effect instanceof Send e) {
-                mMessages.add(new Envelope(replica.mId, e.to(), e.message()));
+                mInFlightMessages.add(new Envelope(replica.mId, e.to(), e.message()));
             } else if (effect instanceof Persist e) {
-                replica.hold(e);
+                replica.queueWrite(e);
             } else if (effect instanceof MarkCommitted e) {
                 replica.markCommitted(e.index(), mRandom);
             } else if (effect instanceof Apply e) {
-                replica.apply(e.index(), e.command());
-                mHistory.applied(replica, e.index(), e.term(), new String(e.command()));
+                replica.applyCommand(e.index(), e.command());
+                mChecker.onApplied(replica, e.index(), e.term(), new String(e.command()));
             } else if (effect instanceof InstallSnapshot e) {
-                replica.load(e.snapshot());
-                mHistory.assertIsPrefix(replica);
+                replica.loadSnapshot(e.snapshot());
+                mChecker.assertIsPrefix(replica);
             } else if (effect instanceof TakeSnapshot e) {
                 replica.mLocalEvents.add(new SnapshotTaken(e.index(), replica.encodeState()));
             } else if (effect instanceof ProposalAccepted e) {
-                mHistory.accepted(replica, e.proposalId(), e.index());
+                mChecker.onAccepted(replica, e.proposalId(), e.index());
             } else if (effect instanceof ProposalRejected e) {
-                mHistory.rejected(e.proposalId(), e.code());
+                mChecker.onRejected(e.proposalId(), e.code());
             } else if (effect instanceof ReadReady e) {
-                mHistory.readReady(replica, e.readId());
+                mChecker.onReadReady(replica, e.readId());
             } else if (effect instanceof RoleChanged e && e.role() == Role.LEADER) {
-                mHistory.leads(replica.mId, e.term(), replica.mReducer.log());
+                mChecker.onElected(replica.mId, e.term(), replica.mReducer.log());
             }
         }
     }
 
     void tick(int millis) {
         mNow = mNow.plusMillis(millis);
-        up().stream().filter(r -> !r.mIsPaused).forEach(r -> step(r, new ConsensusEvent.Tick()));
+        running().stream()
+                .filter(r -> !r.mIsPaused)
+                .forEach(r -> step(r, new ConsensusEvent.Tick()));
     }
 
     /** Takes some of the messages on their way, in any order. */
@@ -117,33 +119,33 @@
      * Takes any message that is on its way: delivers it, or delivers it and keeps it, or loses it.
      */
     void deliverOne(double loss, double repeat) {
-        if (mMessages.isEmpty()) {
+        if (mInFlightMessages.isEmpty()) {
             return;
         }
-        int i = mRandom.nextInt(mMessages.size());
-        Envelope e = mMessages.get(i);
+        int i = mRandom.nextInt(mInFlightMessages.size());
+        Envelope e = mInFlightMessages.get(i);
         TestReplica to = mReplicas.get(e.to().name());
         if (to.mIsPaused) {
             return;
         }
         if (mRandom.nextDouble() >= repeat) {
-            mMessages.set(i, mMessages.get(mMessages.size() - 1));
-            mMessages.remove(mMessages.size() - 1);
+            mInFlightMessages.set(i, mInFlightMessages.get(mInFlightMessages.size() - 1));
+            mInFlightMessages.remove(mInFlightMessages.size() - 1);
         }
-        boolean lost = mRandom.nextDouble() < loss || isCut(e.from().name(), e.to().name());
+        boolean lost = mRandom.nextDouble() < loss || isPartitioned(e.from().name(), e.to().name());
         if (!lost && to.mId.equals(e.to())) {
             step(to, new MessageReceived(e.from(), e.message()));
         }
     }
 
-    private boolean isCut(String a, String b) {
-        return mCutOff.contains(a) != mCutOff.contains(b);
+    private boolean isPartitioned(String a, String b) {
+        return mPartitioned.contains(a) != mPartitioned.contains(b);
     }
 
     /** Cuts some replicas off from the others, who stay connected among themselves. */
-    void cutOff(Collection<String> names) {
-        mCutOff.clear();
-        mCutOff.addAll(names);
+    void partition(Collection<String> names) {
+        mPartitioned.clear();
+        mPartitioned.addAll(names);
     }
 
     /** Ends the syncs under way on about half of the replicas. */
@@ -158,21 +160,21 @@
             return;
         }
         r.sync();
-        while (r.isUp() && !r.mLocalEvents.isEmpty()) {
+        while (r.isRunning() && !r.mLocalEvents.isEmpty()) {
             step(r, r.mLocalEvents.poll());
         }
     }
 
     long propose(TestReplica to, String command) {
         long id = mNextId++;
-        mHistory.proposed(id, command);
+        mChecker.onProposed(id, command);
         step(to, new ConsensusEvent.Proposed(id, command.getBytes()));
         return id;
     }
 
     void read(TestReplica from) {
         long id = mNextId++;
-        mHistory.readRequested(id);
+        mChecker.onReadRequested(id);
         step(from, new ConsensusEvent.ReadRequested(id));
     }
 
@@ -183,7 +185,7 @@
     /** Returns a replica that believes to lead, or null. */
     TestReplica leader() {
         TestReplica newest = null;
-        for (TestReplica r : up()) {
+        for (TestReplica r : running()) {
             boolean leads = r.mReducer.role() == Role.LEADER;
             if (leads && (newest == null || r.mReducer.term() > newest.mReducer.term())) {
                 newest = r;
@@ -193,20 +195,20 @@
     }
 
     /** Returns any replica. */
-    TestReplica any() {
+    TestReplica randomReplica() {
         List<TestReplica> all = List.copyOf(mReplicas.values());
         return all.get(mRandom.nextInt(all.size()));
     }
 
     /** Returns any replica that believes to lead, replaced or not; any at all if there is none. */
-    TestReplica anyLeader() {
+    TestReplica randomLeader() {
         List<TestReplica> leaders =
-                up().stream().filter(r -> r.mReducer.role() == Role.LEADER).toList();
-        return leaders.isEmpty() ? any() : leaders.get(mRandom.nextInt(leaders.size()));
+                running().stream().filter(r -> r.mReducer.role() == Role.LEADER).toList();
+        return leaders.isEmpty() ? randomReplica() : leaders.get(mRandom.nextInt(leaders.size()));
     }
 
-    List<TestReplica> up() {
-        return mReplicas.values().stream().filter(TestReplica::isUp).toList();
+    List<TestReplica> running() {
+        return mReplicas.values().stream().filter(TestReplica::isRunning).toList();
     }
 
     /** Takes one step towards a membership of just the present ids, all of them voters. */
@@ -230,31 +232,31 @@
     }
 
     /** Returns whether every replica knows, and has synced, that all present ids are voters. */
-    boolean isWhole() {
+    boolean isMembershipRepaired() {
         Membership whole =
                 Membership.ofVoters(mReplicas.values().stream().map(r -> r.mId).toList());
         return mReplicas.values().stream()
                 .allMatch(
                         r ->
-                                r.isUp()
+                                r.isRunning()
                                         && r.membershipOnDisk().equals(whole)
                                         && r.mReducer.membership().equals(whole));
     }
 
     /** Returns whether every replica has applied all that the leader has. */
-    boolean isLevel() {
+    boolean isFullyReplicated() {
         long last = leader() == null ? -1 : leader().mReducer.log().lastIndex();
-        return up().stream().allMatch(r -> r.mReducer.commitIndex() == last);
+        return running().stream().allMatch(r -> r.mReducer.commitIndex() == last);
     }
 
     void assertLogsMatch() {
-        AgreementHistory.assertLogsMatch(up().stream().map(r -> r.mReducer.log()).toList());
+        SafetyChecker.assertLogsMatch(running().stream().map(r -> r.mReducer.log()).toList());
     }
 
     /** Ends all failures but crashes, and runs for some time. */
-    void calm(Duration time) {
-        mCutOff.clear();
-        up().forEach(r -> r.mIsPaused = false);
+    void healAndRun(Duration time) {
+        mPartitioned.clear();
+        running().forEach(r -> r.mIsPaused = false);
         run(time);
     }
 
@@ -263,8 +265,8 @@
         Instant end = mNow.plus(time);
         while (mNow.isBefore(end)) {
             tick(20);
-            up().forEach(this::syncAndRunLocal);
-            for (int i = mMessages.size() * 2; i > 0; i--) {
+            running().forEach(this::syncAndRunLocal);
+            for (int i = mInFlightMessages.size() * 2; i > 0; i--) {
                 deliverOne(0, 0);
             }
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/AgreementHistory.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/SafetyChecker.java
@@ -13,28 +13,28 @@
 import org.laurelweir.lib.ResultCode;
 
 /** What happened in a run, checked against what must always hold as it happens. */
-final class AgreementHistory {
-    private final Map<Long, ReplicaId> mLeaders = new HashMap<>();
-    private final TreeMap<Long, String> mCommitted = new TreeMap<>();
-    private final List<String> mSequence = new ArrayList<>();
+final class SafetyChecker {
+    private final Map<Long, ReplicaId> mLeadersByTerm = new HashMap<>();
+    private final TreeMap<Long, String> mCommittedCommands = new TreeMap<>();
+    private final List<String> mAppliedSequence = new ArrayList<>();
     private final TreeMap<Long, Long> mCommittedTerms = new TreeMap<>();
-    private final Map<Long, String> mProposed = new HashMap<>();
-    private final Set<String> mAccepted = new HashSet<>();
-    private final Set<String> mNeverRun = new HashSet<>();
-    private final Map<Long, Integer> mReadFloors = new HashMap<>();
-    private int mSeenByAnyone;
-
-    void proposed(long id, String command) {
-        mProposed.put(id, command);
+    private final Map<Long, String> mProposedCommands = new HashMap<>();
+    private final Set<String> mAcceptedCommands = new HashSet<>();
+    private final Set<String> mRejectedCommands = new HashSet<>();
+    private final Map<Long, Integer> mMinReadLengths = new HashMap<>();
+    private int mMaxObservedLength;
+
+    void onProposed(long id, String command) {
+        mProposedCommands.put(id, command);
     }
 
-    void readRequested(long id) {
-        mReadFloors.put(id, mSeenByAnyone);
+    void onReadRequested(long id) {
+        mMinReadLengths.put(id, mMaxObservedLength);
     }
 
     /** Election safety and leader completeness. */
-    void leads(ReplicaId id, long term, ReplicatedLog log) {
-        ReplicaId other = mLeaders.putIfAbsent(term, id);
+    void onElected(ReplicaId id, long term, ReplicatedLog log) {
+        ReplicaId other = mLeadersByTerm.putIfAbsent(term, id);
         assertThat(other == null || other.equals(id))
                 .as("term %s has leaders %s and %s", term, other, id)
                 .isTrue();
@@ -48,50 +48,50 @@
     }
 
     /** State machine safety: one command for each index, and the same sequence everywhere. */
-    void applied(TestReplica replica, long index, long term, String command) {
-        String other = mCommitted.putIfAbsent(index, command);
+    void onApplied(TestReplica replica, long index, long term, String command) {
+        String other = mCommittedCommands.putIfAbsent(index, command);
         if (other == null) {
-            mSequence.add(index + ":" + command);
+            mAppliedSequence.add(index + ":" + command);
         }
         mCommittedTerms.put(index, term);
-        assertThat(mNeverRun).as("was said not to be run").doesNotContain(command);
+        assertThat(mRejectedCommands).as("was said not to be run").doesNotContain(command);
         int last = replica.mApplied.size() - 1;
         assertThat(replica.mApplied.get(last))
                 .as("applied by %s as number %s", replica.mId, last)
-                .isEqualTo(mSequence.get(last));
+                .isEqualTo(mAppliedSequence.get(last));
     }
 
     void assertIsPrefix(TestReplica replica) {
         assertThat(replica.mApplied)
                 .as("state of %s", replica.mId)
-                .isEqualTo(mSequence.subList(0, replica.mApplied.size()));
+                .isEqualTo(mAppliedSequence.subList(0, replica.mApplied.size()));
     }
 
-    void accepted(TestReplica replica, long proposalId, long index) {
-        String command = mProposed.get(proposalId);
+    void onAccepted(TestReplica replica, long proposalId, long index) {
+        String command = mProposedCommands.get(proposalId);
         if (command == null) {
             return;
         }
-        assertThat(mCommitted.get(index)).as("accepted at %s", index).isEqualTo(command);
+        assertThat(mCommittedCommands.get(index)).as("accepted at %s", index).isEqualTo(command);
         assertThat(replica.mAppliedIndex).isEqualTo(index);
-        mAccepted.add(command);
-        mSeenByAnyone = Math.max(mSeenByAnyone, replica.mApplied.size());
+        mAcceptedCommands.add(command);
+        mMaxObservedLength = Math.max(mMaxObservedLength, replica.mApplied.size());
     }
 
-    void rejected(long proposalId, ResultCode code) {
-        String command = mProposed.get(proposalId);
+    void onRejected(long proposalId, ResultCode code) {
+        String command = mProposedCommands.get(proposalId);
         if (command != null && code != ResultCode.OUTCOME_UNKNOWN) {
-            mNeverRun.add(command);
-            assertThat(mCommitted.containsValue(command)).as(command).isFalse();
+            mRejectedCommands.add(command);
+            assertThat(mCommittedCommands.containsValue(command)).as(command).isFalse();
         }
     }
 
     /** Linearizable reads: none sees less than what had been answered when it was asked for. */
-    void readReady(TestReplica replica, long readId) {
+    void onReadReady(TestReplica replica, long readId) {
         assertThat(replica.mApplied.size())
                 .as("read %s on %s", readId, replica.mId)
-                .isGreaterThanOrEqualTo(mReadFloors.get(readId));
-        mSeenByAnyone = Math.max(mSeenByAnyone, replica.mApplied.size());
+                .isGreaterThanOrEqualTo(mMinReadLengths.get(readId));
+        mMaxObservedLength = Math.max(mMaxObservedLength, replica.mApplied.size());
     }
 
     /** Log matching: logs that agree on an entry's term agree on all before it. */
@@ -120,14 +120,14 @@
     void assertHoldsAccepted(TestReplica replica) {
         Set<String> held = new HashSet<>();
         replica.mApplied.forEach(line -> held.add(line.substring(line.indexOf(':') + 1)));
-        assertThat(held).as("state of %s", replica.mId).containsAll(mAccepted);
+        assertThat(held).as("state of %s", replica.mId).containsAll(mAcceptedCommands);
     }
 
     int acceptedCount() {
-        return mAccepted.size();
+        return mAcceptedCommands.size();
     }
 
-    int termsLedCount() {
-        return mLeaders.size();
+    int termsWithLeaderCount() {
+        return mLeadersByTerm.size();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
@@ -14,10 +14,10 @@
             ConsensusConfig.builder()
                     .electionTimeout(Duration.ofMillis(150))
                     .heartbeatInterval(Duration.ofMillis(40))
-                    .flow(70, 3)
+                    .appendFlow(70, 3)
                     .snapshots(10, 4, 16)
-                    .catchUpLag(3)
-                    .bounds(new LogBounds(8_000, 8_000, 24_000, 4_000, 2_000, 2_000))
+                    .maxLearnerLagEntries(3)
+                    .logLimits(new LogLimits(8_000, 8_000, 24_000, 4_000, 2_000, 2_000))
                     .build();
 
     final ReplicaId mId;
@@ -37,14 +37,14 @@
         mId = id;
     }
 
-    boolean isUp() {
+    boolean isRunning() {
         return mReducer != null;
     }
 
     /** Starts from the disk; returns the effects of the first event. */
     List<ConsensusEffect> start(Instant now, long seed) {
         mReducer = new ConsensusReducer(mId, CONFIG, seed);
-        load(mDiskSnapshot);
+        loadSnapshot(mDiskSnapshot);
         List<ConsensusEffect> effects = new ArrayList<>();
         mReducer.step(
                 now,
@@ -73,7 +73,7 @@
         }
     }
 
-    void hold(Persist persist) {
+    void queueWrite(Persist persist) {
         mUnsynced.add(persist);
     }
 
@@ -106,12 +106,12 @@
         }
     }
 
-    void apply(long index, byte[] command) {
+    void applyCommand(long index, byte[] command) {
         mAppliedIndex = index;
         mApplied.add(index + ":" + new String(command));
     }
 
-    void load(Snapshot snapshot) {
+    void loadSnapshot(Snapshot snapshot) {
         mAppliedIndex = snapshot.index();
         mApplied = new ArrayList<>(new String(snapshot.state()).lines().toList());
     }
