--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/AppendReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/AppendReceiver.java
@@ -6,7 +6,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** Makes a follower's log equal to its leader's. */
+/** Handles append requests: makes a follower's log equal to its leader's log. */
 final class AppendReceiver {
     private final ReplicaState mState;
     private final Applier mApplier;
@@ -16,14 +16,15 @@
         mApplier = applier;
     }
 
-    /** Takes an append of this term. */
+    /** Handles an append request of the current term and replies to it. */
     void onAppend(ReplicaId from, AppendRequest m) {
         if (!matchesLog(m)) {
             reply(from, m, false, conflictHint(m));
             return;
         }
         if (!hasRoomFor(m.entries())) {
-            // The match without the entries: the leader is heard, and sends them again later.
+            // Acknowledges the matching prefix without the new entries. The leader sends them again
+            // later.
             mApplier.commitTo(Math.min(m.commitIndex(), m.prevIndex()));
             reply(from, m, true, m.prevIndex());
             return;
@@ -35,28 +36,32 @@
     }
 
     /**
-     * A replica whose disk or snapshot lags would take what the others accept until its heap is
-     * full. It turns entries away only while a sync or a snapshot is under way that makes room; a
-     * log that is full of entries not yet committed has to take those that commit them.
+     * Returns whether the replica accepts these entries. A replica whose disk or snapshot is slow
+     * could otherwise fill its heap with entries that the other replicas accept. It rejects entries
+     * only while a pending sync or snapshot is going to free space. A log that is full of
+     * uncommitted entries has to accept further ones, since those commit the earlier ones.
      */
     private boolean hasRoomFor(List<LogEntry> entries) {
         long bytes = LogEntry.totalBytes(entries);
         if (bytes == 0) {
             return true;
         }
-        boolean diskLags =
+        boolean isDiskFull =
                 mState.diskWrites().unsyncedBytes() > 0 && !mState.hasDiskQueueRoom(bytes);
-        boolean snapshotLags =
+        boolean isLogFull =
                 mApplier.isSnapshotPending()
                         && mState.log().bytes() + bytes > mState.config().logLimits().maxLogBytes();
-        return !diskLags && !snapshotLags;
+        return !isDiskFull && !isLogFull;
     }
 
     private void reply(ReplicaId from, AppendRequest m, boolean success, long index) {
         mState.sendAfterSync(from, new AppendReply(mState.term(), success, index, m.round()));
     }
 
-    /** What lies before the entries held was committed, so it is the leader's too. */
+    /**
+     * Returns whether the log contains the entry that precedes the request's entries. Entries
+     * before the base index are committed, so the leader's log contains them too.
+     */
     private boolean matchesLog(AppendRequest m) {
         ReplicatedLog log = mState.log();
         if (m.prevIndex() > log.lastIndex()) {
@@ -65,18 +70,21 @@
         return m.prevIndex() < log.baseIndex() || log.termAt(m.prevIndex()) == m.prevTerm();
     }
 
-    /** Skips a whole term that conflicts, instead of one entry for each exchange. */
+    /**
+     * Returns the last index at which the leader should try again. The result skips all uncommitted
+     * entries of the conflicting term; otherwise the leader would need one round trip per entry.
+     */
     private long conflictHint(AppendRequest m) {
         ReplicatedLog log = mState.log();
         if (m.prevIndex() > log.lastIndex()) {
             return log.lastIndex();
         }
-        long conflicting = log.termAt(m.prevIndex());
-        long i = m.prevIndex();
-        while (i > mApplier.commitIndex() && log.termAt(i) == conflicting) {
-            i--;
+        long conflictingTerm = log.termAt(m.prevIndex());
+        long index = m.prevIndex();
+        while (index > mApplier.commitIndex() && log.termAt(index) == conflictingTerm) {
+            index--;
         }
-        return i;
+        return index;
     }
 
     private void appendMissing(List<LogEntry> entries) {
@@ -92,7 +100,8 @@
         long first = missing.get(0).index();
         if (first <= mApplier.commitIndex()) {
             throw new LaurelweirException(
-                    ResultCode.LOG_CORRUPT, "the leader's log differs at committed entry " + first);
+                    ResultCode.LOG_CORRUPT,
+                    "the leader's log conflicts with this log at committed entry " + first);
         }
         if (first <= log.lastIndex()) {
             log.truncateFrom(first);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Applier.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Applier.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongConsumer;
 
-/** Hands committed entries to the state machine, in order, and asks for snapshots. */
+/** Applies committed entries to the state machine in order and requests snapshots. */
 final class Applier {
     private final ReplicaState mState;
     private final LongConsumer mAppliedListener;
@@ -16,34 +16,36 @@
     /**
      * Creates an applier.
      *
-     * @param appliedListener told of each index just after its entry was applied
+     * @param appliedListener receives each index just after its entry is applied
      */
     Applier(ReplicaState state, LongConsumer appliedListener) {
         mState = state;
         mAppliedListener = appliedListener;
     }
 
-    /** Returns the last entry known committed, and applied. */
+    /** Returns the index of the last entry that is committed and applied. */
     long commitIndex() {
         return mCommitIndex;
     }
 
     /**
-     * Starts after the snapshot that the shell has loaded, and applies what is known committed.
+     * Starts from the snapshot that the shell has loaded and applies the entries known to be
+     * committed.
      *
-     * @param committed an index told by {@link ConsensusEffect.MarkCommitted}, or 0
+     * @param commitIndex the index recorded by {@link ConsensusEffect.MarkCommitted}, or 0
      */
-    void recover(long committed) {
+    void recover(long commitIndex) {
         mCommitIndex = mState.log().snapshot().index();
         mBytesSinceSnapshot = 0;
-        mMarkedIndex = committed;
-        commitTo(committed);
+        mMarkedIndex = commitIndex;
+        commitTo(commitIndex);
     }
 
     /**
-     * Tells how far entries are committed and on this disk, if that has grown. One that is
-     * committed by others but not synced here could be missing after a loss of power, and another
-     * one could stand in its place for a moment.
+     * Emits {@link ConsensusEffect.MarkCommitted} if the index up to which entries are committed
+     * and synced on this disk has risen. An entry that others have committed but that is not synced
+     * here could be missing after a power loss, and a different entry could temporarily stand at
+     * its index.
      */
     void markCommitted() {
         long index = Math.min(mCommitIndex, mState.diskWrites().durableIndex());
@@ -53,7 +55,9 @@
         }
     }
 
-    /** Goes on after a snapshot that the shell is told to load in place of its state. */
+    /**
+     * Tells the shell to replace the state with a snapshot and continues from the snapshot's index.
+     */
     void install(Snapshot snapshot) {
         mCommitIndex = snapshot.index();
         mBytesSinceSnapshot = 0;
@@ -61,7 +65,9 @@
         mState.emit(new ConsensusEffect.InstallSnapshot(snapshot));
     }
 
-    /** Applies up to an index, as far as the log goes. */
+    /**
+     * Commits and applies the entries up to an index, or up to the end of the log if that is lower.
+     */
     void commitTo(long index) {
         ReplicatedLog log = mState.log();
         long end = Math.min(index, log.lastIndex());
@@ -92,7 +98,10 @@
                         >= config.logLimits().snapshotThresholdBytes(last.state().length);
     }
 
-    /** Returns whether a snapshot is on its way, after which the log is shorter. */
+    /**
+     * Returns whether a snapshot is requested but not yet synced. Once it is synced, the log is
+     * shorter.
+     */
     boolean isSnapshotPending() {
         return mIsSnapshotPending;
     }
@@ -109,7 +118,8 @@
         mState.compact(snapshot);
         mBytesSinceSnapshot = log.bytesBetween(index, mCommitIndex);
         mState.diskWrites().write(snapshot, false);
-        // On a disk that hangs, one snapshot after the other would wait in memory.
+        // Allows the next snapshot only after this one is synced. Otherwise snapshots would pile up
+        // in memory while a disk hangs.
         mState.diskWrites().afterSync(() -> mIsSnapshotPending = false);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
@@ -3,20 +3,23 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of the replicated log.
+ * Timeouts and limits of the replicated log.
  *
- * @param electionTimeout a follower that hears no leader for this time, up to twice, campaigns; a
- *     leader that hears no quorum for this time steps down
- * @param heartbeatInterval how often a leader shows that it is alive
- * @param maxBatchBytes about the size of one append message, if more than one entry is in it
- * @param maxInFlightAppends unanswered append messages to one follower
- * @param logLimits what the log takes in bytes
- * @param snapshotIntervalEntries entries applied between two snapshots, where the bytes ask for
- *     none before
- * @param snapshotTailEntries entries kept in memory before a snapshot, for followers slightly
- *     behind
- * @param snapshotChunkBytes the size of one piece of a snapshot
- * @param maxLearnerLagEntries entries by which a learner may lag and still become a voter
+ * @param electionTimeout a follower without contact to a leader starts a campaign after a random
+ *     time between this value and twice this value; a leader without contact to a quorum for this
+ *     time steps down
+ * @param heartbeatInterval interval between two heartbeats of a leader
+ * @param maxBatchBytes approximate size limit of an append message; a single larger entry is sent
+ *     alone
+ * @param maxInFlightAppends maximum number of unanswered append messages to one follower
+ * @param logLimits limits of the log in bytes
+ * @param snapshotIntervalEntries number of applied entries after which the next snapshot is due,
+ *     unless the limits in bytes require one earlier
+ * @param snapshotTailEntries maximum number of entries kept in memory that the snapshot already
+ *     covers, for followers that lag slightly
+ * @param snapshotChunkBytes size of one chunk of a snapshot
+ * @param maxLearnerLagEntries number of entries by which a learner may lag and still be promoted to
+ *     voter
  */
 public record ConsensusConfig(
         Duration electionTimeout,
@@ -29,12 +32,15 @@
         int snapshotChunkBytes,
         int maxLearnerLagEntries) {
 
-    /** Returns a builder with the defaults for regions some tens of milliseconds apart. */
+    /**
+     * Returns a builder whose defaults suit regions with a latency of some tens of milliseconds
+     * between them.
+     */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** Builds an {@link ConsensusConfig}. */
+    /** Builds a {@link ConsensusConfig}. */
     public static final class Builder {
         private Duration mElectionTimeout = Duration.ofMillis(1000);
         private Duration mHeartbeatInterval = Duration.ofMillis(150);
@@ -46,48 +52,60 @@
         private int mSnapshotChunkBytes = 256 << 10;
         private int mMaxLearnerLagEntries = 100;
 
-        /** Sets the time without contact after which a leader is given up. */
+        /**
+         * Sets the time without contact after which a follower campaigns and a leader steps down.
+         */
         public Builder electionTimeout(Duration timeout) {
             mElectionTimeout = timeout;
             return this;
         }
 
-        /** Sets how often a leader shows that it is alive. */
+        /** Sets the interval between two heartbeats of a leader. */
         public Builder heartbeatInterval(Duration interval) {
             mHeartbeatInterval = interval;
             return this;
         }
 
-        /** Sets the size of append messages and how many to one follower may be unanswered. */
-        public Builder appendFlow(int maxBatchBytes, int maxInFlight) {
+        /**
+         * Sets the size limit of append messages in bytes and the maximum number of unanswered ones
+         * to one follower.
+         */
+        public Builder appendFlow(int maxBatchBytes, int maxInFlightAppends) {
             mMaxBatchBytes = maxBatchBytes;
-            mMaxInFlightAppends = maxInFlight;
+            mMaxInFlightAppends = maxInFlightAppends;
             return this;
         }
 
-        /** Sets what the log takes in bytes, in place of the shares of this program's heap. */
-        public Builder logLimits(LogLimits bounds) {
-            mLogLimits = bounds;
+        /**
+         * Sets the limits of the log in bytes. The default derives them from the heap of this
+         * process.
+         */
+        public Builder logLimits(LogLimits limits) {
+            mLogLimits = limits;
             return this;
         }
 
         /**
-         * Sets how many entries lie between snapshots, how many stay before one, and its pieces.
+         * Sets when snapshots are taken and how they are sent.
+         *
+         * @param intervalEntries number of applied entries between two snapshots
+         * @param tailEntries maximum number of entries kept that the snapshot already covers
+         * @param chunkBytes size of one chunk of a snapshot
          */
-        public Builder snapshots(int every, int tail, int chunkBytes) {
-            mSnapshotIntervalEntries = every;
-            mSnapshotTailEntries = tail;
+        public Builder snapshots(int intervalEntries, int tailEntries, int chunkBytes) {
+            mSnapshotIntervalEntries = intervalEntries;
+            mSnapshotTailEntries = tailEntries;
             mSnapshotChunkBytes = chunkBytes;
             return this;
         }
 
-        /** Sets by how many entries a learner may lag and still become a voter. */
+        /** Sets the number of entries by which a learner may lag and still be promoted to voter. */
         public Builder maxLearnerLagEntries(int entries) {
             mMaxLearnerLagEntries = entries;
             return this;
         }
 
-        /** Returns the configuration. */
+        /** Returns the configuration with the values set so far. */
         public ConsensusConfig build() {
             return new ConsensusConfig(
                     mElectionTimeout,
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusEffect.java
@@ -3,22 +3,26 @@
 import java.util.List;
 import org.laurelweir.lib.ResultCode;
 
-/** What the shell of a replica has to do, in order. */
+/**
+ * An action that {@link ConsensusReducer} requests from the shell, the code that does the replica's
+ * I/O. The shell carries out the effects of a step in the order in which they are emitted.
+ */
 public sealed interface ConsensusEffect {
-    /** Send a message. It may be lost. */
+    /** Sends a message to another replica. The message may be lost. */
     record Send(ReplicaId to, ReplicaMessage message) implements ConsensusEffect {}
 
     /**
-     * Write to disk and sync, in the order of sequences, then answer {@link
-     * ConsensusEvent.Persisted}. Several may be covered by one sync and one answer.
+     * Writes to disk and syncs, in the order of the sequence numbers. The shell then reports {@link
+     * ConsensusEvent.Persisted}. One sync and one report may cover several writes.
      *
-     * @param sequence rises by one, from 1, since the start of this process
+     * @param sequence sequence number of the write; starts at 1 with the process and rises by one
      * @param hardState the new term and vote, or null if unchanged
-     * @param snapshot a snapshot to keep in place of the previous one, or null; the log up to its
-     *     index is not needed any more
-     * @param discardLog whether the whole log on disk is void, since the snapshot came from a
-     *     leader and the log does not continue it
-     * @param entries consecutive; the first replaces whatever the log holds at its index and after
+     * @param snapshot a snapshot that replaces the previous one, or null; log entries up to its
+     *     index may be deleted
+     * @param discardLog whether to delete the whole log on disk: the snapshot came from a leader
+     *     and conflicts with the log
+     * @param entries consecutive entries; the first replaces the log's entry at its index and all
+     *     later entries
      */
     record Persist(
             long sequence,
@@ -29,54 +33,73 @@
             implements ConsensusEffect {}
 
     /**
-     * Keep in mind, without a sync, that all entries up to an index are committed and on this disk.
-     * A replica that starts again applies them at once. Without it the state machine stays as of
-     * the last snapshot until there is a leader that has committed an entry of its own, and readers
-     * get nothing for that long. May be lost; an index never told must not be kept.
+     * Records, without a sync, that all entries up to an index are committed and synced on this
+     * disk. After a restart the replica applies these entries at once. Without the record its state
+     * machine stays at the last snapshot, and readers get no newer state, until a leader has
+     * committed an entry of its own term. The record may be lost, but the shell must never record
+     * an index that was not emitted.
      */
     record MarkCommitted(long index) implements ConsensusEffect {}
 
-    /** Apply a committed command to the state machine. Indexes rise, with gaps. */
+    /**
+     * Applies a committed command to the state machine. Indexes rise, with gaps: not every entry is
+     * a command.
+     */
     record Apply(long index, long term, byte[] command) implements ConsensusEffect {}
 
-    /** A proposal was committed; for a command, its Apply came just before. */
+    /**
+     * Reports that a proposal is committed. For a command, its {@link Apply} is emitted just
+     * before.
+     */
     record ProposalAccepted(long proposalId, long index) implements ConsensusEffect {}
 
     /**
-     * A proposal ended without being committed under this leader.
+     * Reports that this replica did not commit a proposal.
      *
      * @param code {@link ResultCode#OUTCOME_UNKNOWN} if it may still be committed; with any other
-     *     code it never will be
-     * @param leader whom to ask instead, or null
+     *     code it is never committed
+     * @param leader the leader to ask instead, or null if unknown
      */
     record ProposalRejected(long proposalId, ResultCode code, ReplicaId leader)
             implements ConsensusEffect {}
 
     /**
-     * The state as applied now is at least as new as any read or write ended before the request.
+     * Reports that a read may be served. The applied state includes every write, and every state
+     * returned by a read, that was acknowledged before the read was requested.
      */
     record ReadReady(long readId, long index) implements ConsensusEffect {}
 
-    /** A read can't be served here; ask the leader, or again later if it is null. */
+    /**
+     * Reports that this replica can't serve a read. The caller asks the leader, or retries later if
+     * the leader is null.
+     */
     record ReadRejected(long readId, ResultCode code, ReplicaId leader)
             implements ConsensusEffect {}
 
-    /** Encode the state as applied now and answer {@link ConsensusEvent.SnapshotTaken}. */
+    /**
+     * Encodes the state machine's current state and reports {@link ConsensusEvent.SnapshotTaken}.
+     */
     record TakeSnapshot(long index) implements ConsensusEffect {}
 
-    /** Replace the state machine's state by the snapshot's. */
+    /** Replaces the state machine's state with the snapshot's. */
     record InstallSnapshot(Snapshot snapshot) implements ConsensusEffect {}
 
     /**
-     * The replica's role, term or known leader changed.
+     * Reports that the replica's role, term or known leader changed.
      *
      * @param leader the leader of the term, or null while unknown
      */
     record RoleChanged(Role role, long term, ReplicaId leader) implements ConsensusEffect {}
 
-    /** The replica does not lead any more, or there is nobody to hand over to. */
+    /**
+     * Reports that a requested leadership transfer has ended: this replica does not lead, no
+     * successor is in contact, or the transfer timed out.
+     */
     record LeadershipTransferEnded() implements ConsensusEffect {}
 
-    /** The newest membership in this replica's log changed; connect accordingly. */
+    /**
+     * Reports that the newest membership in this replica's log changed. The shell updates its
+     * connections.
+     */
     record MembershipChanged(Membership membership) implements ConsensusEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
@@ -24,8 +24,8 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * One replica of the log. The first event is {@link ConsensusEvent.Recovered}. After an exception
- * the reducer must not be used again: the replica has to be restarted from its disk.
+ * One replica of the Raft log. The first event is {@link ConsensusEvent.Recovered}. After an
+ * exception the reducer must not be used again: the replica has to restart from its disk.
  */
 public final class ConsensusReducer implements Reducer<ConsensusEvent, ConsensusEffect> {
     private final ReplicaState mState;
@@ -38,9 +38,9 @@
     /**
      * Creates a replica.
      *
-     * @param self this replica, with the storage id of its disk
-     * @param config times and bounds, the same on all replicas
-     * @param seed for election timeouts; must differ between replicas
+     * @param self the id of this replica, with the storage id of its disk
+     * @param config timeouts and limits, the same on all replicas
+     * @param seed seed for random election timeouts; must differ between replicas
      */
     public ConsensusReducer(ReplicaId self, ConsensusConfig config, long seed) {
         mState = new ReplicaState(self, config);
@@ -58,12 +58,12 @@
         return mState.term();
     }
 
-    /** Returns the leader of the present term, or null while unknown. */
+    /** Returns the leader of the current term, or null while unknown. */
     public ReplicaId leader() {
         return mState.leader();
     }
 
-    /** Returns the newest membership in this replica's log, committed or not. */
+    /** Returns the newest membership in this replica's log, which may be uncommitted. */
     public Membership membership() {
         return mState.log().membership();
     }
@@ -72,17 +72,19 @@
         return mState.log();
     }
 
-    /** Returns the bytes of the entries in memory. */
+    /** Returns the size in bytes of the log entries in memory. */
     public long logBytes() {
         return mState.log().bytes();
     }
 
-    /** Returns the bytes of the last snapshot's state. */
+    /** Returns the size in bytes of the last snapshot's state. */
     public long snapshotBytes() {
         return mState.log().snapshot().state().length;
     }
 
-    /** Returns the last entry known committed here; all up to it have been applied. */
+    /**
+     * Returns the index of the last entry known to be committed. All entries up to it are applied.
+     */
     public long commitIndex() {
         return mApplier.commitIndex();
     }
@@ -100,15 +102,15 @@
         mState.endStep();
     }
 
-    /** Opens or closes a term of leading when the role has changed. */
+    /** Starts or ends the {@link Leadership} when the role has changed. */
     private void updateLeadership() {
-        boolean leads = mState.role() == Role.LEADER;
-        if (mLeadership != null && !leads) {
+        boolean isLeader = mState.role() == Role.LEADER;
+        if (mLeadership != null && !isLeader) {
             mLeadership.end();
             mLeadership = null;
             mElections.restartTimer();
         }
-        if (mLeadership == null && leads) {
+        if (mLeadership == null && isLeader) {
             mLeadership = new Leadership(mState, mApplier);
             mLeadership.begin();
         }
@@ -217,7 +219,10 @@
         }
     }
 
-    /** Handles the messages whose sender has reached their term. */
+    /**
+     * Handles the messages whose term is the sender's current term. Pre-votes and vote requests are
+     * not among them: their term may not have started yet.
+     */
     private void onTermMessage(ReplicaId from, ReplicaMessage message) {
         if (message.term() > mState.term()) {
             mState.adoptTerm(message.term());
@@ -240,7 +245,7 @@
         }
     }
 
-    /** Tells a leader of an earlier term that it has been replaced; ignores late replies. */
+    /** Tells the leader of an earlier term that a newer term exists. Late replies are ignored. */
     private void rejectOldTerm(ReplicaId from, ReplicaMessage message) {
         if (message instanceof AppendRequest || message instanceof SnapshotChunk) {
             mState.sendAfterSync(from, new AppendReply(mState.term(), false, 0, 0));
@@ -251,7 +256,7 @@
         if (mState.role() == Role.LEADER) {
             throw new LaurelweirException(
                     ResultCode.LOG_CORRUPT,
-                    "term " + mState.term() + " has a second leader " + from);
+                    "term " + mState.term() + " has two leaders: this replica and " + from);
         }
         mElections.onLeaderContact(from);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/DiskWriteQueue.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/DiskWriteQueue.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Collects what must reach the disk and holds back what may only happen once it is there. While
- * writes are outstanding the next ones gather, so that one sync serves many proposals.
+ * Batches disk writes and defers actions until the writes they depend on are synced. While earlier
+ * batches are being synced, further writes are queued, so that one sync serves many proposals.
  */
 final class DiskWriteQueue {
-    /** One write being synced and one waiting behind it keep the disk busy. */
+    /** One batch that is being synced and one that waits behind it keep the disk busy. */
     private static final int MAX_UNSYNCED_BATCHES = 2;
 
     private final ArrayDeque<Batch> mUnsyncedBatches = new ArrayDeque<>();
@@ -24,7 +24,7 @@
     private long mQueuedBytes;
     private long mUnsyncedBatchBytes;
 
-    /** Starts from what a disk held. */
+    /** Sets the last index that is already on disk at the start. */
     void reset(long lastIndex) {
         mDurableIndex = lastIndex;
     }
@@ -33,7 +33,7 @@
         mQueuedHardState = hardState;
     }
 
-    /** Writes entries in place of those at and after the first one's index. */
+    /** Queues entries. They replace all entries at and after the index of the first one. */
     void write(List<LogEntry> entries) {
         long first = entries.get(0).index();
         invalidateFrom(first);
@@ -45,7 +45,7 @@
         mQueuedBytes += LogEntry.totalBytes(entries);
     }
 
-    /** Writes a snapshot; with discardLog, all entries written before are void. */
+    /** Queues a snapshot. With discardLog, all entries written before are discarded. */
     void write(Snapshot snapshot, boolean discardLog) {
         mQueuedSnapshot = snapshot;
         if (discardLog) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /** Runs an action once everything written so far has been synced; at once if it has been. */
+    /** Runs an action once all writes so far are synced, or at once if they already are. */
     void afterSync(Runnable action) {
         if (!hasQueuedWrites() && mUnsyncedBatches.isEmpty()) {
             action.run();
@@ -66,7 +66,7 @@
                 new DeferredAction(hasQueuedWrites() ? mLastSequence + 1 : mLastSequence, action));
     }
 
-    /** Issues a write of what has gathered, unless enough are outstanding. */
+    /** Issues the queued writes as one batch, unless the maximum number of batches is unsynced. */
     void flush(Consumer<? super ConsensusEffect> effects) {
         if (!hasQueuedWrites() || mUnsyncedBatches.size() >= MAX_UNSYNCED_BATCHES) {
             return;
@@ -88,7 +88,10 @@
         mQueuedBytes = 0;
     }
 
-    /** Takes note of a sync and runs what waited for it. */
+    /**
+     * Handles the sync of all batches up to a sequence number and runs the actions that waited for
+     * them.
+     */
     void onSynced(long sequence) {
         while (!mUnsyncedBatches.isEmpty() && mUnsyncedBatches.peek().mSequence <= sequence) {
             Batch synced = mUnsyncedBatches.poll();
@@ -100,12 +103,12 @@
         }
     }
 
-    /** Returns the last entry up to which the present log is on disk. */
+    /** Returns the index up to which the current log is synced to disk. */
     long durableIndex() {
         return mDurableIndex;
     }
 
-    /** Returns the bytes of the entries that have not been reported as synced. */
+    /** Returns the size in bytes of all entries that are queued or not yet reported as synced. */
     long unsyncedBytes() {
         return mQueuedBytes + mUnsyncedBatchBytes;
     }
@@ -121,7 +124,10 @@
         return mQueuedSnapshot == null ? 0 : mQueuedSnapshot.index();
     }
 
-    /** An entry that was replaced must not count as synced because its predecessor was. */
+    /**
+     * Lowers the durable index below a replaced entry. The sync of the old entry must not count for
+     * the new entry at the same index.
+     */
     private void invalidateFrom(long index) {
         mDurableIndex = Math.min(mDurableIndex, index - 1);
         for (Batch b : mUnsyncedBatches) {
@@ -129,7 +135,7 @@
         }
     }
 
-    /** A write whose sync has not been reported. */
+    /** A batch that is issued but not yet reported as synced. */
     private static final class Batch {
         private final long mSequence;
         private final long mBytes;
@@ -142,7 +148,7 @@
         }
     }
 
-    /** Something that waits for a sync. */
+    /** An action that waits for the sync of a batch. */
     private static final class DeferredAction {
         private final long mSequence;
         private final Runnable mAction;
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Elections.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Elections.java
@@ -10,12 +10,12 @@
 import org.laurelweir.consensus.ReplicaMessage.VoteReply;
 import org.laurelweir.consensus.ReplicaMessage.VoteRequest;
 
-/** Decides when to campaign and whom to vote for. */
+/** Runs elections: decides when this replica campaigns and which votes it grants. */
 final class Elections {
     /**
-     * The first timeout after a start, as a part of the usual one. A replica that asks although
-     * there is a leader is refused and harms nobody, so that nothing is won by waiting for a sign
-     * of one.
+     * Divides the usual election timeout to get the first one after a start. The timeout may be
+     * short: if a leader exists, the other voters reject the pre-vote, and the leader is not
+     * disturbed.
      */
     private static final int STARTUP_TIMEOUT_DIVISOR = 6;
 
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Sets the timer of a replica that has just started. Where all of them were stopped at once
-     * there is no leader to wait for, and nobody serves until one is elected; where there is one,
-     * the others refuse the pre-vote of a replica that asks too early, and it hears the leader
-     * next.
+     * Sets the election timer of a replica that has just started. If all replicas were stopped at
+     * once, there is no leader to wait for, and no request is served until one is elected. If there
+     * is a leader, the other voters reject an early pre-vote, and this replica then receives the
+     * leader's heartbeat.
      */
     void startStartupTimer() {
         long base = mState.config().electionTimeout().toNanos() / STARTUP_TIMEOUT_DIVISOR;
@@ -42,14 +42,18 @@
     }
 
     /**
-     * Starts waiting for a leader anew, for a random time so that replicas seldom campaign at once.
+     * Restarts the election timer with a random timeout, so that replicas seldom campaign at the
+     * same time.
      */
     void restartTimer() {
         long base = mState.config().electionTimeout().toNanos();
         mElectionDeadline = mState.now().plus(Duration.ofNanos(base + mRandom.nextLong(base)));
     }
 
-    /** Takes note of a sign of life from the leader of this term. */
+    /**
+     * Handles a message from the leader of the current term: restarts the timer and follows the
+     * leader.
+     */
     void onLeaderContact(ReplicaId leader) {
         mLastLeaderContact = mState.now();
         restartTimer();
@@ -69,8 +73,9 @@
     }
 
     /**
-     * Asks first whether a vote would be granted. A replica that was cut off would otherwise raise
-     * its term again and again, and depose a healthy leader on its return.
+     * Requests pre-votes: asks the other voters whether they would grant a vote, without raising
+     * the term. Otherwise a partitioned replica would raise its term again and again, and depose a
+     * healthy leader once it is reconnected.
      */
     private void requestPreVotes() {
         mState.become(Role.PRE_CANDIDATE, null);
@@ -80,37 +85,37 @@
         countVote(mState.self());
     }
 
-    /** Campaigns without waiting, since the leader has asked for it. */
+    /** Campaigns at once, because the leader transfers its leadership to this replica. */
     void onTimeoutNow() {
         if (mState.isVoter()) {
             campaign(true);
         }
     }
 
-    private void campaign(boolean handedOver) {
+    private void campaign(boolean leadershipTransfer) {
         mState.setHardState(new HardState(mState.term() + 1, mState.self()));
         mState.become(Role.CANDIDATE, null);
         mVotes.clear();
         restartTimer();
         long term = mState.term();
-        // A candidate that forgot its own vote in a crash could give it to another of the same
-        // term.
-        mState.diskWrites().afterSync(() -> requestVotes(term, handedOver));
+        // The candidate's vote for itself has to be synced first. If a crash lost it, the replica
+        // could vote for another candidate in the same term.
+        mState.diskWrites().afterSync(() -> requestVotes(term, leadershipTransfer));
     }
 
-    private void requestVotes(long term, boolean handedOver) {
+    private void requestVotes(long term, boolean leadershipTransfer) {
         if (mState.term() != term || mState.role() != Role.CANDIDATE) {
             return;
         }
         ReplicatedLog log = mState.log();
-        sendToVoters(new VoteRequest(term, log.lastIndex(), log.lastTerm(), handedOver));
+        sendToVoters(new VoteRequest(term, log.lastIndex(), log.lastTerm(), leadershipTransfer));
         countVote(mState.self());
     }
 
     private void sendToVoters(ReplicaMessage message) {
-        for (ReplicaId v : mState.log().membership().voters()) {
-            if (!v.equals(mState.self())) {
-                mState.send(v, message);
+        for (ReplicaId voter : mState.log().membership().voters()) {
+            if (!voter.equals(mState.self())) {
+                mState.send(voter, message);
             }
         }
     }
@@ -143,18 +148,19 @@
     }
 
     /**
-     * Lets another replica's campaign go first. Replicas that start at the same moment all ask for
-     * pre-votes before they hear of each other, and all get them; each would then vote for itself,
-     * none would have a majority, and nobody would serve for one more timeout. Of two that ask, the
-     * one with the higher name yields, which leaves one of them; a replica that has not asked yet
-     * waits. If nothing comes of that campaign, the timer starts the next one.
+     * Yields to the campaign of another replica. Replicas that start at the same moment all request
+     * pre-votes before they receive each other's requests, and all get them. Each would then vote
+     * for itself, none would get a majority, and no request would be served for one more election
+     * timeout. Of two pre-candidates, the one with the higher id yields, so that one remains. A
+     * replica that has not requested pre-votes yet restarts its timer. If the other campaign fails,
+     * the timer starts the next one.
      */
     private void yieldTo(ReplicaId other) {
-        boolean asks = mState.role() == Role.PRE_CANDIDATE;
-        if (asks && mState.self().compareTo(other) < 0) {
+        boolean isPreCandidate = mState.role() == Role.PRE_CANDIDATE;
+        if (isPreCandidate && mState.self().compareTo(other) < 0) {
             return;
         }
-        if (asks) {
+        if (isPreCandidate) {
             mState.become(Role.FOLLOWER, null);
         }
         restartTimer();
@@ -173,7 +179,8 @@
     }
 
     void onVoteRequest(ReplicaId from, VoteRequest m) {
-        // A removed replica that never heard of its removal would else depose leader after leader.
+        // Ignores the request while a leader is in contact. Otherwise a removed replica that does
+        // not know of its removal would depose one leader after the other.
         if (isLeaderAlive() && !m.leadershipTransfer()) {
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/FollowerProgress.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/FollowerProgress.java
@@ -3,19 +3,22 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 
-/** What a leader knows of one other replica and has on the way to it. */
+/**
+ * A leader's view of one other replica: how far the logs match and which messages to it are
+ * unanswered.
+ */
 final class FollowerProgress {
-    /** How entries are sent. */
+    /** How the leader sends its log to the replica. */
     enum Mode {
-        /** One message at a time, until the logs' common end is found. */
+        /** One append at a time, until the last matching entry is found. */
         PROBE,
-        /** Several messages ahead of their replies. */
+        /** Several appends before the first reply. */
         REPLICATE,
-        /** Pieces of a snapshot, one at a time. */
+        /** Chunks of a snapshot, one at a time. */
         SNAPSHOT
     }
 
-    /** An append message without an answer. */
+    /** An append message without a reply. */
     private record InFlightAppend(long lastIndex, long bytes) {}
 
     private final ArrayDeque<InFlightAppend> mInFlight = new ArrayDeque<>();
@@ -46,17 +49,17 @@
         return mNextIndex;
     }
 
-    /** Returns when the last reply came. */
+    /** Returns the time of the last reply. */
     Instant lastContact() {
         return mLastContact;
     }
 
-    /** Returns the last contact round that was answered. */
+    /** Returns the highest contact round that the replica has answered. */
     long answeredRound() {
         return mAnsweredRound;
     }
 
-    void lastContact(Instant now, long round) {
+    void onReply(Instant now, long round) {
         mLastContact = now;
         mAnsweredRound = Math.max(mAnsweredRound, round);
     }
@@ -64,8 +67,8 @@
     /**
      * Returns whether entries may be sent now.
      *
-     * @param maxInFlight most messages without an answer
-     * @param maxBytes bytes without an answer after which no other message is sent
+     * @param maxInFlight maximum number of unanswered append messages
+     * @param maxBytes size of unanswered entries, in bytes, at which no further message is sent
      */
     boolean canSend(int maxInFlight, int maxBytes) {
         if (mMode == Mode.PROBE) {
@@ -76,7 +79,7 @@
                 && mInFlightBytes < maxBytes;
     }
 
-    /** Takes note of entries sent, up to an index, and of their bytes. */
+    /** Records that entries up to an index were sent, and their size in bytes. */
     void onSent(long lastIndex, long bytes) {
         if (mMode == Mode.PROBE) {
             mProbeSent = true;
@@ -87,7 +90,7 @@
         mNextIndex = lastIndex + 1;
     }
 
-    /** Lets a probe be sent again, since it or its reply may be lost. */
+    /** Allows the next probe, because the last one or its reply may be lost. */
     void allowProbe() {
         mProbeSent = false;
     }
@@ -105,14 +108,17 @@
     }
 
     /**
-     * Goes back after a mismatch, though never before what is known to match: a follower that skips
-     * a whole term may name an index before it, and so may a late reply.
+     * Handles a rejected append: probes at an earlier index, but never before the known matching
+     * prefix. A follower that skips a whole conflicting term may give a hint below the match index,
+     * and so may a late reply.
+     *
+     * @param conflictHint the last index at which the follower asks the leader to try again
      */
-    void onMismatch(long lastToTry) {
+    void onMismatch(long conflictHint) {
         if (mMode == Mode.SNAPSHOT) {
             return;
         }
-        probeFrom(Math.max(mMatchIndex + 1, Math.min(mNextIndex, lastToTry + 1)));
+        probeFrom(Math.max(mMatchIndex + 1, Math.min(mNextIndex, conflictHint + 1)));
     }
 
     private void clearInFlight() {
@@ -143,9 +149,9 @@
     }
 
     /**
-     * Takes note of a snapshot reply.
+     * Handles a reply to a snapshot chunk.
      *
-     * @return whether the next piece is due now
+     * @return whether to send the next chunk now
      */
     boolean onSnapshotReply(ReplicaMessage.SnapshotReply reply) {
         if (mMode != Mode.SNAPSHOT || reply.index() != mSnapshot.index()) {
@@ -157,8 +163,9 @@
             probeFrom(mMatchIndex + 1);
             return false;
         }
-        // A smaller offset comes from a repeated reply or a restarted follower; the heartbeat's
-        // repetition serves the latter, and the former must not double what is on the way.
+        // A lower or equal offset comes from a duplicate reply or a restarted follower. A duplicate
+        // must not cause a second chunk in flight; for a restarted follower, the next heartbeat
+        // sends the chunk again.
         boolean advanced = reply.nextOffset() > mSnapshotOffset;
         mSnapshotOffset = reply.nextOffset();
         return advanced;
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
@@ -6,7 +6,10 @@
 import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
-/** One term of leading: orders proposals, counts copies, and ends when a quorum is out of reach. */
+/**
+ * The leader's side of one term: appends proposals to the log, commits what a quorum holds, and
+ * steps down without contact to a quorum.
+ */
 final class Leadership {
     private static final byte[] EMPTY = new byte[0];
 
@@ -30,12 +33,15 @@
         mNextHeartbeat = state.now();
     }
 
-    /** Opens the term with an entry of its own, since entries of earlier terms can't be counted. */
+    /**
+     * Starts the term with an entry of its own. The leader can't commit entries of earlier terms by
+     * counting their copies.
+     */
     void begin() {
         append(LogEntry.Kind.NO_OP, EMPTY);
     }
 
-    /** Closes the term; what is pending gets its answer. */
+    /** Ends the term and rejects all pending proposals and reads. */
     void end() {
         mPendingProposals.rejectAll();
         mPendingReads.rejectAll();
@@ -67,7 +73,10 @@
         mPendingProposals.add(proposalId, append(LogEntry.Kind.COMMAND, command));
     }
 
-    /** Turns a proposal away while another is to lead; it is in no log. */
+    /**
+     * Rejects a proposal during a leadership transfer, before it is in any log. Returns whether a
+     * transfer is in progress.
+     */
     private boolean rejectDuringTransfer(long proposalId) {
         if (mTransfer.isInProgress()) {
             mState.emit(new ProposalRejected(proposalId, ResultCode.NOT_LEADER, null));
@@ -97,6 +106,7 @@
         mState.emit(new ProposalRejected(proposalId, code, mState.self()));
     }
 
+    /** Returns whether the newest membership and an entry of the current term are committed. */
     private boolean isMembershipCommitted() {
         return hasCommittedInTerm() && mState.log().membershipIndex() <= mApplier.commitIndex();
     }
@@ -111,7 +121,8 @@
 
     void onTick() {
         if (!isQuorumInContact()) {
-            // A leader cut off from its quorum can't commit; its callers should look for another.
+            // A leader without contact to a quorum can't commit. After it steps down, its callers
+            // look for another leader.
             mState.become(Role.FOLLOWER, null);
             return;
         }
@@ -132,9 +143,9 @@
         if (id.equals(mState.self())) {
             return true;
         }
-        FollowerProgress p = mReplication.progress(id);
-        Instant limit = mState.now().minus(mState.config().electionTimeout());
-        return p != null && p.lastContact().isAfter(limit);
+        FollowerProgress progress = mReplication.progress(id);
+        Instant earliest = mState.now().minus(mState.config().electionTimeout());
+        return progress != null && progress.lastContact().isAfter(earliest);
     }
 
     void onAppendReply(ReplicaId from, ReplicaMessage.AppendReply m) {
@@ -145,7 +156,10 @@
         mReplication.onSnapshotReply(from, m);
     }
 
-    /** Does what the event of this step has made possible: commits, answers reads, sends. */
+    /**
+     * Makes the progress that the event of this step allows: commits entries, answers reads, sends
+     * entries, continues a leadership transfer.
+     */
     void advance() {
         commit();
         mPendingReads.advance(hasCommittedInTerm());
@@ -155,9 +169,9 @@
     }
 
     /**
-     * Commits what a quorum holds. An entry of an earlier term may be on a quorum and still be
-     * replaced by a later leader whose log ends in a higher term; only an entry of this term rules
-     * that out, and commits all before it.
+     * Commits the entries that a quorum holds. A later leader whose log ends in a higher term may
+     * still replace an entry of an earlier term, even if a quorum holds that entry. So only an
+     * entry of the current term is committed by counting; it commits all entries before it.
      */
     private void commit() {
         long index = quorumIndex();
@@ -168,9 +182,9 @@
 
     private long quorumIndex() {
         Membership membership = mState.log().membership();
-        long[] held =
+        long[] durableIndexes =
                 membership.voters().stream().mapToLong(this::durableIndexOf).sorted().toArray();
-        return held[held.length - membership.quorum()];
+        return durableIndexes[durableIndexes.length - membership.quorum()];
     }
 
     private long durableIndexOf(ReplicaId voter) {
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LeadershipTransfer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LeadershipTransfer.java
@@ -7,9 +7,9 @@
 import org.laurelweir.consensus.ReplicaMessage.TimeoutNow;
 
 /**
- * Passes a leader's place on before it stops: it takes nothing new, commits what is pending, and
- * asks the voter with the newest log to campaign at once. The others would else wait for an
- * election timeout first.
+ * Transfers leadership before a leader stops. The leader rejects new proposals, commits the pending
+ * ones, and asks the voter with the most up-to-date log to campaign at once. Without a transfer the
+ * other voters would first wait for an election timeout.
  */
 final class LeadershipTransfer {
     private final ReplicaState mState;
@@ -18,10 +18,11 @@
     private Instant mDeadline;
     private boolean mIsRequestSent;
 
-    LeadershipTransfer(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
+    LeadershipTransfer(
+            ReplicaState state, Replication replication, Predicate<ReplicaId> isInContact) {
         mState = state;
         mReplication = replication;
-        mIsInContact = isHeard;
+        mIsInContact = isInContact;
     }
 
     void begin() {
@@ -33,7 +34,10 @@
         return mDeadline != null;
     }
 
-    /** Tells that it is over, if it was under way: another leads, or it took too long. */
+    /**
+     * Ends a transfer in progress and reports it: this replica stops leading, there is no
+     * successor, or the transfer timed out.
+     */
     void end() {
         if (isInProgress()) {
             mDeadline = null;
@@ -41,7 +45,10 @@
         }
     }
 
-    /** Lets a request be repeated that may be lost, or gives up and goes on leading. */
+    /**
+     * Allows the request to the successor to be sent again, as it may be lost. After the deadline,
+     * ends the transfer and keeps leading.
+     */
     void onHeartbeat() {
         mIsRequestSent = false;
         if (isInProgress() && !mState.now().isBefore(mDeadline)) {
@@ -50,22 +57,22 @@
     }
 
     /**
-     * Asks the successor once all is committed: a proposal that is still pending when the successor
-     * wins could get no better answer than that its outcome is unknown.
+     * Asks the successor to campaign once all entries are committed. A proposal that is still
+     * pending when the successor wins could only be answered with OUTCOME_UNKNOWN.
      *
-     * @param commitIndex the last entry committed
+     * @param commitIndex the index of the last committed entry
      */
     void advance(long commitIndex) {
-        long last = mState.log().lastIndex();
-        if (!isInProgress() || mIsRequestSent || commitIndex < last) {
+        long lastIndex = mState.log().lastIndex();
+        if (!isInProgress() || mIsRequestSent || commitIndex < lastIndex) {
             return;
         }
-        Optional<ReplicaId> next = successor();
-        if (next.isEmpty()) {
+        Optional<ReplicaId> successor = successor();
+        if (successor.isEmpty()) {
             end();
-        } else if (matchIndex(next.get()) == last) {
+        } else if (matchIndex(successor.get()) == lastIndex) {
             mIsRequestSent = true;
-            mState.send(next.get(), new TimeoutNow(mState.term()));
+            mState.send(successor.get(), new TimeoutNow(mState.term()));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LogEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LogEntry.java
@@ -5,30 +5,33 @@
 /**
  * One entry of the replicated log.
  *
- * @param index its position, from 1
+ * @param index its position in the log, starting at 1
  * @param term the term of the leader that created it
- * @param kind what the payload holds
- * @param payload the command, an encoded {@link Membership}, or empty; never changed once made
+ * @param kind the type of the payload
+ * @param payload the command, an encoded {@link Membership}, or empty; must not be modified
  */
 public record LogEntry(long index, long term, Kind kind, byte[] payload) {
-    /** What an entry takes in a message besides its payload, about. */
+    /** Approximate size of an encoded entry without its payload. */
     private static final int OVERHEAD_BYTES = 24;
 
-    /** Returns what entries take in a message, about. */
+    /** Returns the approximate encoded size of entries in bytes. */
     static long totalBytes(List<LogEntry> entries) {
         return entries.stream().mapToLong(LogEntry::bytes).sum();
     }
 
-    /** Returns what the entry takes in a message, about. */
+    /** Returns the approximate encoded size in bytes. */
     public int bytes() {
         return OVERHEAD_BYTES + payload.length;
     }
 
-    /** What an entry is for. Numbers are stable, files and messages hold them. */
+    /**
+     * The kind of an entry. The numbers are stored in files and sent in messages and must not
+     * change.
+     */
     public enum Kind {
         /** A command of the state machine. */
         COMMAND(1),
-        /** Opens a leader's term, so that entries of earlier terms can be committed. */
+        /** Starts a leader's term, so that entries of earlier terms can be committed. */
         NO_OP(2),
         /** Replaces the set of voters and learners. */
         MEMBERSHIP(3);
@@ -55,7 +58,7 @@
                     return k;
                 }
             }
-            throw new IllegalArgumentException("no entry kind " + number);
+            throw new IllegalArgumentException("unknown log entry kind: " + number);
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/LogLimits.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/LogLimits.java
@@ -1,22 +1,24 @@
 package org.laurelweir.consensus;
 
 /**
- * How many bytes a replica gives to its log. A replica that bounds its log by the number of entries
- * alone takes memory in proportion to their size: whole settings trees fill the heap, the process
- * ends, and ends again at each start while it reads them back. All figures are shares of the heap,
- * so that they hold together whatever its size; the state itself, what is decoded at the moment and
- * a snapshot on its way take the rest. Replicas of one log need heaps of one size.
+ * Limits of a replica's log in bytes. A limit on the number of entries alone does not bound memory:
+ * entries that hold whole settings trees would fill the heap, the process would crash, and it would
+ * crash again at each restart while it reads them back. All limits are shares of the heap, so that
+ * they are consistent for any heap size. The rest of the heap is for the state machine's state, for
+ * commands that are being decoded and for a snapshot in transfer. All replicas of one log need the
+ * same heap size.
  *
- * @param maxCommandBytes the largest command, in bytes of its encoding; a larger one is refused
- * @param maxUncommittedBytes bytes of proposals of one leader that are not committed, and of
- *     entries that are not synced; what would pass it is refused, and taken later where it comes
- *     from the leader
- * @param maxLogBytes bytes of all entries in memory; no more proposals are taken beyond
- * @param snapshotIntervalBytes bytes of entries applied since the last snapshot after which the
+ * @param maxCommandBytes the maximum size of an encoded command; a larger command is rejected
+ * @param maxUncommittedBytes the maximum size of a leader's uncommitted proposals, and of a
+ *     replica's unsynced entries. Beyond it a proposal is rejected; a follower rejects entries, and
+ *     the leader sends them again later
+ * @param maxLogBytes the size of all entries in memory beyond which proposals are rejected
+ * @param snapshotIntervalBytes the size of entries applied since the last snapshot at which the
  *     next one is due
- * @param snapshotTailBytes bytes of entries kept before a snapshot, for followers slightly behind
- * @param maxInFlightBytes bytes of unanswered append messages to one follower after which no other
- *     is sent
+ * @param snapshotTailBytes the maximum size of entries kept that the snapshot already covers, for
+ *     followers that lag slightly
+ * @param maxInFlightBytes the size of unanswered append messages to one follower at which no
+ *     further one is sent
  */
 public record LogLimits(
         int maxCommandBytes,
@@ -26,37 +28,48 @@
         int snapshotTailBytes,
         int maxInFlightBytes) {
     /**
-     * A larger heap gets no larger log: its largest command would not fit into a message between
-     * replicas, which may have 32 MB, and could never be replicated.
+     * Heap size above which the limits stop growing. The largest command of a larger heap would not
+     * fit into a message between replicas, which is limited to 32 MB, and could never be
+     * replicated.
      */
     private static final long MAX_HEAP_BYTES = 512L << 20;
 
-    /** A start applies as many bytes before it can serve; a larger heap gets no fewer snapshots. */
+    /**
+     * A restarted replica applies up to this many bytes before it can serve. So a larger heap does
+     * not lengthen the snapshot interval.
+     */
     private static final int MAX_SNAPSHOT_INTERVAL_BYTES = 2 << 20;
 
     /**
-     * A tree is decoded beside the one in force, and several operators may send theirs at once;
-     * decoded, a tree takes several times the bytes of its command.
+     * Bytes of heap for each byte of the largest command. A settings tree is decoded while the
+     * current one is still in memory, several operators may send trees at once, and a decoded tree
+     * takes several times the size of its command.
      */
     private static final int HEAP_PER_COMMAND_BYTE = 32;
 
     /**
-     * Returns the bounds for a heap.
+     * Returns the limits for a heap size.
      *
-     * @param heapBytes the largest size of the heap; 64 MB give commands of 2 MB, a log of 12 MB
-     *     and a snapshot after each 2 MB
+     * @param heapBytes the maximum heap size; 64 MB result in commands of up to 2 MB, a log of 12
+     *     MB and a snapshot after every 2 MB
      */
     public static LogLimits ofHeap(long heapBytes) {
-        int command = (int) (Math.min(heapBytes, MAX_HEAP_BYTES) / HEAP_PER_COMMAND_BYTE);
-        int snapshot = Math.min(command, MAX_SNAPSHOT_INTERVAL_BYTES);
+        int maxCommandBytes = (int) (Math.min(heapBytes, MAX_HEAP_BYTES) / HEAP_PER_COMMAND_BYTE);
+        int snapshotIntervalBytes = Math.min(maxCommandBytes, MAX_SNAPSHOT_INTERVAL_BYTES);
         return new LogLimits(
-                command, 2 * command, 6 * command, snapshot, snapshot / 2, command / 2);
+                maxCommandBytes,
+                2 * maxCommandBytes,
+                6 * maxCommandBytes,
+                snapshotIntervalBytes,
+                snapshotIntervalBytes / 2,
+                maxCommandBytes / 2);
     }
 
     /**
-     * Returns after how many bytes of entries the next snapshot is due. Not before as many bytes as
-     * the last one had, since writing snapshots would take more than writing the log; and always
-     * before the log is full, since only a snapshot makes room in it.
+     * Returns the size of applied entries at which the next snapshot is due. It is at least the
+     * size of the last snapshot; otherwise more bytes would be written for snapshots than for the
+     * log. But it is at most half of the maximum log size, because only a snapshot frees space in
+     * the log.
      *
      * @param lastSnapshotBytes the size of the last snapshot's state
      */
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Membership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Membership.java
@@ -12,16 +12,17 @@
 import java.util.TreeSet;
 
 /**
- * The replicas that hold the log.
+ * The replicas of the log: voters and learners.
  *
- * @param voters those whose votes and copies count towards a quorum; sorted, unmodifiable
- * @param learners those that receive the log and do not count; sorted, unmodifiable
+ * @param voters the replicas whose votes and copies count towards a quorum; sorted, unmodifiable
+ * @param learners the replicas that receive the log but don't count towards a quorum; sorted,
+ *     unmodifiable
  */
 public record Membership(SortedSet<ReplicaId> voters, SortedSet<ReplicaId> learners) {
-    /** No replica: what a new disk knows. */
+    /** The membership without any replica, which a new disk holds. */
     public static final Membership EMPTY = new Membership(new TreeSet<>(), new TreeSet<>());
 
-    /** Copies both sets. */
+    /** Creates a membership from copies of both sets. */
     public Membership {
         voters = Collections.unmodifiableSortedSet(new TreeSet<>(voters));
         learners = Collections.unmodifiableSortedSet(new TreeSet<>(learners));
@@ -32,7 +33,7 @@
         return new Membership(new TreeSet<>(voters), new TreeSet<>());
     }
 
-    /** Returns how many voters make a majority. */
+    /** Returns the number of voters that form a majority. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
@@ -54,31 +55,31 @@
         return all;
     }
 
-    /** Returns this membership with a learner more. */
+    /** Returns this membership with an additional learner. */
     public Membership withLearner(ReplicaId id) {
-        TreeSet<ReplicaId> l = new TreeSet<>(learners);
-        l.add(id);
-        return new Membership(voters, l);
+        TreeSet<ReplicaId> newLearners = new TreeSet<>(learners);
+        newLearners.add(id);
+        return new Membership(voters, newLearners);
     }
 
-    /** Returns this membership with a learner made a voter. */
+    /** Returns this membership with a learner promoted to voter. */
     public Membership withVoter(ReplicaId id) {
         Membership without = without(id);
-        TreeSet<ReplicaId> v = new TreeSet<>(without.voters);
-        v.add(id);
-        return new Membership(v, without.learners);
+        TreeSet<ReplicaId> newVoters = new TreeSet<>(without.voters);
+        newVoters.add(id);
+        return new Membership(newVoters, without.learners);
     }
 
     /** Returns this membership without a replica. */
     public Membership without(ReplicaId id) {
-        TreeSet<ReplicaId> v = new TreeSet<>(voters);
-        TreeSet<ReplicaId> l = new TreeSet<>(learners);
-        v.remove(id);
-        l.remove(id);
-        return new Membership(v, l);
+        TreeSet<ReplicaId> newVoters = new TreeSet<>(voters);
+        TreeSet<ReplicaId> newLearners = new TreeSet<>(learners);
+        newVoters.remove(id);
+        newLearners.remove(id);
+        return new Membership(newVoters, newLearners);
     }
 
-    /** Returns the encoding that entries, files and messages hold. */
+    /** Returns the encoded form that is stored in entries and files and sent in messages. */
     public byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -91,15 +92,15 @@
     }
 
     /**
-     * Reads an encoding made by {@link #encode()}.
+     * Decodes the result of {@link #encode()}.
      *
-     * @throws IllegalArgumentException if it is none
+     * @throws IllegalArgumentException if the bytes are not an encoded membership
      */
     public static Membership decode(byte[] bytes) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return new Membership(readIds(in), readIds(in));
         } catch (IOException e) {
-            throw new IllegalArgumentException("not a membership", e);
+            throw new IllegalArgumentException("not an encoded membership", e);
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipChange.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipChange.java
@@ -1,16 +1,16 @@
 package org.laurelweir.consensus;
 
-/** One step from a membership to the next. Only one may be uncommitted at a time. */
+/** A change of the membership by one replica. Only one change may be uncommitted at a time. */
 public sealed interface MembershipChange {
-    /** Returns the replica that the change is about. */
+    /** Returns the replica that is added, promoted or removed. */
     ReplicaId replica();
 
-    /** Lets a replica receive the log without counting. */
+    /** Adds a replica that receives the log but doesn't count towards a quorum. */
     record AddLearner(ReplicaId replica) implements MembershipChange {}
 
-    /** Makes a learner that has caught up a voter. */
+    /** Promotes a learner that has caught up to voter. */
     record Promote(ReplicaId replica) implements MembershipChange {}
 
-    /** Takes a voter or learner out. */
+    /** Removes a voter or learner. */
     record Remove(ReplicaId replica) implements MembershipChange {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipHistory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipHistory.java
@@ -4,13 +4,13 @@
 import java.util.TreeMap;
 
 /**
- * The memberships that the log holds, by index. A membership is in force from the moment its entry
- * is in the log, committed or not, so a truncated log goes back to the one before.
+ * The memberships in the log, by index. A membership is effective as soon as its entry is in the
+ * log, whether committed or not. Truncating the log restores the previous one.
  */
 final class MembershipHistory {
     private final TreeMap<Long, Membership> mByIndex = new TreeMap<>();
 
-    /** Forgets everything and starts from a snapshot's membership. */
+    /** Replaces the history with a snapshot's membership. */
     void reset(long index, Membership membership) {
         mByIndex.clear();
         mByIndex.put(index, membership);
@@ -24,11 +24,11 @@
         mByIndex.tailMap(index, true).clear();
     }
 
-    /** Forgets what was replaced before an index. */
+    /** Removes the memberships that were replaced before an index. */
     void compact(long index) {
-        Long inForce = mByIndex.floorKey(index);
-        if (inForce != null) {
-            mByIndex.headMap(inForce, false).clear();
+        Long effectiveIndex = mByIndex.floorKey(index);
+        if (effectiveIndex != null) {
+            mByIndex.headMap(effectiveIndex, false).clear();
         }
     }
 
@@ -40,9 +40,9 @@
         return mByIndex.lastKey();
     }
 
-    /** Returns the membership in force once the entry at an index was appended. */
+    /** Returns the membership that is effective after the entry at an index. */
     Membership at(long index) {
-        Map.Entry<Long, Membership> inForce = mByIndex.floorEntry(index);
-        return inForce == null ? Membership.EMPTY : inForce.getValue();
+        Map.Entry<Long, Membership> effective = mByIndex.floorEntry(index);
+        return effective == null ? Membership.EMPTY : effective.getValue();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipRules.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/MembershipRules.java
@@ -5,9 +5,12 @@
 import org.laurelweir.consensus.MembershipChange.Promote;
 import org.laurelweir.lib.ResultCode;
 
-/** Decides whether a leader may change the membership now. */
+/** Decides whether a leader may change the membership. */
 final class MembershipRules {
-    /** More voters make each commit wait for more syncs and add no failure worth surviving. */
+    /**
+     * Seven voters tolerate the loss of three. More voters would make each commit wait for more
+     * syncs, for a tolerance that is not needed.
+     */
     private static final int MAX_VOTERS = 7;
 
     private final ReplicaState mState;
@@ -17,42 +20,45 @@
     /**
      * Creates the rules.
      *
-     * @param isHeard whether a replica was in contact within the election timeout
+     * @param isInContact returns whether a replica has replied within the election timeout
      */
-    MembershipRules(ReplicaState state, Replication replication, Predicate<ReplicaId> isHeard) {
+    MembershipRules(ReplicaState state, Replication replication, Predicate<ReplicaId> isInContact) {
         mState = state;
         mReplication = replication;
-        mIsInContact = isHeard;
+        mIsInContact = isInContact;
     }
 
-    /** Returns the membership after a change, equal to the present one if it has been made. */
+    /**
+     * Returns the membership after a change. It equals the current one if the change is already
+     * made.
+     */
     Membership resultOf(MembershipChange change) {
-        Membership now = mState.log().membership();
+        Membership current = mState.log().membership();
         ReplicaId id = change.replica();
         if (change instanceof AddLearner) {
-            return now.contains(id) ? now : now.withLearner(id);
+            return current.contains(id) ? current : current.withLearner(id);
         }
         if (change instanceof Promote) {
-            return now.learners().contains(id) ? now.withVoter(id) : now;
+            return current.learners().contains(id) ? current.withVoter(id) : current;
         }
-        return now.without(id);
+        return current.without(id);
     }
 
     /**
-     * Judges a change.
+     * Checks whether a change may be proposed.
      *
-     * @param settled whether the newest membership and an entry of this term are committed. Without
-     *     the first two changes could be open at once, without the second a change of a leader
-     *     replaced meanwhile could; either way two quorums need not share a voter, and both could
-     *     commit
-     * @return OK, or why not
+     * @param committed whether the newest membership and an entry of the current term are
+     *     committed. Without the former, two changes could be uncommitted at once; without the
+     *     latter, a change by a previous leader could still be uncommitted. In both cases two
+     *     quorums might share no voter, and both could commit
+     * @return OK, or the reason to reject the change
      */
-    ResultCode check(MembershipChange change, Membership next, boolean settled) {
-        if (!settled) {
+    ResultCode check(MembershipChange change, Membership next, boolean committed) {
+        if (!committed) {
             return ResultCode.MEMBERSHIP_CHANGE_PENDING;
         }
-        boolean unknown = change instanceof Promote && !next.isVoter(change.replica());
-        if (unknown || next.voters().isEmpty() || next.voters().size() > MAX_VOTERS) {
+        boolean isUnknownLearner = change instanceof Promote && !next.isVoter(change.replica());
+        if (isUnknownLearner || next.voters().isEmpty() || next.voters().size() > MAX_VOTERS) {
             return ResultCode.SETTINGS_INVALID;
         }
         if (next.equals(mState.log().membership())) {
@@ -61,13 +67,14 @@
         if (change instanceof Promote && !hasCaughtUp(change.replica())) {
             return ResultCode.MEMBERSHIP_CHANGE_PENDING;
         }
-        long heard = next.voters().stream().filter(mIsInContact).count();
-        return heard >= next.quorum() ? ResultCode.OK : ResultCode.NO_QUORUM;
+        long inContact = next.voters().stream().filter(mIsInContact).count();
+        return inContact >= next.quorum() ? ResultCode.OK : ResultCode.NO_QUORUM;
     }
 
     /**
-     * A voter without the log counts for the quorum's size and can't help to reach it: until it had
-     * caught up, the loss of one more replica would stop all commits.
+     * Returns whether a learner's log is close to the leader's. A voter without the log enlarges
+     * the quorum but can't help to reach it: until it has caught up, the loss of one more replica
+     * would stop all commits.
      */
     private boolean hasCaughtUp(ReplicaId learner) {
         FollowerProgress p = mReplication.progress(learner);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingProposals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingProposals.java
@@ -5,7 +5,7 @@
 import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
-/** The proposals of one term of leading that are not yet committed. */
+/** The proposals of a leader's term that are not yet committed. */
 final class PendingProposals {
     private final ReplicaState mState;
     private final ArrayDeque<Pending> mPending = new ArrayDeque<>();
@@ -15,11 +15,14 @@
         mState = state;
     }
 
-    /** Returns whether a command of this size has room, here, in the log and before the disk. */
+    /**
+     * Returns whether a command of this size fits into the limits for uncommitted proposals, for
+     * the log and for unsynced entries.
+     */
     boolean hasRoom(int bytes) {
-        LogLimits bounds = mState.config().logLimits();
-        return mPendingBytes + bytes <= bounds.maxUncommittedBytes()
-                && mState.log().bytes() + bytes <= bounds.maxLogBytes()
+        LogLimits limits = mState.config().logLimits();
+        return mPendingBytes + bytes <= limits.maxUncommittedBytes()
+                && mState.log().bytes() + bytes <= limits.maxLogBytes()
                 && mState.hasDiskQueueRoom(bytes);
     }
 
@@ -36,7 +39,10 @@
         }
     }
 
-    /** Ends what is pending: the next leader may hold it or not. */
+    /**
+     * Rejects all pending proposals with OUTCOME_UNKNOWN, because the next leader's log may contain
+     * them.
+     */
     void rejectAll() {
         for (Pending p : mPending) {
             mState.emit(new ProposalRejected(p.mId, ResultCode.OUTCOME_UNKNOWN, mState.leader()));
@@ -44,7 +50,7 @@
         mPending.clear();
     }
 
-    /** A proposal in the log. */
+    /** An uncommitted proposal whose entry is in the log. */
     private static final class Pending {
         private final long mId;
         private final long mIndex;
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingReads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingReads.java
@@ -7,10 +7,11 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Serves reads by read index: a read is ready once a quorum has answered a contact round begun
- * after it. A leader that was replaced without knowing it gets no such answer, so it can't show a
- * state older than what its successor has accepted; no clock has to be trusted for that. Reads that
- * come during a round share the next one.
+ * Serves linearizable reads by read index. A read is ready once a quorum has answered a contact
+ * round that was started after the read was requested. A leader that was replaced without knowing
+ * it gets no quorum of answers, so it can't serve a state older than what its successor has
+ * accepted. This does not depend on clocks. Reads that are requested during a round share the next
+ * one.
  */
 final class PendingReads {
     private final ReplicaState mState;
@@ -31,10 +32,10 @@
     }
 
     /**
-     * Ends the round under way if a quorum has answered it, and begins the next.
+     * Completes the current round if a quorum has answered it, and starts the next one.
      *
-     * @param termCommitted whether an entry of this term is committed; before that a leader does
-     *     not know all that its predecessors have committed
+     * @param termCommitted whether an entry of the current term is committed; before that, a leader
+     *     does not know all entries that its predecessors have committed
      */
     void advance(boolean termCommitted) {
         if (!mInRound.isEmpty() && isRoundAnswered()) {
@@ -65,7 +66,7 @@
         return p != null && p.answeredRound() >= mRound;
     }
 
-    /** Ends what is pending. */
+    /** Rejects all pending reads. */
     void rejectAll() {
         mInRound.addAll(mWaiting);
         mWaiting.clear();
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaId.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaId.java
@@ -3,36 +3,37 @@
 import java.util.function.LongSupplier;
 
 /**
- * Names one replica together with its disk. A disk that was lost and replaced gets a new storage
- * id: the replica has forgotten its votes and entries, and under its old id a quorum that counted
- * them could be formed twice.
+ * Identifies a replica together with its disk. A replaced disk gets a new storage id. The replica
+ * has lost its votes and entries. Under its old id it would still count for them and could vote
+ * again, so that two conflicting quorums could form.
  *
- * @param name the control instance's name from its settings
- * @param storageId drawn at random when the data folder is created and kept in it; negative for an
- *     instance without a disk, which draws another one at each start
+ * @param name the name of the control instance
+ * @param storageId a random number that is created and stored with the data folder; negative for an
+ *     instance without a disk, which creates a new one at each start
  */
 public record ReplicaId(String name, long storageId) implements Comparable<ReplicaId> {
-    /** Returns the storage id of a new disk. */
+    /** Returns a random storage id for a new disk. */
     public static long durableStorageId(LongSupplier random) {
         return random.getAsLong() & Long.MAX_VALUE;
     }
 
-    /** Returns the storage id of one start of an instance without a disk. */
+    /** Returns a random storage id for an instance without a disk, valid until its process ends. */
     public static long volatileStorageId(LongSupplier random) {
         return random.getAsLong() | Long.MIN_VALUE;
     }
 
     /**
-     * Returns whether the replica remembers its votes and entries after a restart. One that does
-     * not may learn, but must not vote: its vote would count towards a quorum that forgets.
+     * Returns whether the replica keeps its votes and entries across a restart. A replica that
+     * doesn't keep them may only be a learner: if it voted, a restart could take a counted vote
+     * away from a quorum.
      */
     public boolean isDurable() {
         return storageId >= 0;
     }
 
-    // Written out, as the order is: a record's own ones and a combined comparator are made by the
-    // virtual machine at their first use, which is on a starting control instance's way to its
-    // first election.
+    // equals, hashCode and compareTo are written by hand. The JVM would generate a record's default
+    // methods and a combined comparator at their first use, which would delay the first election of
+    // a starting control instance.
     @Override
     public boolean equals(Object other) {
         return other instanceof ReplicaId r && storageId == r.storageId && name.equals(r.name);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaMessage.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaMessage.java
@@ -3,27 +3,30 @@
 import java.util.List;
 
 /**
- * What replicas send each other. Messages may be lost, repeated and reordered. The shell delivers a
- * message only to the replica id it was sent to, storage id included.
+ * A message between replicas. Messages may be lost, duplicated and reordered. The shell delivers a
+ * message only to the replica id that it was sent to, including the storage id.
  */
 public sealed interface ReplicaMessage {
-    /** Returns the sender's term; for a pre-vote and its granted reply, the term asked about. */
+    /**
+     * Returns the sender's term; for a pre-vote request and a granted pre-vote reply, the term that
+     * the candidate would start.
+     */
     long term();
 
     /**
-     * Asks whether a vote would be granted.
+     * Asks whether the receiver would grant a vote.
      *
      * @param term the term that the sender would start
-     * @param lastIndex the sender's last entry
+     * @param lastIndex the index of the sender's last entry
      * @param lastTerm that entry's term
      */
     record PreVoteRequest(long term, long lastIndex, long lastTerm) implements ReplicaMessage {}
 
     /**
-     * Answers a pre-vote.
+     * Replies to a pre-vote request.
      *
-     * @param term the term asked about if granted, else the replier's own
-     * @param granted whether a vote would be granted
+     * @param term the requested term if granted, else the sender's own term
+     * @param granted whether the sender would grant a vote
      */
     record PreVoteReply(long term, boolean granted) implements ReplicaMessage {}
 
@@ -31,29 +34,29 @@
      * Asks for a vote.
      *
      * @param term the sender's new term
-     * @param lastIndex the sender's last entry
+     * @param lastIndex the index of the sender's last entry
      * @param lastTerm that entry's term
-     * @param handedOver whether the leader asked the sender to take over, so that voters need not
-     *     wait until they have heard no leader for long
+     * @param leadershipTransfer whether the leader transfers its leadership to the sender; if so,
+     *     voters may grant the vote although they are in contact with the leader
      */
     record VoteRequest(long term, long lastIndex, long lastTerm, boolean leadershipTransfer)
             implements ReplicaMessage {}
 
-    /** The leader leaves and asks the receiver to campaign at once. */
+    /** The leader transfers its leadership and asks the receiver to campaign at once. */
     record TimeoutNow(long term) implements ReplicaMessage {}
 
-    /** Answers a vote request; a granted vote has been synced. */
+    /** Replies to a vote request. A granted vote is synced before the reply is sent. */
     record VoteReply(long term, boolean granted) implements ReplicaMessage {}
 
     /**
-     * Appends entries, or shows that the leader is alive when there are none.
+     * Appends entries. Without entries it is a heartbeat.
      *
      * @param term the leader's term
-     * @param prevIndex the entry before the first sent
+     * @param prevIndex the index of the entry before the first one in the message
      * @param prevTerm that entry's term
-     * @param entries consecutive, from prevIndex + 1
+     * @param entries consecutive entries, starting at prevIndex + 1
      * @param commitIndex the leader's commit index
-     * @param round the leader's count of contact rounds, echoed by the reply
+     * @param round the leader's current contact round, echoed by the reply
      */
     record AppendRequest(
             long term,
@@ -65,28 +68,28 @@
             implements ReplicaMessage {}
 
     /**
-     * Answers an append.
+     * Replies to an append request.
      *
-     * @param term the replier's term
-     * @param success whether prevIndex and prevTerm matched
-     * @param matchIndex if matched, the last entry known equal to the leader's and synced; else the
-     *     last index at which the leader should try again
-     * @param round as in the request
+     * @param term the sender's term
+     * @param success whether the sender's log matches prevIndex and prevTerm
+     * @param matchIndex on success, the index of the last entry that matches the leader's log and
+     *     is synced; else the last index at which the leader should try again
+     * @param round echoed from the request
      */
     record AppendReply(long term, boolean success, long matchIndex, long round)
             implements ReplicaMessage {}
 
     /**
-     * A piece of the leader's snapshot.
+     * Sends a chunk of the leader's snapshot.
      *
      * @param term the leader's term
-     * @param index the last entry contained in the snapshot
+     * @param index the index of the last entry contained in the snapshot
      * @param snapshotTerm that entry's term
-     * @param membership in force at that entry
-     * @param offset of the first byte of data in the snapshot's state
-     * @param totalBytes the length of the whole state
-     * @param data the piece
-     * @param round the leader's count of contact rounds, echoed by the reply
+     * @param membership the membership at that entry
+     * @param offset the position of the chunk in the snapshot's state, in bytes
+     * @param totalBytes the size of the snapshot's state
+     * @param data the chunk
+     * @param round the leader's current contact round, echoed by the reply
      */
     record SnapshotChunk(
             long term,
@@ -100,13 +103,13 @@
             implements ReplicaMessage {}
 
     /**
-     * Answers a snapshot chunk.
+     * Replies to a snapshot chunk.
      *
-     * @param term the replier's term
-     * @param index as in the chunk
-     * @param nextOffset the first byte not yet held
-     * @param installed whether the whole snapshot, or a log beyond it, is held and synced
-     * @param round as in the request
+     * @param term the sender's term
+     * @param index echoed from the chunk
+     * @param nextOffset the position of the first byte that is not received yet
+     * @param installed whether the whole snapshot, or a log beyond it, is stored and synced
+     * @param round echoed from the request
      */
     record SnapshotReply(long term, long index, int nextOffset, boolean installed, long round)
             implements ReplicaMessage {}
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What all concerns of one replica share: its term, vote, role and log, and the way out. */
+/**
+ * The state that all parts of a replica share: its term, vote, role and log, and the receiver of
+ * its effects.
+ */
 final class ReplicaState {
     private final ReplicaId mSelf;
     private final ConsensusConfig mConfig;
@@ -22,13 +25,13 @@
         mConfig = config;
     }
 
-    /** Opens a step. */
+    /** Starts a step with its time and the receiver of its effects. */
     void beginStep(Instant now, Consumer<? super ConsensusEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
-    /** Ends a step: writes what has gathered and tells of a new membership. */
+    /** Ends a step: issues the queued disk writes and reports a changed membership. */
     void endStep() {
         mDiskWrites.flush(mEffects);
         if (!mReportedMembership.equals(mLog.membership())) {
@@ -78,7 +81,7 @@
         return mRole;
     }
 
-    /** Returns the leader of this term, or null while unknown. */
+    /** Returns the leader of the current term, or null while unknown. */
     ReplicaId leader() {
         return mLeader;
     }
@@ -87,7 +90,7 @@
         return mLog.membership().isVoter(mSelf);
     }
 
-    /** Moves to a higher term, as a follower of nobody known. */
+    /** Moves to a higher term as a follower without a known leader. */
     void adoptTerm(long term) {
         setHardState(new HardState(term, null));
         become(Role.FOLLOWER, null);
@@ -107,21 +110,22 @@
         }
     }
 
-    /** Keeps a snapshot of a part of the log, and of the log as much as is set. */
+    /** Stores a snapshot and removes the entries that it covers, except for the configured tail. */
     void compact(Snapshot snapshot) {
         mLog.compact(
                 snapshot, mConfig.snapshotTailEntries(), mConfig.logLimits().snapshotTailBytes());
     }
 
     /**
-     * Returns whether so many bytes may wait for the disk besides those that do. While a disk hangs
-     * the other replicas may go on, and without a bound all that they accept would gather here.
+     * Returns whether this many more bytes may be queued for the disk. While this replica's disk
+     * hangs, the other replicas may continue; without a limit, all entries that they accept would
+     * pile up in memory here.
      */
     boolean hasDiskQueueRoom(long bytes) {
         return mDiskWrites.unsyncedBytes() + bytes <= mConfig.logLimits().maxUncommittedBytes();
     }
 
-    /** Appends entries that continue the log, here and on disk. */
+    /** Appends entries to the end of the log and queues them for the disk. */
     void append(List<LogEntry> entries) {
         entries.forEach(mLog::append);
         mDiskWrites.write(entries);
@@ -136,10 +140,10 @@
     }
 
     /**
-     * Sends a message that promises something about this replica's state once that state is synced.
-     * Without the wait a crash would take back a vote or an entry that others have counted, and an
-     * accepted proposal could be lost. A promise made in an earlier term is dropped: nobody waits
-     * for it any more.
+     * Sends a message that depends on this replica's state, once that state is synced. If it were
+     * sent earlier, a crash could revoke a vote or an entry that other replicas have counted, and
+     * an accepted proposal could be lost. The message is dropped if the term has changed meanwhile,
+     * because no replica waits for it then.
      */
     void sendAfterSync(ReplicaId to, ReplicaMessage message) {
         long term = term();
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicatedLog.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicatedLog.java
@@ -4,11 +4,12 @@
 import java.util.List;
 
 /**
- * The part of the log that is kept in memory, and the snapshot that stands for the rest. Entries
- * reach back some way before the snapshot, so that a follower slightly behind needs no snapshot.
+ * The log entries in memory and the newest snapshot, which replaces the earlier entries. Some
+ * entries that the snapshot covers are kept, so that a follower that lags slightly needs no
+ * snapshot.
  */
 final class ReplicatedLog {
-    /** What {@link #termAt} gives for an index that is not held. */
+    /** The result of {@link #termAt} for an index whose entry is not in memory. */
     static final long UNKNOWN_TERM = -1;
 
     private final ArrayList<LogEntry> mEntries = new ArrayList<>();
@@ -22,7 +23,7 @@
         reset(Snapshot.NONE);
     }
 
-    /** Forgets all entries; the log continues after a snapshot. */
+    /** Removes all entries. The log continues after a snapshot. */
     void reset(Snapshot snapshot) {
         mEntries.clear();
         mBytes = 0;
@@ -33,15 +34,15 @@
     }
 
     /**
-     * Keeps a snapshot of a part of this log, and only some entries before its end.
+     * Stores a snapshot and removes the entries that it covers, except for a tail.
      *
-     * @param tail most entries to keep
-     * @param tailBytes most bytes to keep
+     * @param tailEntries maximum number of covered entries to keep
+     * @param tailBytes maximum size of covered entries to keep
      */
-    void compact(Snapshot snapshot, int tail, int tailBytes) {
+    void compact(Snapshot snapshot, int tailEntries, int tailBytes) {
         mSnapshot = snapshot;
         mMemberships.compact(snapshot.index());
-        long newBase = tailStart(snapshot.index(), tail, tailBytes);
+        long newBase = tailStart(snapshot.index(), tailEntries, tailBytes);
         long newBaseTerm = termAt(newBase);
         mBytes -= bytesBetween(mBaseIndex, newBase);
         mEntries.subList(0, (int) (newBase - mBaseIndex)).clear();
@@ -49,10 +50,10 @@
         mBaseTerm = newBaseTerm;
     }
 
-    private long tailStart(long end, int tail, int tailBytes) {
+    private long tailStart(long end, int tailEntries, int tailBytes) {
         long start = end;
         long bytes = 0;
-        while (start > mBaseIndex && end - start < tail) {
+        while (start > mBaseIndex && end - start < tailEntries) {
             bytes += entry(start).bytes();
             if (bytes > tailBytes) {
                 break;
@@ -62,7 +63,10 @@
         return start;
     }
 
-    /** Returns the bytes of the entries after one index and up to another, all of them held. */
+    /**
+     * Returns the size in bytes of the entries after one index and up to another. All of them have
+     * to be in memory.
+     */
     long bytesBetween(long after, long upTo) {
         long bytes = 0;
         for (long i = after + 1; i <= upTo; i++) {
@@ -71,12 +75,12 @@
         return bytes;
     }
 
-    /** Returns the bytes of all entries held. */
+    /** Returns the size in bytes of all entries in memory. */
     long bytes() {
         return mBytes;
     }
 
-    /** Adds the next entry. */
+    /** Appends the next entry. */
     void append(LogEntry entry) {
         mEntries.add(entry);
         mBytes += entry.bytes();
@@ -85,14 +89,14 @@
         }
     }
 
-    /** Removes an entry and all after it. */
+    /** Removes the entry at an index and all later entries. */
     void truncateFrom(long index) {
         mBytes -= bytesBetween(index - 1, lastIndex());
         mEntries.subList((int) (index - mBaseIndex - 1), mEntries.size()).clear();
         mMemberships.truncateFrom(index);
     }
 
-    /** Returns the last index before the entries held. */
+    /** Returns the last index before the entries in memory. */
     long baseIndex() {
         return mBaseIndex;
     }
@@ -105,7 +109,9 @@
         return termAt(lastIndex());
     }
 
-    /** Returns the term of an entry, or {@link #UNKNOWN_TERM}. */
+    /**
+     * Returns the term of the entry at an index, or {@link #UNKNOWN_TERM} if it is not in memory.
+     */
     long termAt(long index) {
         if (index == mBaseIndex) {
             return mBaseTerm;
@@ -120,7 +126,10 @@
         return mEntries.get((int) (index - mBaseIndex - 1));
     }
 
-    /** Returns entries from an index on: at least one if there is any, else up to a size. */
+    /**
+     * Returns consecutive entries from an index on, up to a size. The first entry is included even
+     * if it is larger.
+     */
     List<LogEntry> slice(long from, int maxBytes) {
         List<LogEntry> slice = new ArrayList<>();
         long bytes = 0;
@@ -135,7 +144,10 @@
         return slice;
     }
 
-    /** Returns whether a log with this end may lead those who hold this one. */
+    /**
+     * Returns whether a log with this last entry is at least as up-to-date as this one, so that its
+     * replica may become leader.
+     */
     boolean isUpToDate(long otherLastIndex, long otherLastTerm) {
         if (otherLastTerm != lastTerm()) {
             return otherLastTerm > lastTerm();
@@ -151,7 +163,7 @@
         return mMemberships.newest();
     }
 
-    /** Returns the index of the entry that brought the newest membership. */
+    /** Returns the index of the entry that holds the newest membership. */
     long membershipIndex() {
         return mMemberships.newestIndex();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Replication.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Replication.java
@@ -10,7 +10,7 @@
 import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
 import org.laurelweir.consensus.ReplicaMessage.SnapshotReply;
 
-/** Sends a leader's log to the other replicas, as fast as each takes it. */
+/** Sends a leader's log to the other replicas, with flow control for each of them. */
 final class Replication {
     private final ReplicaState mState;
     private final Applier mApplier;
@@ -23,7 +23,7 @@
         updateFollowers();
     }
 
-    /** Follows the newest membership. */
+    /** Adds and removes followers according to the newest membership. */
     void updateFollowers() {
         SortedSet<ReplicaId> all = mState.log().membership().all();
         all.remove(mState.self());
@@ -34,17 +34,19 @@
         }
     }
 
-    /** Returns what is known of another replica, or null if it is not a member. */
+    /** Returns the progress of another replica, or null if it is not a member. */
     FollowerProgress progress(ReplicaId id) {
         return mFollowers.get(id);
     }
 
     /**
-     * Opens a contact round; its answers prove that this leader was not replaced before it. Those
-     * who don't answer, or receive a snapshot, get the round with the next heartbeat: rounds follow
-     * each other fast and would repeat to them what is large.
+     * Starts a contact round: sends an empty append with the number of the round to the followers,
+     * whose replies echo the number. A quorum of answers proves that this leader was not replaced
+     * before the round started. Replicas in probe or snapshot mode get the round with the next
+     * heartbeat: rounds follow each other quickly, and each would send them the same large message
+     * again.
      *
-     * @return the round's number
+     * @return the number of the round
      */
     long startRound() {
         mRound++;
@@ -57,7 +59,7 @@
         return mRound;
     }
 
-    /** Sends new entries to each replica that can take some. */
+    /** Sends new entries to each replica whose flow control allows it. */
     void sendEntries() {
         mFollowers.forEach(this::sendEntries);
     }
@@ -81,7 +83,7 @@
         return p.canSend(config.maxInFlightAppends(), config.logLimits().maxInFlightBytes());
     }
 
-    /** Shows every replica that this leader is alive, and repeats what may be lost. */
+    /** Sends a heartbeat to every replica and repeats messages that may be lost. */
     void sendHeartbeats() {
         mFollowers.forEach(this::sendHeartbeat);
     }
@@ -95,8 +97,8 @@
             return;
         }
         p.allowProbe();
-        boolean probes = p.mode() == FollowerProgress.Mode.PROBE;
-        if (probes && p.nextIndex() <= mState.log().lastIndex()) {
+        boolean isProbing = p.mode() == FollowerProgress.Mode.PROBE;
+        if (isProbing && p.nextIndex() <= mState.log().lastIndex()) {
             sendEntries(to, p);
             return;
         }
@@ -108,10 +110,13 @@
     }
 
     private void sendAppend(ReplicaId to, FollowerProgress p, List<LogEntry> entries) {
-        long prev = p.nextIndex() - 1;
-        long prevTerm = mState.log().termAt(prev);
-        long commit = mApplier.commitIndex();
-        mState.send(to, new AppendRequest(mState.term(), prev, prevTerm, entries, commit, mRound));
+        long prevIndex = p.nextIndex() - 1;
+        long prevTerm = mState.log().termAt(prevIndex);
+        long commitIndex = mApplier.commitIndex();
+        mState.send(
+                to,
+                new AppendRequest(
+                        mState.term(), prevIndex, prevTerm, entries, commitIndex, mRound));
     }
 
     private void sendChunk(ReplicaId to, FollowerProgress p) {
@@ -137,7 +142,7 @@
         if (p == null) {
             return;
         }
-        p.lastContact(mState.now(), m.round());
+        p.onReply(mState.now(), m.round());
         if (m.success()) {
             p.onMatch(m.matchIndex());
         } else {
@@ -151,7 +156,7 @@
         if (p == null) {
             return;
         }
-        p.lastContact(mState.now(), m.round());
+        p.onReply(mState.now(), m.round());
         if (p.onSnapshotReply(m)) {
             sendChunk(from, p);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Role.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Role.java
@@ -1,13 +1,13 @@
 package org.laurelweir.consensus;
 
-/** What a replica is doing in its term. */
+/** The role of a replica in its current term. */
 public enum Role {
-    /** Follows a leader, or waits for one; learners and removed replicas too. */
+    /** Follows a leader or waits for one. Learners and removed replicas have this role too. */
     FOLLOWER,
-    /** Asks whether an election could be won, without raising its term. */
+    /** Requests pre-votes without raising its term. */
     PRE_CANDIDATE,
-    /** Asks for votes in a new term. */
+    /** Requests votes in a new term. */
     CANDIDATE,
-    /** Orders proposals and replicates them. */
+    /** Appends proposals to the log and replicates them. */
     LEADER
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Snapshot.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Snapshot.java
@@ -1,15 +1,15 @@
 package org.laurelweir.consensus;
 
 /**
- * The state machine's state after an entry, in place of the log up to there.
+ * The state machine's state after an entry. It replaces the log up to and including that entry.
  *
- * @param index the last entry contained
+ * @param index the index of the last entry contained
  * @param term that entry's term
- * @param membership the membership in force at that entry
- * @param state the state machine's own encoding
+ * @param membership the membership at that entry
+ * @param state the state as encoded by the state machine
  */
 public record Snapshot(long index, long term, Membership membership, byte[] state) {
-    /** Stands for the empty log of a new disk. */
+    /** The snapshot of an empty log, which a new disk holds. */
     public static final Snapshot NONE = new Snapshot(0, 0, Membership.EMPTY, new byte[0]);
 
     @Override
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
@@ -3,7 +3,7 @@
 import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
 import org.laurelweir.consensus.ReplicaMessage.SnapshotReply;
 
-/** Puts a leader's snapshot together from its pieces and continues from it. */
+/** Assembles a leader's snapshot from its chunks and installs it. */
 final class SnapshotReceiver {
     private final ReplicaState mState;
     private final Applier mApplier;
@@ -17,13 +17,14 @@
         mApplier = applier;
     }
 
-    /** Takes a chunk of this term's leader. */
+    /** Handles a chunk from the leader of the current term and replies to it. */
     void onChunk(ReplicaId from, SnapshotChunk m) {
         if (m.index() <= mApplier.commitIndex()) {
             reply(from, m, m.totalBytes(), true);
             return;
         }
-        // Two leaders may encode the same state differently, so pieces of one term only fit.
+        // Leaders may encode the same state differently, so only chunks of the same term are
+        // combined.
         if (m.term() != mLeaderTerm || m.index() != mSnapshotIndex) {
             mLeaderTerm = m.term();
             mSnapshotIndex = m.index();
@@ -34,22 +35,22 @@
             System.arraycopy(m.data(), 0, mData, mReceivedBytes, m.data().length);
             mReceivedBytes += m.data().length;
         }
-        boolean whole = mReceivedBytes == mData.length;
-        if (whole) {
+        boolean isComplete = mReceivedBytes == mData.length;
+        if (isComplete) {
             install(new Snapshot(m.index(), m.snapshotTerm(), m.membership(), mData));
         }
-        reply(from, m, mReceivedBytes, whole);
+        reply(from, m, mReceivedBytes, isComplete);
     }
 
     private void install(Snapshot snapshot) {
         ReplicatedLog log = mState.log();
-        boolean continues = log.termAt(snapshot.index()) == snapshot.term();
-        if (continues) {
+        boolean matchesLog = log.termAt(snapshot.index()) == snapshot.term();
+        if (matchesLog) {
             mState.compact(snapshot);
         } else {
             log.reset(snapshot);
         }
-        mState.diskWrites().write(snapshot, !continues);
+        mState.diskWrites().write(snapshot, !matchesLog);
         mApplier.install(snapshot);
         mLeaderTerm = 0;
         mData = new byte[0];
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusPropertyTest.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.statistics.Statistics;
 
-/** What must hold of the replicated log, whatever happens to messages, processes and disks. */
+/** Randomized tests of the replicated log under failures of messages, processes and disks. */
 class ConsensusPropertyTest {
     private static final int STEPS = 4000;
 
-    // Callers see: an accepted proposal stays, a read shows at least what was answered before it.
-    // Order: messages are lost, repeated and overtake each other; replicas are cut off, stand
-    // still for a while, crash between a write and its sync and come back; syncs are late.
-    // Why: quorums overlap and whatever counts towards one is on disk first.
+    // Guards against lost accepted proposals and stale reads. Messages are lost, duplicated and
+    // reordered; replicas are partitioned, pause, crash between a write and its sync, and restart;
+    // syncs are slow. Safety holds because quorums overlap and everything that counts towards a
+    // quorum is synced first.
     @Property(seed = "1", tries = 250, shrinking = ShrinkingMode.OFF)
     void keepsAcceptedProposals(@ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int faults) {
         ReplicaNetwork network = new ReplicaNetwork(seed, 2 * faults + 1);
@@ -28,11 +28,11 @@
         assertRecovers(network);
     }
 
-    // Callers see: the same, while disks are lost and the membership follows.
-    // Order: a replica loses its disk and returns under a new id, is added as a learner, promoted,
-    // and its old id removed; before, after and meanwhile others crash with their disks.
-    // Why: a new id never answers for the old one, and one change at a time keeps quorums
-    // overlapping.
+    // Guards against the same failures while disks are lost and the membership is repaired. A
+    // replica loses its disk and returns under a new id; it is added as a learner and promoted, and
+    // its old id is removed. Other replicas crash at any time but keep their disks. Safety holds
+    // because a new id never answers for the old one, and because one change at a time keeps
+    // quorums overlapping.
     @Property(seed = "2", tries = 250, shrinking = ShrinkingMode.OFF)
     void keepsAcceptedProposalsAcrossDiskLoss(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 3) int faults) {
@@ -99,12 +99,20 @@
         }
     }
 
-    /** Most runs must get something done and change their leader, or the property shows little. */
-    private static void checkCoverage(String what, boolean is) {
-        Statistics.label(what).collect(is).coverage(c -> c.check(true).percentage(p -> p > 60));
+    /**
+     * Checks that a condition holds in most runs. Runs that accept few proposals or never change
+     * their leader would prove little.
+     */
+    private static void checkCoverage(String condition, boolean holds) {
+        Statistics.label(condition)
+                .collect(holds)
+                .coverage(c -> c.check(true).percentage(p -> p > 60));
     }
 
-    /** Once failures end, all replicas are voters, hold all accepted commands and take new ones. */
+    /**
+     * Checks that, after all failures end, every replica is a voter, has applied all accepted
+     * commands and applies new ones.
+     */
     private static void assertRecovers(ReplicaNetwork network) {
         network.mReplicas.values().stream().filter(r -> !r.isRunning()).forEach(network::start);
         network.healAndRun(Duration.ofSeconds(10));
@@ -114,15 +122,16 @@
                 network.repairMembership(network.leader());
             }
         }
-        assertThat(network.isMembershipRepaired()).as("membership repaired").isTrue();
-        int before = network.mChecker.acceptedCount();
-        checkCoverage("accepted ten", before >= 10);
-        checkCoverage("led thrice", network.mChecker.termsWithLeaderCount() >= 3);
+        assertThat(network.isMembershipRepaired()).as("all replicas are voters").isTrue();
+        int acceptedBefore = network.mChecker.acceptedCount();
+        checkCoverage("at least 10 proposals accepted", acceptedBefore >= 10);
+        checkCoverage(
+                "at least 3 terms with a leader", network.mChecker.termsWithLeaderCount() >= 3);
         network.propose(network.leader(), "last");
         for (int i = 0; i < 100 && !network.isFullyReplicated(); i++) {
             network.healAndRun(Duration.ofMillis(500));
         }
-        assertThat(network.mChecker.acceptedCount()).isEqualTo(before + 1);
+        assertThat(network.mChecker.acceptedCount()).isEqualTo(acceptedBefore + 1);
         network.running().forEach(network.mChecker::assertHoldsAccepted);
         network.assertLogsMatch();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusRulesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ConsensusRulesTest.java
@@ -23,7 +23,9 @@
 import org.laurelweir.consensus.ReplicaMessage.VoteRequest;
 import org.laurelweir.lib.ResultCode;
 
-/** Single rules, in the one order of events that needs each. */
+/**
+ * Tests of single rules of the replicated log, each in the order of events that the rule is for.
+ */
 class ConsensusRulesTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
@@ -39,8 +41,9 @@
         mFollower = mNetwork.running().stream().filter(r -> r != mLeader).findFirst().orElseThrow();
     }
 
-    // Callers see: nothing lost. Order: a replica grants a vote, crashes before the sync, and
-    // grants another one in the same term. Why: the first grant was never sent.
+    // Guards against lost entries through two votes in one term: a replica grants a vote, crashes
+    // before the sync and then grants another vote in the same term. This is harmless only if the
+    // first grant is not sent before the sync.
     @Test
     void sendsVoteOnlyAfterSync() {
         TestReplica voter = new TestReplica(new ReplicaId("v", 1));
@@ -54,16 +57,16 @@
                 .contains(new Send(mLeader.mId, new VoteReply(5, true)));
     }
 
-    // Callers see: a read shows what was accepted before it. Order: the leader stands still,
-    // another is elected and accepts a command, a read reaches the old leader as it wakes up. Why:
-    // it first asks a quorum, which no longer follows it.
+    // Guards against a stale read: the leader pauses, another one is elected and accepts a command,
+    // and a read reaches the old leader as it resumes. The old leader first has to contact a
+    // quorum, which follows the new leader.
     @Test
     void pausedLeaderServesNoStaleRead() {
         mLeader.mIsPaused = true;
         mNetwork.run(SECOND);
-        TestReplica next = mNetwork.leader();
-        assertThat(next).isNotSameAs(mLeader);
-        mNetwork.propose(next, "new");
+        TestReplica newLeader = mNetwork.leader();
+        assertThat(newLeader).isNotSameAs(mLeader);
+        mNetwork.propose(newLeader, "new");
         mNetwork.run(SECOND);
         assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
         mNetwork.read(mLeader);
@@ -72,17 +75,18 @@
         mNetwork.healAndRun(SECOND);
     }
 
-    // Operators see: MEMBERSHIP_CHANGE_PENDING. Order: a second change is asked for before the
-    // first is committed. Why: the quorums of the first and the last of three memberships may not
-    // overlap.
+    // Guards against quorums that do not overlap: an operator requests a second membership change
+    // before the first one is committed, and the quorums of the first and the third membership may
+    // share no voter. The operator gets MEMBERSHIP_CHANGE_PENDING.
     @Test
     void rejectsSecondUncommittedMembershipChange() {
         mNetwork.propose(mLeader, new Remove(mFollower.mId));
         assertChangePending(mLeader, new AddLearner(new ReplicaId("x", 1)));
     }
 
-    // Operators see: MEMBERSHIP_CHANGE_PENDING. Order: a leader is elected and asked for a change
-    // before an entry of its term is committed. Why: its predecessor's change may still be open.
+    // Guards against two uncommitted membership changes: a new leader gets a change before it has
+    // committed an entry of its term, while its predecessor's change may still be uncommitted. The
+    // operator gets MEMBERSHIP_CHANGE_PENDING.
     @Test
     void newLeaderRejectsMembershipChangeBeforeItCommits() {
         mLeader.crash(mNetwork.mRandom);
@@ -92,9 +96,9 @@
         assertChangePending(mNetwork.leader(), new AddLearner(new ReplicaId("x", 1)));
     }
 
-    // Operators see: MEMBERSHIP_CHANGE_PENDING until the learner holds the log, then success.
-    // Order: a replica returns on a new disk, cut off at first. Why: a voter without the log makes
-    // the quorum larger and can't help to reach it.
+    // Guards against a voter without the log, which enlarges the quorum but can't help to reach it:
+    // a replica returns with a new disk and is partitioned at first. The operator gets
+    // MEMBERSHIP_CHANGE_PENDING until the learner has the log, then success.
     @Test
     void promotesLearnerOnlyAfterCatchUp() {
         mFollower.crash(mNetwork.mRandom);
@@ -110,8 +114,9 @@
         assertThat(mNetwork.leader().mReducer.membership().isVoter(learner)).isTrue();
     }
 
-    // Operators see: NO_QUORUM. Order: one of three voters is down, and the other follower is to be
-    // removed. Why: of the two voters left only one would be there, and nothing could be committed.
+    // Guards against a membership that can't commit: one of three voters is down and an operator
+    // removes the other follower. Only one of the two remaining voters would be running. The
+    // operator gets NO_QUORUM.
     @Test
     void rejectsChangeThatLeavesNoQuorumInContact() {
         mFollower.crash(mNetwork.mRandom);
@@ -130,8 +135,8 @@
         assertThat(effects).contains(new ProposalRejected(9, code, leader.mId));
     }
 
-    // Callers see: no pause. Order: a follower is cut off for long and comes back.
-    // Why: it asked in vain whether it could win, and so did not raise its term.
+    // Guards against an interruption when a follower returns from a long partition. Its pre-vote
+    // requests are not granted, so it does not raise its term and does not depose the leader.
     @Test
     void rejoiningReplicaDoesNotDeposeLeader() {
         long term = mLeader.mReducer.term();
@@ -142,28 +147,29 @@
         assertThat(mLeader.mReducer.term()).isEqualTo(term);
     }
 
-    // Callers see: no pause. Order: a removed replica that does not know it asks for votes in a
-    // high term. Why: whoever hears the leader doesn't even look at the term.
+    // Guards against an interruption by a removed replica that does not know of its removal and
+    // requests votes in a high term. A replica in contact with the leader ignores the request and
+    // its term.
     @Test
     void grantsNoVoteWhileLeaderIsInContact() {
         VoteRequest request = new VoteRequest(99, 99, 98, false);
-        PreVoteRequest before = new PreVoteRequest(99, 99, 98);
+        PreVoteRequest preVote = new PreVoteRequest(99, 99, 98);
         for (TestReplica r : mNetwork.running()) {
-            PreVoteReply refused = new PreVoteReply(r.mReducer.term(), false);
-            assertThat(mNetwork.effectsOf(r, new MessageReceived(mLeader.mId, before)))
-                    .contains(new Send(mLeader.mId, refused));
+            PreVoteReply rejection = new PreVoteReply(r.mReducer.term(), false);
+            assertThat(mNetwork.effectsOf(r, new MessageReceived(mLeader.mId, preVote)))
+                    .contains(new Send(mLeader.mId, rejection));
             mNetwork.step(r, new MessageReceived(new ReplicaId("removed", 1), request));
         }
         assertThat(mNetwork.running()).allMatch(r -> r.mReducer.term() < 99);
     }
 
-    // Callers see: what is under way is accepted, what comes now is turned away as not run, and the
-    // next leader is there without an election timeout. Order: a leader with a proposal under way
-    // is asked to hand over, and gets another one. Why: it commits the first before it asks the
-    // successor to campaign, and voters need not have lost the leader to vote then.
+    // Guards against a failed proposal and an election timeout when a leader stops. A leader with a
+    // pending proposal is asked to transfer leadership and then gets another proposal. It rejects
+    // the second one as not run and commits the first one before it asks the successor to campaign.
+    // Voters grant that vote although they are in contact with the leader.
     @Test
     void transfersLeadershipAfterPendingProposalsCommit() {
-        mNetwork.propose(mLeader, "under way");
+        mNetwork.propose(mLeader, "pending");
         mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         assertThat(mNetwork.effectsOf(mLeader, new ConsensusEvent.Proposed(9, new byte[1])))
                 .contains(new ProposalRejected(9, ResultCode.NOT_LEADER, null));
@@ -173,9 +179,10 @@
         assertThat(mNetwork.leader()).isNotNull();
     }
 
-    // Callers see: accepted, not OUTCOME_UNKNOWN. Order: of five replicas only the leader and one
-    // follower hold a proposal as the leader is asked to hand over; then a third gets it.
-    // Why: a successor that holds all is not enough, the proposal has to be committed first.
+    // Guards against OUTCOME_UNKNOWN for a proposal that is pending at a leadership transfer. Of
+    // five replicas only the leader and one follower hold the proposal when the transfer is
+    // requested; then a third one gets it. A successor with the whole log is not enough: the
+    // proposal has to be committed first.
     @Test
     void transferWaitsUntilQuorumHoldsProposal() {
         mNetwork = new ReplicaNetwork(1, 5);
@@ -183,7 +190,7 @@
         mLeader = mNetwork.leader();
         List<TestReplica> others = mNetwork.running().stream().filter(r -> r != mLeader).toList();
         others.subList(1, 4).forEach(r -> r.mIsPaused = true);
-        mNetwork.propose(mLeader, "under way");
+        mNetwork.propose(mLeader, "pending");
         mNetwork.step(mLeader, new ConsensusEvent.LeadershipTransferRequested());
         mNetwork.run(Duration.ofMillis(60));
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.LEADER);
@@ -193,8 +200,9 @@
         assertThat(mLeader.mReducer.role()).isEqualTo(Role.FOLLOWER);
     }
 
-    // Callers see: the leader takes proposals again. Order: it is asked to hand over while all
-    // others are cut off, and they come back. Why: a hand-over ends after an election timeout.
+    // Guards against a leader that rejects proposals forever: a transfer is requested while all
+    // other replicas are unreachable, and later they return. The transfer ends after an election
+    // timeout.
     @Test
     void transferTimesOutWithoutReachableSuccessor() {
         mNetwork.partition(List.of(mLeader.mId.name()));
@@ -205,8 +213,9 @@
         assertThat(mNetwork.mChecker.acceptedCount()).isEqualTo(1);
     }
 
-    // Callers see: OUTCOME_UNKNOWN soon, instead of waiting for the cut to end. Order: the leader
-    // is cut off from both followers with a proposal under way. Why: it counts its contacts.
+    // Guards against callers that wait until a partition ends: a leader with a pending proposal
+    // loses contact to both followers. It notices that it has no quorum in contact and steps down,
+    // so that callers get OUTCOME_UNKNOWN soon.
     @Test
     void leaderWithoutQuorumStepsDown() {
         mNetwork.partition(List.of(mLeader.mId.name()));
@@ -215,8 +224,9 @@
         assertThat(mLeader.mReducer.role()).isNotEqualTo(Role.LEADER);
     }
 
-    // Callers see: nothing lost. Order: a follower's log ends in entries of an old term and the
-    // leader's previous entry is missing or of another term. Why: the follower refuses the append.
+    // Guards against lost entries through a gap in the log: a follower's log ends in entries of an
+    // old term, and the leader's previous entry is missing there or has another term. The follower
+    // has to reject the append.
     @Test
     void rejectsEntriesThatLeaveAGap() {
         long last = mFollower.mReducer.log().lastIndex();
@@ -227,24 +237,25 @@
         assertThat(mFollower.mReducer.log().lastIndex()).isEqualTo(last);
     }
 
-    // Callers see: nothing lost. Order: entries are being synced as a new leader replaces the last
-    // two; the first sync ends, the second has not. Why: what was replaced no longer counts.
+    // Guards against lost entries through a late sync: a new leader replaces the last two entries
+    // while they are being synced. When the first sync ends and the second one has not, the
+    // replaced entries must not count as durable.
     @Test
     void syncOfReplacedEntriesDoesNotCount() {
-        DiskWriteQueue durability = new DiskWriteQueue();
-        durability.write(List.of(entry(1, 1), entry(2, 1), entry(3, 1)));
-        durability.flush(e -> {});
-        durability.write(List.of(entry(2, 2), entry(3, 2)));
-        durability.flush(e -> {});
-        durability.onSynced(1);
-        assertThat(durability.durableIndex()).isEqualTo(1);
-        durability.onSynced(2);
-        assertThat(durability.durableIndex()).isEqualTo(3);
+        DiskWriteQueue queue = new DiskWriteQueue();
+        queue.write(List.of(entry(1, 1), entry(2, 1), entry(3, 1)));
+        queue.flush(e -> {});
+        queue.write(List.of(entry(2, 2), entry(3, 2)));
+        queue.flush(e -> {});
+        queue.onSynced(1);
+        assertThat(queue.durableIndex()).isEqualTo(1);
+        queue.onSynced(2);
+        assertThat(queue.durableIndex()).isEqualTo(3);
     }
 
-    // Callers see: nothing lost. Order: a follower's log ends in an old term at the index at which
-    // the leader's snapshot ends in a newer one. Why: what the disk holds after it belongs to no
-    // history.
+    // Guards against entries that were never committed: at the index where the leader's snapshot
+    // ends, a follower's log has an entry of an older term. The follower's log conflicts with the
+    // snapshot and has to be deleted from disk.
     @Test
     void discardsLogThatConflictsWithSnapshot() {
         long index = mFollower.mReducer.log().lastIndex() + 1;
@@ -258,10 +269,9 @@
                 .anyMatch(e -> e instanceof Persist p && p.discardLog());
     }
 
-    // Callers see: the follower catches up. Order: a follower whose log ends in a long term, of
-    // which the leader holds only the first entry, names the index before that term (found by a
-    // property). Why: the leader goes on after the match, and does not take the refusal for a late
-    // one.
+    // Guards against a follower that never catches up: its log ends in a long term, of which the
+    // leader holds only the first entry, and its hint is the index before that term. The leader
+    // must not ignore the rejection as a late one, but probe after the match index.
     @Test
     void probesAfterMatchIndexWhenHintIsLower() {
         FollowerProgress progress = new FollowerProgress(88, Instant.EPOCH);
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ElectionRaceTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ElectionRaceTest.java
@@ -20,7 +20,7 @@
 import org.laurelweir.consensus.ConsensusEvent.Recovered;
 import org.laurelweir.consensus.ConsensusEvent.Tick;
 
-/** How soon replicas that were all stopped at once have a leader again. */
+/** Measures how soon replicas that start at the same time elect a leader. */
 class ElectionRaceTest {
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     private static final Duration SYNC_DURATION = Duration.ofMillis(5);
@@ -48,11 +48,11 @@
     private Instant mElectedAt;
     private long mNextSequence;
 
-    // Callers see: no router has settings for about a second longer than usual. Order: every
-    // replica is killed and starts again within 0.1 s; messages between programs that are still
-    // cold take 20 to 80 ms; several ask for pre-votes before they hear of each other, all get
-    // them, and each votes for itself. Why: nobody has a majority in that term, and the next
-    // attempt waits for a whole election timeout.
+    // Guards against split votes, after which routers get their settings about a second later than
+    // usual. All replicas are killed and restart within 0.1 s, and messages between processes that
+    // are still warming up take 20 to 80 ms. If several replicas request pre-votes before they
+    // receive each other's requests, all get them and each votes for itself. Then none has a
+    // majority in that term, and the next attempt waits for a whole election timeout.
     @Test
     void replicasThatStartTogetherSeldomSplitVotes() {
         List<Duration> times = new ArrayList<>();
@@ -78,7 +78,7 @@
                 .orElseThrow();
     }
 
-    /** Returns how long after the last start one replica leads. */
+    /** Returns the time from the start of the last replica until one replica leads. */
     private Duration race(long seed, int size) {
         mRandom = new SplittableRandom(seed);
         mScheduledEvents.clear();
@@ -124,8 +124,8 @@
     private void handle(ReplicaId id, ConsensusEffect effect) {
         if (effect instanceof Send e) {
             int spread = MAX_MESSAGE_DELAY_MILLIS - MIN_MESSAGE_DELAY_MILLIS;
-            Duration way = Duration.ofMillis(MIN_MESSAGE_DELAY_MILLIS + mRandom.nextInt(spread));
-            schedule(way, e.to(), new MessageReceived(id, e.message()));
+            Duration delay = Duration.ofMillis(MIN_MESSAGE_DELAY_MILLIS + mRandom.nextInt(spread));
+            schedule(delay, e.to(), new MessageReceived(id, e.message()));
         } else if (effect instanceof Persist e) {
             schedule(SYNC_DURATION, id, new Persisted(e.sequence()));
         } else if (effect instanceof RoleChanged e && e.role() == Role.LEADER) {
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/LogCompactionTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/LogCompactionTest.java
@@ -5,18 +5,24 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** The log of a replica takes a bounded number of bytes, whatever the size of its commands. */
+/**
+ * Tests that compaction limits the size of a replica's log in bytes, whatever the size of its
+ * commands.
+ */
 class LogCompactionTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final int COMMAND_BYTES = 4_000;
     private static final int COMMANDS = 7;
 
-    /** A snapshot is due after each of these commands; some stay before it, one comes after it. */
+    /**
+     * Each of these commands makes a snapshot due. Some commands are kept before the snapshot, and
+     * one follows it.
+     */
     private static final int MAX_LOG_BYTES = 4 * COMMAND_BYTES;
 
-    // Operators see: control instances that take ever more memory, and end while they start. Order:
-    // commands of some size, too few for a snapshot by their number. Cause: the log was cut by the
-    // number of entries alone. Proof: the bytes of the entries held grow with each command.
+    // Guards against control instances that use ever more memory and crash while they start. If the
+    // log were compacted by the number of entries alone, a few large commands would not make a
+    // snapshot due, and the bytes in memory would grow with each command.
     @Test
     void compactsLogOfFewLargeCommands() {
         ReplicaNetwork network = new ReplicaNetwork(1, 3);
@@ -28,11 +34,11 @@
         assertThat(network.mChecker.acceptedCount()).isEqualTo(COMMANDS);
         for (TestReplica r : network.running()) {
             ReplicatedLog log = r.mReducer.log();
-            int held = 0;
+            int logBytes = 0;
             for (long i = log.baseIndex() + 1; i <= log.lastIndex(); i++) {
-                held += log.entry(i).payload().length;
+                logBytes += log.entry(i).payload().length;
             }
-            assertThat(held).as("bytes held by " + r.mId).isLessThan(MAX_LOG_BYTES);
+            assertThat(logBytes).as("log bytes in memory of " + r.mId).isLessThan(MAX_LOG_BYTES);
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/LogLimitsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/LogLimitsTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.lib.ResultCode;
 
-/** What a replica takes and refuses where its log, its disk or a command has no room. */
+/**
+ * Tests which proposals a replica accepts and rejects at the limits of its log, its disk queue and
+ * its commands.
+ */
 class LogLimitsTest {
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final LogLimits LIMITS = TestReplica.CONFIG.logLimits();
@@ -17,7 +20,10 @@
         return "x".repeat(bytes);
     }
 
-    /** Proposes to the leader and returns what it is told at once, or null. */
+    /**
+     * Proposes a command of a size to the leader. Returns the code of an immediate rejection, or
+     * null.
+     */
     private ResultCode proposeAndGetRejection(int bytes) {
         return mNetwork
                 .effectsOf(
@@ -30,9 +36,9 @@
                 .orElse(null);
     }
 
-    // Operators see: a change that is never answered. Order: a command is larger than any log
-    // takes.
-    // Why: it is refused before it is in the log, with a code that says that it never fits.
+    // Guards against a change that is never answered because its command is larger than any log
+    // accepts. It has to be rejected before it is in the log, with a code that says that it never
+    // fits.
     @Test
     void rejectsOversizedCommandAtOnce() {
         mNetwork.healAndRun(SECOND.multipliedBy(3));
@@ -41,34 +47,35 @@
         assertThat(proposeAndGetRejection(LIMITS.maxCommandBytes())).isNull();
     }
 
-    // Operators see: control takes ever more memory. Order: the leader's disk hangs, the others go
-    // on and commit. Why: what waits for the disk is bounded, and more is refused until it is back.
+    // Guards against unbounded memory use of control: the leader's disk hangs while the other
+    // replicas continue and commit. The entries that wait for the disk are limited, and further
+    // proposals are rejected until the disk responds.
     @Test
     void leaderWithHangingDiskBoundsItsLog() {
         mNetwork.healAndRun(SECOND.multipliedBy(3));
         TestReplica leader = mNetwork.leader();
-        int taken = 0;
-        ResultCode refusal = null;
-        while (refusal == null && taken < 100) {
-            refusal = proposeAndGetRejection(1_000);
-            taken++;
+        int proposed = 0;
+        ResultCode rejection = null;
+        while (rejection == null && proposed < 100) {
+            rejection = proposeAndGetRejection(1_000);
+            proposed++;
         }
-        assertThat(refusal).isEqualTo(ResultCode.OVERLOADED);
+        assertThat(rejection).isEqualTo(ResultCode.OVERLOADED);
         assertThat(leader.mReducer.logBytes()).isLessThanOrEqualTo(LIMITS.maxLogBytes());
     }
 
-    // Callers see: nothing; all that was accepted is on every replica. Order: one follower stands
-    // still while many large commands are accepted, and comes back. Why: what is under way to it is
-    // bounded, and it gets the rest by and by or a snapshot.
+    // Guards against lost commands and unbounded memory use when a follower pauses while many large
+    // commands are accepted, and resumes later. Unanswered messages to the follower are limited; it
+    // gets the remaining entries step by step, or a snapshot.
     @Test
     void pausedFollowerCatchesUpWithinLimits() {
         mNetwork.healAndRun(SECOND.multipliedBy(3));
-        TestReplica late =
+        TestReplica paused =
                 mNetwork.running().stream()
                         .filter(r -> r != mNetwork.leader())
                         .findFirst()
                         .orElseThrow();
-        late.mIsPaused = true;
+        paused.mIsPaused = true;
         for (int i = 0; i < 12; i++) {
             mNetwork.propose(mNetwork.leader(), i + command(3_000));
             mNetwork.run(Duration.ofMillis(200));
@@ -88,7 +95,7 @@
 
     @Test
     void maxCommandFitsIntoMessageForAnyHeap() {
-        int largestMessage = 32 << 20;
-        assertThat(LogLimits.ofHeap(Long.MAX_VALUE).maxCommandBytes()).isLessThan(largestMessage);
+        int maxMessageBytes = 32 << 20;
+        assertThat(LogLimits.ofHeap(Long.MAX_VALUE).maxCommandBytes()).isLessThan(maxMessageBytes);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/ReplicaNetwork.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/ReplicaNetwork.java
@@ -24,9 +24,9 @@
 import org.laurelweir.consensus.ConsensusEvent.MessageReceived;
 import org.laurelweir.consensus.ConsensusEvent.SnapshotTaken;
 
-/** Some replicas and the messages between them; every choice comes from one seed. */
+/** Simulates replicas and the messages between them. Every random choice comes from one seed. */
 final class ReplicaNetwork {
-    /** A message on its way. */
+    /** A message in flight. */
     private record Envelope(ReplicaId from, ReplicaId to, ReplicaMessage message) {}
 
     final SafetyChecker mChecker = new SafetyChecker();
@@ -49,7 +49,7 @@
         syncAndRunLocal(mReplicas.get("r0"));
     }
 
-    /** Starts a name on a new disk, under a new id. */
+    /** Starts a replica with a name on a new disk, under a new id. */
     void replaceDisk(String name) {
         TestReplica replica = new TestReplica(new ReplicaId(name, mNextId++));
         mReplicas.put(name, replica);
@@ -108,7 +108,7 @@
                 .forEach(r -> step(r, new ConsensusEvent.Tick()));
     }
 
-    /** Takes some of the messages on their way, in any order. */
+    /** Delivers, duplicates or loses a random number of messages in flight, in random order. */
     void deliverSome(double loss, double repeat) {
         for (int i = mRandom.nextInt(8); i >= 0; i--) {
             deliverOne(loss, repeat);
@@ -116,7 +116,8 @@
     }
 
     /**
-     * Takes any message that is on its way: delivers it, or delivers it and keeps it, or loses it.
+     * Takes a random message in flight and delivers it, delivers it and keeps it for a second
+     * delivery, or loses it.
      */
     void deliverOne(double loss, double repeat) {
         if (mInFlightMessages.isEmpty()) {
@@ -142,13 +143,16 @@
         return mPartitioned.contains(a) != mPartitioned.contains(b);
     }
 
-    /** Cuts some replicas off from the others, who stay connected among themselves. */
+    /**
+     * Partitions the network: the given replicas lose contact to all others. Replicas on the same
+     * side stay connected.
+     */
     void partition(Collection<String> names) {
         mPartitioned.clear();
         mPartitioned.addAll(names);
     }
 
-    /** Ends the syncs under way on about half of the replicas. */
+    /** Completes the pending syncs on about half of the replicas. */
     void syncSome() {
         mReplicas.values().stream()
                 .filter(r -> mRandom.nextBoolean())
@@ -182,25 +186,28 @@
         step(to, new MembershipChangeProposed(mNextId++, change));
     }
 
-    /** Returns a replica that believes to lead, or null. */
+    /** Returns the running leader with the highest term, or null. */
     TestReplica leader() {
         TestReplica newest = null;
         for (TestReplica r : running()) {
-            boolean leads = r.mReducer.role() == Role.LEADER;
-            if (leads && (newest == null || r.mReducer.term() > newest.mReducer.term())) {
+            boolean isLeader = r.mReducer.role() == Role.LEADER;
+            if (isLeader && (newest == null || r.mReducer.term() > newest.mReducer.term())) {
                 newest = r;
             }
         }
         return newest;
     }
 
-    /** Returns any replica. */
+    /** Returns a random replica, which may not be running. */
     TestReplica randomReplica() {
         List<TestReplica> all = List.copyOf(mReplicas.values());
         return all.get(mRandom.nextInt(all.size()));
     }
 
-    /** Returns any replica that believes to lead, replaced or not; any at all if there is none. */
+    /**
+     * Returns a random replica that has the leader role, which another leader may have replaced.
+     * Returns a random replica if there is none.
+     */
     TestReplica randomLeader() {
         List<TestReplica> leaders =
                 running().stream().filter(r -> r.mReducer.role() == Role.LEADER).toList();
@@ -211,39 +218,44 @@
         return mReplicas.values().stream().filter(TestReplica::isRunning).toList();
     }
 
-    /** Takes one step towards a membership of just the present ids, all of them voters. */
+    /**
+     * Proposes the next change towards a membership of exactly the current ids, all of them voters.
+     */
     void repairMembership(TestReplica leader) {
-        Membership now = leader.mReducer.membership();
+        Membership current = leader.mReducer.membership();
         Set<ReplicaId> present = new HashSet<>();
         mReplicas.values().forEach(r -> present.add(r.mId));
-        for (ReplicaId id : now.all()) {
+        for (ReplicaId id : current.all()) {
             if (!present.contains(id)) {
                 propose(leader, new MembershipChange.Remove(id));
                 return;
             }
         }
         for (ReplicaId id : present) {
-            if (now.learners().contains(id)) {
+            if (current.learners().contains(id)) {
                 propose(leader, new MembershipChange.Promote(id));
-            } else if (!now.contains(id)) {
+            } else if (!current.contains(id)) {
                 propose(leader, new MembershipChange.AddLearner(id));
             }
         }
     }
 
-    /** Returns whether every replica knows, and has synced, that all present ids are voters. */
+    /**
+     * Returns whether every replica is running and its membership, in memory and on disk, is that
+     * all current ids are voters.
+     */
     boolean isMembershipRepaired() {
-        Membership whole =
+        Membership allVoters =
                 Membership.ofVoters(mReplicas.values().stream().map(r -> r.mId).toList());
         return mReplicas.values().stream()
                 .allMatch(
                         r ->
                                 r.isRunning()
-                                        && r.membershipOnDisk().equals(whole)
-                                        && r.mReducer.membership().equals(whole));
+                                        && r.membershipOnDisk().equals(allVoters)
+                                        && r.mReducer.membership().equals(allVoters));
     }
 
-    /** Returns whether every replica has applied all that the leader has. */
+    /** Returns whether every running replica has applied the leader's whole log. */
     boolean isFullyReplicated() {
         long last = leader() == null ? -1 : leader().mReducer.log().lastIndex();
         return running().stream().allMatch(r -> r.mReducer.commitIndex() == last);
@@ -253,7 +265,7 @@
         SafetyChecker.assertLogsMatch(running().stream().map(r -> r.mReducer.log()).toList());
     }
 
-    /** Ends all failures but crashes, and runs for some time. */
+    /** Ends the partition and all pauses, and runs for some time. Crashed replicas stay stopped. */
     void healAndRun(Duration time) {
         mPartitioned.clear();
         running().forEach(r -> r.mIsPaused = false);
@@ -272,7 +284,7 @@
         }
     }
 
-    /** Lets a replica take an event and returns the effects instead of following them. */
+    /** Passes an event to a replica and returns the effects without carrying them out. */
     List<ConsensusEffect> effectsOf(TestReplica replica, ConsensusEvent event) {
         List<ConsensusEffect> effects = new ArrayList<>();
         replica.mReducer.step(mNow, event, effects::add);
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/SafetyChecker.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/SafetyChecker.java
@@ -12,7 +12,9 @@
 import java.util.TreeMap;
 import org.laurelweir.lib.ResultCode;
 
-/** What happened in a run, checked against what must always hold as it happens. */
+/**
+ * Checks the safety properties of Raft and of linearizable reads while a simulated run proceeds.
+ */
 final class SafetyChecker {
     private final Map<Long, ReplicaId> mLeadersByTerm = new HashMap<>();
     private final TreeMap<Long, String> mCommittedCommands = new TreeMap<>();
@@ -21,7 +23,11 @@
     private final Map<Long, String> mProposedCommands = new HashMap<>();
     private final Set<String> mAcceptedCommands = new HashSet<>();
     private final Set<String> mRejectedCommands = new HashSet<>();
+
+    /** For each read, the number of applied commands that it must see at least. */
     private final Map<Long, Integer> mMinReadLengths = new HashMap<>();
+
+    /** The highest number of applied commands that a caller has observed through any answer. */
     private int mMaxObservedLength;
 
     void onProposed(long id, String command) {
@@ -32,7 +38,10 @@
         mMinReadLengths.put(id, mMaxObservedLength);
     }
 
-    /** Election safety and leader completeness. */
+    /**
+     * Checks election safety (one leader per term) and leader completeness (a leader's log contains
+     * all committed entries).
+     */
     void onElected(ReplicaId id, long term, ReplicatedLog log) {
         ReplicaId other = mLeadersByTerm.putIfAbsent(term, id);
         assertThat(other == null || other.equals(id))
@@ -47,14 +56,17 @@
                                         .isEqualTo(entryTerm));
     }
 
-    /** State machine safety: one command for each index, and the same sequence everywhere. */
+    /**
+     * Checks state machine safety: all replicas apply the same command at each index, in the same
+     * sequence.
+     */
     void onApplied(TestReplica replica, long index, long term, String command) {
         String other = mCommittedCommands.putIfAbsent(index, command);
         if (other == null) {
             mAppliedSequence.add(index + ":" + command);
         }
         mCommittedTerms.put(index, term);
-        assertThat(mRejectedCommands).as("was said not to be run").doesNotContain(command);
+        assertThat(mRejectedCommands).as("rejected commands").doesNotContain(command);
         int last = replica.mApplied.size() - 1;
         assertThat(replica.mApplied.get(last))
                 .as("applied by %s as number %s", replica.mId, last)
@@ -72,7 +84,9 @@
         if (command == null) {
             return;
         }
-        assertThat(mCommittedCommands.get(index)).as("accepted at %s", index).isEqualTo(command);
+        assertThat(mCommittedCommands.get(index))
+                .as("command accepted at index %s", index)
+                .isEqualTo(command);
         assertThat(replica.mAppliedIndex).isEqualTo(index);
         mAcceptedCommands.add(command);
         mMaxObservedLength = Math.max(mMaxObservedLength, replica.mApplied.size());
@@ -86,7 +100,10 @@
         }
     }
 
-    /** Linearizable reads: none sees less than what had been answered when it was asked for. */
+    /**
+     * Checks that reads are linearizable: a read sees at least the state that any caller had
+     * observed when the read was requested.
+     */
     void onReadReady(TestReplica replica, long readId) {
         assertThat(replica.mApplied.size())
                 .as("read %s on %s", readId, replica.mId)
@@ -94,7 +111,7 @@
         mMaxObservedLength = Math.max(mMaxObservedLength, replica.mApplied.size());
     }
 
-    /** Log matching: logs that agree on an entry's term agree on all before it. */
+    /** Checks log matching: logs that have the same term at an index are equal up to that index. */
     static void assertLogsMatch(Collection<ReplicatedLog> logs) {
         for (ReplicatedLog a : logs) {
             for (ReplicatedLog b : logs) {
@@ -104,23 +121,24 @@
     }
 
     private static void assertMatch(ReplicatedLog a, ReplicatedLog b) {
-        boolean agreed = false;
+        boolean hasMatched = false;
         long base = Math.max(a.baseIndex(), b.baseIndex());
         for (long i = Math.min(a.lastIndex(), b.lastIndex()); i > base; i--) {
-            boolean same = a.termAt(i) == b.termAt(i);
-            assertThat(!agreed || same).as("logs differ before %s", i + 1).isTrue();
-            if (same) {
-                agreed = true;
+            boolean isSameTerm = a.termAt(i) == b.termAt(i);
+            assertThat(!hasMatched || isSameTerm).as("logs differ before %s", i + 1).isTrue();
+            if (isSameTerm) {
+                hasMatched = true;
                 assertThat(a.entry(i).payload()).isEqualTo(b.entry(i).payload());
             }
         }
     }
 
-    /** No accepted proposal is lost. */
+    /** Checks that a replica has applied every accepted proposal. */
     void assertHoldsAccepted(TestReplica replica) {
-        Set<String> held = new HashSet<>();
-        replica.mApplied.forEach(line -> held.add(line.substring(line.indexOf(':') + 1)));
-        assertThat(held).as("state of %s", replica.mId).containsAll(mAcceptedCommands);
+        Set<String> appliedCommands = new HashSet<>();
+        replica.mApplied.forEach(
+                line -> appliedCommands.add(line.substring(line.indexOf(':') + 1)));
+        assertThat(appliedCommands).as("state of %s", replica.mId).containsAll(mAcceptedCommands);
     }
 
     int acceptedCount() {
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import org.laurelweir.consensus.ConsensusEffect.Persist;
 
-/** A reducer with a disk that forgets what was not synced, and a list as its state machine. */
+/**
+ * A reducer with a simulated disk, which may lose unsynced writes in a crash, and a list as its
+ * state machine.
+ */
 final class TestReplica {
     static final ConsensusConfig CONFIG =
             ConsensusConfig.builder()
@@ -29,9 +32,9 @@
 
     private final ArrayDeque<Persist> mUnsynced = new ArrayDeque<>();
     private final List<LogEntry> mDiskLog = new ArrayList<>();
-    private HardState mDiskState = HardState.INITIAL;
+    private HardState mDiskHardState = HardState.INITIAL;
     private Snapshot mDiskSnapshot = Snapshot.NONE;
-    private long mDiskCommitted;
+    private long mDiskCommitIndex;
 
     TestReplica(ReplicaId id) {
         mId = id;
@@ -41,7 +44,7 @@
         return mReducer != null;
     }
 
-    /** Starts from the disk; returns the effects of the first event. */
+    /** Starts from the disk and returns the effects of the first event. */
     List<ConsensusEffect> start(Instant now, long seed) {
         mReducer = new ConsensusReducer(mId, CONFIG, seed);
         loadSnapshot(mDiskSnapshot);
@@ -49,15 +52,18 @@
         mReducer.step(
                 now,
                 new ConsensusEvent.Recovered(
-                        mDiskState, mDiskSnapshot, List.copyOf(mDiskLog), mDiskCommitted),
+                        mDiskHardState, mDiskSnapshot, List.copyOf(mDiskLog), mDiskCommitIndex),
                 effects::add);
         return effects;
     }
 
-    /** Stops at once. Writes not yet reported as synced may or may not have reached the disk. */
+    /**
+     * Crashes. A random number of the writes that are not yet reported as synced have reached the
+     * disk.
+     */
     void crash(SplittableRandom random) {
-        int reached = random.nextInt(mUnsynced.size() + 1);
-        for (int i = 0; i < reached; i++) {
+        int writesOnDisk = random.nextInt(mUnsynced.size() + 1);
+        for (int i = 0; i < writesOnDisk; i++) {
             write(mUnsynced.poll());
         }
         mUnsynced.clear();
@@ -66,10 +72,13 @@
         mReducer = null;
     }
 
-    /** Not synced, so that a crash may leave an older one. */
+    /**
+     * Records the commit index in half of the calls: the record is not synced, and a crash may
+     * leave an older one.
+     */
     void markCommitted(long index, SplittableRandom random) {
         if (random.nextBoolean()) {
-            mDiskCommitted = index;
+            mDiskCommitIndex = index;
         }
     }
 
@@ -77,7 +86,7 @@
         mUnsynced.add(persist);
     }
 
-    /** Syncs all writes and lets the reducer know. */
+    /** Syncs all writes and queues the report to the reducer. */
     void sync() {
         if (mUnsynced.isEmpty()) {
             return;
@@ -90,7 +99,7 @@
 
     private void write(Persist p) {
         if (p.hardState() != null) {
-            mDiskState = p.hardState();
+            mDiskHardState = p.hardState();
         }
         if (p.discardLog()) {
             mDiskLog.clear();
@@ -120,7 +129,7 @@
         return String.join("\n", mApplied).getBytes();
     }
 
-    /** Returns the membership that a restart would find. */
+    /** Returns the membership on disk, which a restart would recover. */
     Membership membershipOnDisk() {
         Membership membership = mDiskSnapshot.membership();
         for (LogEntry e : mDiskLog) {
