--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Claim.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Claim.java
@@ -35,7 +35,7 @@
         return new Claim(account, key, fingerprint, holder, target, expires, code);
     }
 
-    ClaimResult result(ResultCode code) {
+    ClaimResult toResult(ResultCode code) {
         ResultCode end = settled() ? settledCode : ResultCode.OK;
         return new ClaimResult(code, holder, target, settled(), end);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
@@ -24,10 +24,10 @@
     private final int mMaxClaims;
     private final Duration mMaxRetention;
     private final Map<Key, Entry> mClaims = new HashMap<>();
-    private final TreeMap<Instant, List<Entry>> mExpiries = new TreeMap<>();
-    private final Interner<String> mNames = new Interner<>();
-    private final Interner<BackendRef> mTargets = new Interner<>();
-    private final Interner<Instant> mTimes = new Interner<>();
+    private final TreeMap<Instant, List<Entry>> mByExpiry = new TreeMap<>();
+    private final Interner<String> mNameInterner = new Interner<>();
+    private final Interner<BackendRef> mTargetInterner = new Interner<>();
+    private final Interner<Instant> mTimeInterner = new Interner<>();
 
     /**
      * Creates an empty table.
@@ -41,7 +41,7 @@
     }
 
     ClaimResult apply(Command.Claim c) {
-        expire(c.timestamp());
+        removeExpired(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null) {
@@ -49,18 +49,18 @@
         }
         Claim held = entry.mClaim;
         if (held.fingerprint() != c.fingerprint()) {
-            return held.result(ResultCode.IDEMPOTENCY_KEY_REUSED);
+            return held.toResult(ResultCode.IDEMPOTENCY_KEY_REUSED);
         }
         if (held.holder().equals(c.replaces()) && !held.settled()) {
-            forget(key, entry);
+            remove(key, entry);
             return grant(c);
         }
-        return held.result(ResultCode.OK);
+        return held.toResult(ResultCode.OK);
     }
 
     private ClaimResult grant(Command.Claim c) {
         if (mClaims.size() >= mMaxClaims) {
-            return ClaimResult.refused(ResultCode.CLAIM_UNAVAILABLE);
+            return ClaimResult.rejected(ResultCode.CLAIM_UNAVAILABLE);
         }
         Claim claim =
                 new Claim(
@@ -71,8 +71,8 @@
                         c.target(),
                         expiry(c),
                         null);
-        put(claim);
-        return claim.result(ResultCode.OK);
+        insert(claim);
+        return claim.toResult(ResultCode.OK);
     }
 
     /** Whole seconds, so that many claims share the place that they have in the order of ends. */
@@ -87,14 +87,14 @@
      * whoever does not hold it changes nothing.
      */
     ResultCode apply(Command.SettleClaim c) {
-        expire(c.timestamp());
+        removeExpired(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null || !entry.mClaim.holder().equals(c.attempt()) || entry.mClaim.settled()) {
             return ResultCode.OK;
         }
         if (c.code().isNotRun()) {
-            forget(key, entry);
+            remove(key, entry);
         } else {
             entry.mClaim = entry.mClaim.withSettled(c.code());
         }
@@ -105,40 +105,40 @@
         return mClaims.size();
     }
 
-    private void put(Claim c) {
-        Claim claim = compact(c);
+    private void insert(Claim c) {
+        Claim claim = internParts(c);
         Entry entry = new Entry(claim);
         mClaims.put(new Key(claim.account(), claim.key()), entry);
-        mExpiries.computeIfAbsent(claim.expires(), e -> new ArrayList<>()).add(entry);
+        mByExpiry.computeIfAbsent(claim.expires(), e -> new ArrayList<>()).add(entry);
     }
 
     /** Shares what many claims have in common. */
-    private Claim compact(Claim c) {
+    private Claim internParts(Claim c) {
         AttemptId h = c.holder();
-        String router = mNames.intern(h.router());
+        String router = mNameInterner.intern(h.router());
         return new Claim(
-                mNames.intern(c.account()),
+                mNameInterner.intern(c.account()),
                 c.key(),
                 c.fingerprint(),
                 new AttemptId(router, h.routerIncarnation(), h.request(), h.attempt()),
-                mTargets.intern(c.target()),
-                mTimes.intern(c.expires()),
+                mTargetInterner.intern(c.target()),
+                mTimeInterner.intern(c.expires()),
                 c.settledCode());
     }
 
-    private void forget(Key key, Entry entry) {
+    private void remove(Key key, Entry entry) {
         mClaims.remove(key);
         Instant expires = entry.mClaim.expires();
-        List<Entry> sameTime = mExpiries.get(expires);
+        List<Entry> sameTime = mByExpiry.get(expires);
         sameTime.remove(entry);
         if (sameTime.isEmpty()) {
-            mExpiries.remove(expires);
+            mByExpiry.remove(expires);
         }
     }
 
-    private void expire(Instant now) {
-        while (!mExpiries.isEmpty() && !mExpiries.firstKey().isAfter(now)) {
-            for (Entry e : mExpiries.pollFirstEntry().getValue()) {
+    private void removeExpired(Instant now) {
+        while (!mByExpiry.isEmpty() && !mByExpiry.firstKey().isAfter(now)) {
+            for (Entry e : mByExpiry.pollFirstEntry().getValue()) {
                 mClaims.remove(new Key(e.mClaim.account(), e.mClaim.key()));
             }
         }
@@ -147,14 +147,14 @@
     /** Returns every claim, the first to expire first, in the same order on every replica. */
     List<Claim> all() {
         List<Claim> all = new ArrayList<>(mClaims.size());
-        mExpiries.values().forEach(entries -> entries.forEach(e -> all.add(e.mClaim)));
+        mByExpiry.values().forEach(entries -> entries.forEach(e -> all.add(e.mClaim)));
         return all;
     }
 
     void restore(List<Claim> claims) {
         mClaims.clear();
-        mExpiries.clear();
-        claims.forEach(this::put);
+        mByExpiry.clear();
+        claims.forEach(this::insert);
     }
 
     private record Key(String account, String key) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CommandResult.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CommandResult.java
@@ -34,7 +34,7 @@
             boolean settled,
             ResultCode settledCode)
             implements CommandResult {
-        static ClaimResult refused(ResultCode code) {
+        static ClaimResult rejected(ResultCode code) {
             return new ClaimResult(code, null, null, false, ResultCode.OK);
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -70,10 +70,10 @@
         private final Map<String, String> mAddresses;
         private Duration mExchangeInterval = Duration.ofSeconds(1);
         private Duration mShareInterval = Duration.ofMillis(500);
-        private ConsensusConfig mAgreement = ConsensusConfig.builder().build();
+        private ConsensusConfig mConsensus = ConsensusConfig.builder().build();
         private MembershipConfig mMembership;
         private ControlState.Limits mLimits = ControlState.Limits.DEFAULT;
-        private boolean mOpen;
+        private boolean mAutoJoin;
 
         private Builder(ReplicaId replica, long incarnation, Map<String, String> addresses) {
             mReplica = replica;
@@ -91,13 +91,13 @@
 
         /** Lets control instances join by themselves; the name of each is its address. */
         public Builder autoJoin(boolean open) {
-            mOpen = open;
+            mAutoJoin = open;
             return this;
         }
 
         /** Sets times and bounds of the replicated log. */
         public Builder consensus(ConsensusConfig agreement) {
-            mAgreement = agreement;
+            mConsensus = agreement;
             return this;
         }
 
@@ -121,11 +121,11 @@
                     mAddresses,
                     mExchangeInterval,
                     mShareInterval,
-                    mAgreement.electionTimeout().multipliedBy(2),
-                    mAgreement,
+                    mConsensus.electionTimeout().multipliedBy(2),
+                    mConsensus,
                     mMembership,
                     mLimits,
-                    mOpen);
+                    mAutoJoin);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
@@ -17,35 +17,38 @@
  */
 final class ControlPeers {
     /** Long against a restart or a healed partition, short against a machine gone for good. */
-    private static final Duration FORGET_AFTER = Duration.ofMinutes(1);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMinutes(1);
 
     private final String mSelf;
-    private final boolean mOpen;
+    private final boolean mAutoJoin;
     private final Map<String, String> mAddresses;
-    private final Set<String> mNamed = new TreeSet<>();
-    private final Map<String, Instant> mLearned = new HashMap<>();
-    private final Consumer<String> mOnForgotten;
+    private final Set<String> mConfiguredPeers = new TreeSet<>();
+    private final Map<String, Instant> mDiscoveredPeers = new HashMap<>();
+    private final Consumer<String> mOnRemoved;
 
     ControlPeers(ControlConfig config, Consumer<String> onForgotten) {
         mSelf = config.name();
-        mOpen = config.autoJoin();
+        mAutoJoin = config.autoJoin();
         mAddresses = config.addresses();
-        mNamed.addAll(config.addresses().keySet());
-        mNamed.remove(mSelf);
-        mOnForgotten = onForgotten;
+        mConfiguredPeers.addAll(config.addresses().keySet());
+        mConfiguredPeers.remove(mSelf);
+        mOnRemoved = onForgotten;
     }
 
     /** Notes that an instance was heard, or that one that was heard counts it in. */
-    void learn(Instant now, String name) {
-        if (mOpen && !name.isEmpty() && !name.equals(mSelf) && !mNamed.contains(name)) {
-            mLearned.put(name, now);
+    void discover(Instant now, String name) {
+        if (mAutoJoin
+                && !name.isEmpty()
+                && !name.equals(mSelf)
+                && !mConfiguredPeers.contains(name)) {
+            mDiscoveredPeers.put(name, now);
         }
     }
 
     /** Returns those to talk to, by name. */
     List<String> all() {
-        Set<String> all = new TreeSet<>(mNamed);
-        all.addAll(mLearned.keySet());
+        Set<String> all = new TreeSet<>(mConfiguredPeers);
+        all.addAll(mDiscoveredPeers.keySet());
         return new ArrayList<>(all);
     }
 
@@ -54,13 +57,13 @@
         return all().stream().map(n -> mAddresses.getOrDefault(n, n)).toList();
     }
 
-    void forget(Instant now) {
-        Iterator<Map.Entry<String, Instant>> each = mLearned.entrySet().iterator();
+    void removeSilent(Instant now) {
+        Iterator<Map.Entry<String, Instant>> each = mDiscoveredPeers.entrySet().iterator();
         while (each.hasNext()) {
             Map.Entry<String, Instant> e = each.next();
-            if (e.getValue().plus(FORGET_AFTER).isBefore(now)) {
+            if (e.getValue().plus(SILENCE_TIMEOUT).isBefore(now)) {
                 each.remove();
-                mOnForgotten.accept(e.getKey());
+                mOnRemoved.accept(e.getKey());
             }
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -39,14 +39,14 @@
     private final LogReplica mReplica;
     private final ControlPeers mPeers;
     private final RouterTable mRouters = new RouterTable();
-    private final Exchanges mExchanges;
-    private final Queries mQueries;
-    private final ReplicaRepair mRepair;
-    private final PeerSharing mSharing;
-    private final DirectAnnouncements mDirect;
+    private final ExchangeHandler mExchanges;
+    private final QueryHandler mQueries;
+    private final ReplicaRepair mReplicaRepair;
+    private final PeerSharing mPeerSharing;
+    private final DirectAnnouncements mDirectAnnouncements;
     private final PassedOverNotes mPassedOver;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
     private Instant mNextReport = Instant.MIN;
     private Instant mNow;
     private Consumer<? super ControlEffect> mEffects;
@@ -64,16 +64,20 @@
         mReplica = new LogReplica(config, codec, seed, mNotes);
         List<String> peers = new ArrayList<>(config.addresses().keySet());
         peers.remove(config.name());
-        mMembership = new SharedMembership(config.membership(), peers, this::backendChanged);
+        mMembership = new SharedMembership(config.membership(), peers, this::onBackendChanged);
         mPeers = new ControlPeers(config, mMembership::forgetPeer);
-        PeerPresences presences = new PeerPresences();
-        mCrashes = new CrashSharing(config);
-        mLoads = new LoadSharing(config, mMembership);
-        mExchanges = new Exchanges(mMembership, mReplica, mRouters, mCrashes, mLoads, mNotes);
-        mQueries = new Queries(mMembership, mReplica, mRouters, mCrashes, mLoads, presences);
-        mRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
-        mDirect = new DirectAnnouncements(mMembership, this::mayBeService);
-        mSharing =
+        PeerStatuses presences = new PeerStatuses();
+        mCrashSharing = new CrashSharing(config);
+        mLoadSharing = new LoadSharing(config, mMembership);
+        mExchanges =
+                new ExchangeHandler(
+                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, mNotes);
+        mQueries =
+                new QueryHandler(
+                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, presences);
+        mReplicaRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
+        mDirectAnnouncements = new DirectAnnouncements(mMembership, this::isAcceptedService);
+        mPeerSharing =
                 new PeerSharing(
                         config,
                         mMembership,
@@ -81,8 +85,8 @@
                         mRouters,
                         presences,
                         mPeers,
-                        mCrashes,
-                        mLoads);
+                        mCrashSharing,
+                        mLoadSharing);
     }
 
     @Override
@@ -104,21 +108,21 @@
         } else if (event instanceof CommandReceived e) {
             onCommand(e);
         } else {
-            takeRest(event);
+            onOtherEvent(event);
         }
-        mSharing.flush(now, effects);
-        mCrashes.flushNotes(now, effects);
+        mPeerSharing.flush(now, effects);
+        mCrashSharing.logDecisions(now, effects);
     }
 
-    private void takeRest(ControlEvent event) {
+    private void onOtherEvent(ControlEvent event) {
         if (event instanceof PeerUpdateRequested e) {
-            mSharing.answer(mNow, e, mEffects);
+            mPeerSharing.answer(mNow, e, mEffects);
         } else if (event instanceof PeerUpdateReceived e) {
-            mSharing.take(mNow, e);
+            mPeerSharing.onPeerUpdate(mNow, e);
         } else if (event instanceof PeerAnnounced e) {
             mMembership.mergeAnnouncements(mNow, e.announcements());
-            mCrashes.announced(mNow, e.crashes());
-            mLoads.toldByPeer(mNow, e.loads());
+            mCrashSharing.onPeerAnnouncement(mNow, e.crashes());
+            mLoadSharing.onPeerLoads(mNow, e.loads());
         } else if (event instanceof SettingsRequested e) {
             mQueries.answer(mNow, e, mEffects);
         } else if (event instanceof SourceRequested e) {
@@ -128,36 +132,36 @@
         } else if (event instanceof StatusRequested e) {
             mQueries.answer(mNow, e, mEffects);
         } else if (event instanceof ReleaseRequested e) {
-            onReleaseOrdered(e);
+            onReleaseRequested(e);
         } else if (event instanceof MembershipChangeRequested e) {
-            mReplica.change(mNow, e.call(), e.change(), mEffects);
+            mReplica.changeMembership(mNow, e.call(), e.change(), mEffects);
         }
     }
 
     private void tick() {
         mReplica.step(mNow, new ConsensusEvent.Tick(), mEffects);
         mMembership.tick(mNow);
-        mRouters.forget(mNow);
-        mCrashes.forget(mNow);
-        mLoads.forget(mNow);
-        mSharing.tick(mNow, mEffects);
-        mRepair.tick(mNow, mEffects);
+        mRouters.expire(mNow);
+        mCrashSharing.expire(mNow);
+        mLoadSharing.expire(mNow);
+        mPeerSharing.tick(mNow, mEffects);
+        mReplicaRepair.tick(mNow, mEffects);
         if (!mNow.isBefore(mNextReport)) {
             mNextReport = mNow.plus(REPORT_INTERVAL);
-            mDirect.prune();
-            mEffects.accept(mQueries.report(mNow, mPeers.addresses()));
+            mDirectAnnouncements.prune();
+            mEffects.accept(mQueries.statusReport(mNow, mPeers.addresses()));
         }
     }
 
     private void onAnnounced(BackendAnnounced e) {
-        DirectAnnouncements.Outcome outcome = mDirect.receive(mNow, e.backend());
-        mPassedOver.note(mNow, e.backend(), outcome, mEffects);
+        DirectAnnouncements.Outcome outcome = mDirectAnnouncements.receive(mNow, e.backend());
+        mPassedOver.log(mNow, e.backend(), outcome, mEffects);
         mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
     }
 
     /** An instance that can't take a departure must not acknowledge it: another one may. */
     private void onWithdrawn(BackendWithdrawn e) {
-        DirectAnnouncements.Outcome outcome = mDirect.withdraw(mNow, e.backend());
+        DirectAnnouncements.Outcome outcome = mDirectAnnouncements.withdraw(mNow, e.backend());
         if (outcome == DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
             mEffects.accept(unknownServer(e.call(), e.backend().id()));
         } else {
@@ -171,7 +175,7 @@
     }
 
     /** Before any settings are known, backend servers of every service are heard. */
-    private boolean mayBeService(String name) {
+    private boolean isAcceptedService(String name) {
         SettingsTree tree = mReplica.state().settings().tree();
         return tree.size() == 0 || tree.services().contains(name);
     }
@@ -186,9 +190,9 @@
         mReplica.propose(mNow, e.call(), e.command(), mEffects);
     }
 
-    private void onReleaseOrdered(ReleaseRequested e) {
-        if (mCrashes.release(mNow, e.key())) {
-            mNotes.released(mNow, e.key(), e.author(), mEffects);
+    private void onReleaseRequested(ReleaseRequested e) {
+        if (mCrashSharing.release(mNow, e.key())) {
+            mNotes.quarantineReleased(mNow, e.key(), e.author(), mEffects);
             mEffects.accept(new ControlEffect.AnswerReleased(e.call()));
         } else {
             String message = "request " + e.key().fingerprintText() + " is not kept away";
@@ -198,14 +202,14 @@
         }
     }
 
-    private void backendChanged(Backend backend, String reason, boolean heardHere) {
+    private void onBackendChanged(Backend backend, String reason, boolean heardHere) {
         if (!heardHere) {
-            mNotes.leavingToldByPeer(mNow, backend, reason, mEffects);
+            mNotes.peerReportedBackend(mNow, backend, reason, mEffects);
             return;
         }
         mNotes.backendChanged(mNow, backend, reason, mEffects);
         if (backend.state() != Backend.State.SERVING) {
-            mSharing.urgent(backend);
+            mPeerSharing.announce(backend);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
@@ -24,7 +24,7 @@
     private final TreeMap<String, Long> mFences = new TreeMap<>();
     private final TreeMap<String, DrainOrder> mDrains = new TreeMap<>();
     private SettingsStore mSettings;
-    private Instant mTime = Instant.EPOCH;
+    private Instant mLogTime = Instant.EPOCH;
 
     /**
      * How much is kept; the same on every replica.
@@ -59,8 +59,8 @@
      */
     public CommandResult apply(long index, Command command) {
         // A new leader's clock may be behind its predecessor's; the log's time never goes back.
-        mTime = mTime.isAfter(command.timestamp()) ? mTime : command.timestamp();
-        Command c = command.withTimestamp(mTime);
+        mLogTime = mLogTime.isAfter(command.timestamp()) ? mLogTime : command.timestamp();
+        Command c = command.withTimestamp(mLogTime);
         if (c instanceof Command.ChangeSettings s) {
             return new SettingsResult(mSettings.apply(index, s));
         }
@@ -116,7 +116,7 @@
     /** Returns all that the state remembers. */
     public Snapshot snapshot() {
         return new Snapshot(
-                mTime,
+                mLogTime,
                 mSettings.state(),
                 mClaims.all(),
                 Map.copyOf(mFences),
@@ -129,7 +129,7 @@
      * @param snapshot as {@link #snapshot()} gave it
      */
     public void restore(Snapshot snapshot) {
-        mTime = snapshot.time();
+        mLogTime = snapshot.time();
         mSettings = new SettingsStore(snapshot.settings(), mLimits.settings());
         mClaims.restore(snapshot.claims());
         mFences.clear();
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -18,14 +18,14 @@
  * ended. Nothing of it is durable: after a start routers and peers tell it again.
  */
 final class CrashSharing {
-    private final MembershipCursor mRun;
+    private final MembershipCursor mOwnRun;
     private final QuarantineNotes mNotes = new QuarantineNotes(DecisionNotes.PROGRAM);
     private final CrashTable mCrashes;
-    private final Map<String, Long> mSeenOfPeers = new HashMap<>();
-    private final List<CrashRecord> mUrgent = new ArrayList<>();
+    private final Map<String, Long> mPeerVersions = new HashMap<>();
+    private final List<CrashRecord> mPendingForPeers = new ArrayList<>();
 
     CrashSharing(ControlConfig config) {
-        mRun = new MembershipCursor(config.name(), config.incarnation(), 0);
+        mOwnRun = new MembershipCursor(config.name(), config.incarnation(), 0);
         mCrashes = new CrashTable(config.name(), mNotes);
     }
 
@@ -35,14 +35,14 @@
      * @param cursor names the run of a control instance whose records it has
      * @param seen how far
      */
-    CrashDelta answer(Instant now, MembershipCursor cursor, long seen) {
-        return mCrashes.since(now, cursor.isSameRun(mRun) ? seen : 0);
+    CrashDelta deltaSince(Instant now, MembershipCursor cursor, long seen) {
+        return mCrashes.since(now, cursor.isSameRun(mOwnRun) ? seen : 0);
     }
 
     /** Takes what a router saw; what is new of it goes to the peers at once. */
-    void toldByRouter(Instant now, List<CrashRecord> records) {
+    void onRouterReport(Instant now, List<CrashRecord> records) {
         if (mCrashes.merge(now, records)) {
-            mUrgent.addAll(records);
+            mPendingForPeers.addAll(records);
         }
     }
 
@@ -56,7 +56,7 @@
             return false;
         }
         mCrashes.excuseAll(now, key);
-        mCrashes.find(now, key).ifPresent(mUrgent::add);
+        mCrashes.find(now, key).ifPresent(mPendingForPeers::add);
         return true;
     }
 
@@ -66,34 +66,34 @@
     }
 
     /** Returns, once, what peers should learn before they next ask. */
-    List<CrashRecord> takeUrgent() {
-        List<CrashRecord> urgent = List.copyOf(mUrgent);
-        mUrgent.clear();
+    List<CrashRecord> takePeerUpdate() {
+        List<CrashRecord> urgent = List.copyOf(mPendingForPeers);
+        mPendingForPeers.clear();
         return urgent;
     }
 
     /** Returns how far a peer's records are known here. */
-    long seenOf(String peer) {
-        return mSeenOfPeers.getOrDefault(peer, 0L);
+    long peerVersion(String peer) {
+        return mPeerVersions.getOrDefault(peer, 0L);
     }
 
     /** Takes a peer's answer. */
-    void answered(Instant now, String peer, CrashDelta delta) {
-        mSeenOfPeers.put(peer, delta.version());
+    void onPeerUpdate(Instant now, String peer, CrashDelta delta) {
+        mPeerVersions.put(peer, delta.version());
         mCrashes.merge(now, delta.records());
     }
 
     /** Takes what a peer passed on ahead of its next answer. */
-    void announced(Instant now, List<CrashRecord> records) {
+    void onPeerAnnouncement(Instant now, List<CrashRecord> records) {
         mCrashes.merge(now, records);
     }
 
-    void forget(Instant now) {
+    void expire(Instant now) {
         mCrashes.expire(now);
     }
 
     /** Writes what changed to the log. */
-    void flushNotes(Instant now, Consumer<? super ControlEffect> effects) {
+    void logDecisions(Instant now, Consumer<? super ControlEffect> effects) {
         mNotes.flush(now, d -> effects.accept(new ControlEffect.LogDecision(d)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
@@ -27,7 +27,7 @@
     void roleChanged(Instant now, RoleChanged e, Consumer<? super ControlEffect> effects) {
         String leader = e.leader() == null ? "none" : e.leader().name();
         String reason = mName + " is " + e.role() + " of term " + e.term();
-        note(now, new Subject("", "", ""), List.of(), leader, reason, effects);
+        log(now, new Subject("", "", ""), List.of(), leader, reason, effects);
     }
 
     void replicasChanged(Instant now, Membership m, Consumer<? super ControlEffect> effects) {
@@ -35,18 +35,18 @@
         String learners =
                 m.learners().stream().map(ReplicaId::toString).collect(Collectors.joining(" "));
         String reason = learners.isEmpty() ? "replicas" : "replicas; learning: " + learners;
-        note(now, new Subject("", "", ""), voters, "voters", reason, effects);
+        log(now, new Subject("", "", ""), voters, "voters", reason, effects);
     }
 
     void backendChanged(
             Instant now, Backend b, String reason, Consumer<? super ControlEffect> effects) {
         String id = b.ref().id();
         String choice = b.state().name();
-        note(now, new Subject("", "", b.service()), List.of(id), choice, reason, effects);
+        log(now, new Subject("", "", b.service()), List.of(id), choice, reason, effects);
     }
 
     /** A peer's word that a backend server takes no new work from now on. */
-    void leavingToldByPeer(
+    void peerReportedBackend(
             Instant now, Backend b, String reason, Consumer<? super ControlEffect> effects) {
         if (b.state() != Backend.State.SERVING) {
             backendChanged(now, b, reason, effects);
@@ -54,12 +54,12 @@
     }
 
     /** An announcement that changes nothing, since it is late or of another writer. */
-    void passedOver(
+    void announcementIgnored(
             Instant now, Backend b, String reason, Consumer<? super ControlEffect> effects) {
         List<String> candidates = List.of(b.ref().toString(), b.address());
         Subject subject = new Subject("", "", b.service());
         String announced = "announcement of " + b.state() + " " + reason;
-        note(now, subject, candidates, "passed over", announced, effects);
+        log(now, subject, candidates, "passed over", announced, effects);
     }
 
     void applied(Instant now, Command c, CommandResult r, Consumer<? super ControlEffect> out) {
@@ -68,42 +68,43 @@
         } else if (c instanceof Command.ChangeSettings s) {
             List<String> paths = s.changes().stream().map(Command.NodeChange::path).toList();
             String reason = "settings changed by " + s.author();
-            note(now, new Subject(s.changeId(), "", ""), paths, r.code().name(), reason, out);
+            log(now, new Subject(s.changeId(), "", ""), paths, r.code().name(), reason, out);
         } else if (c instanceof Command.ReplaceSettings s) {
             List<String> revision = List.of("revision " + s.revision());
             String reason = "tree replaced by " + s.author();
-            note(now, new Subject("", "", ""), revision, r.code().name(), reason, out);
+            log(now, new Subject("", "", ""), revision, r.code().name(), reason, out);
         } else if (c instanceof Command.Drain d) {
             String order = d.drain() ? "drain" : "undrain";
             List<String> backend = List.of(d.backend());
             String reason = "ordered by " + d.author();
-            note(now, new Subject("", "", ""), backend, order, reason, out);
+            log(now, new Subject("", "", ""), backend, order, reason, out);
         } else if (c instanceof Command.IssueFence f) {
             String fence = Long.toString(((FenceResult) r).fence());
             List<String> backend = List.of(f.backend());
-            note(now, new Subject("", "", ""), backend, fence, "fencing number issued", out);
+            log(now, new Subject("", "", ""), backend, fence, "fencing number issued", out);
         }
     }
 
     /** A reader that has nothing, such as one that has just started, is told of every node. */
-    void treeTold(
+    void fullTreeSent(
             Instant now, String reader, SettingsDelta d, Consumer<? super ControlEffect> out) {
         List<String> position = List.of("position " + d.position());
         String reason = "whole tree told, " + d.nodes().size() + " nodes";
-        note(now, new Subject("", "", ""), position, reader, reason, out);
+        log(now, new Subject("", "", ""), position, reader, reason, out);
     }
 
-    void released(Instant now, RequestKey key, String author, Consumer<? super ControlEffect> out) {
+    void quarantineReleased(
+            Instant now, RequestKey key, String author, Consumer<? super ControlEffect> out) {
         List<String> fingerprint = List.of(key.fingerprintText());
         Subject subject = new Subject("", key.account(), "");
-        note(now, subject, fingerprint, "release", "ordered by " + author, out);
+        log(now, subject, fingerprint, "release", "ordered by " + author, out);
     }
 
     private void claimed(
             Instant now, Command.Claim c, ClaimResult r, Consumer<? super ControlEffect> out) {
         Subject subject = new Subject(c.attempt().requestName(), c.account(), c.service());
         String holder = r.holder() == null ? r.code().name() : r.holder().toString();
-        note(now, subject, List.of(c.attempt().toString()), holder, reason(c, r), out);
+        log(now, subject, List.of(c.attempt().toString()), holder, reason(c, r), out);
     }
 
     private static String reason(Command.Claim c, ClaimResult r) {
@@ -116,7 +117,7 @@
         return r.settled() ? "claim settled: " + r.settledCode() : "claim held by another";
     }
 
-    private void note(
+    private void log(
             Instant now,
             Subject subject,
             List<String> candidates,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -18,23 +18,23 @@
  * Answers exchanges. An answer costs what is new to the reader: a sidecar is told of its own
  * service alone, and neither of single client accounts.
  */
-final class Exchanges {
+final class ExchangeHandler {
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final RouterTable mRouters;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
     private final DecisionNotes mNotes;
 
-    Exchanges(
+    ExchangeHandler(
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
             CrashSharing crashes,
             LoadSharing loads,
             DecisionNotes notes) {
-        mCrashes = crashes;
-        mLoads = loads;
+        mCrashSharing = crashes;
+        mLoadSharing = loads;
         mNotes = notes;
         mMembership = membership;
         mReplica = replica;
@@ -64,19 +64,19 @@
     }
 
     void answer(Instant now, RouterExchanged e, Consumer<? super ControlEffect> effects) {
-        mCrashes.toldByRouter(now, e.crashes().records());
-        mLoads.toldByRouter(now, e.report().name(), e.loads());
-        mRouters.heard(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
+        mCrashSharing.onRouterReport(now, e.crashes().records());
+        mLoadSharing.onRouterReport(now, e.report().name(), e.loads());
+        mRouters.put(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
         SettingsDelta settings = settings(e.settingsPosition());
         if (settings.full()) {
-            mNotes.treeTold(now, e.report().name(), settings, effects);
+            mNotes.fullTreeSent(now, e.report().name(), settings, effects);
         }
         effects.accept(
                 new AnswerExchange(
                         e.call(),
                         mMembership.deltaSince(e.cursor(), null),
-                        mCrashes.answer(now, e.cursor(), e.crashes().seen()),
-                        mLoads.digest(now),
+                        mCrashSharing.deltaSince(now, e.cursor(), e.crashes().seen()),
+                        mLoadSharing.digest(now),
                         settings,
                         mMembership.loads(),
                         isPossiblyStale(now, e.settingsPosition()),
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
@@ -14,18 +14,18 @@
  */
 final class LoadSharing {
     /** Between two messages of loads to the other control instances. */
-    private static final Duration PEER_INTERVAL = Duration.ofMillis(100);
+    private static final Duration PEER_UPDATE_INTERVAL = Duration.ofMillis(100);
 
     /** How often it is looked for who is busy; that takes a look at every backend server. */
     private static final Duration DIGEST_INTERVAL = Duration.ofMillis(50);
 
-    private static final Duration FORGET_INTERVAL = Duration.ofMillis(100);
+    private static final Duration EXPIRY_INTERVAL = Duration.ofMillis(100);
 
     private final SharedMembership mMembership;
     private final LoadTable mLoads;
-    private Instant mNextForPeers = Instant.MIN;
+    private Instant mNextPeerUpdate = Instant.MIN;
     private Instant mNextDigest = Instant.MIN;
-    private Instant mNextForget = Instant.MIN;
+    private Instant mNextExpiry = Instant.MIN;
     private LoadDigest mDigest = LoadDigest.NONE;
 
     LoadSharing(ControlConfig config, SharedMembership membership) {
@@ -34,12 +34,12 @@
     }
 
     /** Takes what a router has at each backend server. */
-    void toldByRouter(Instant now, String router, LoadReport loads) {
+    void onRouterReport(Instant now, String router, LoadReport loads) {
         mLoads.onRouterReport(now, router, loads);
     }
 
     /** Takes what a peer passed on. */
-    void toldByPeer(Instant now, PeerLoads loads) {
+    void onPeerLoads(Instant now, PeerLoads loads) {
         if (!loads.isEmpty()) {
             mLoads.onPeerLoads(now, loads);
         }
@@ -55,24 +55,24 @@
     }
 
     /** Returns, once, what peers are told now; nothing while the last message is too fresh. */
-    PeerLoads takeForPeers(Instant now) {
-        if (now.isBefore(mNextForPeers)) {
+    PeerLoads takePeerUpdate(Instant now) {
+        if (now.isBefore(mNextPeerUpdate)) {
             return PeerLoads.NONE;
         }
-        mNextForPeers = now.plus(PEER_INTERVAL);
+        mNextPeerUpdate = now.plus(PEER_UPDATE_INTERVAL);
         return mLoads.takePeerUpdate(now);
     }
 
     /** Returns how many requests are known to be at backend servers. */
-    int requests() {
+    int requestCount() {
         return mLoads.requests();
     }
 
-    void forget(Instant now) {
-        if (now.isBefore(mNextForget)) {
+    void expire(Instant now) {
+        if (now.isBefore(mNextExpiry)) {
             return;
         }
-        mNextForget = now.plus(FORGET_INTERVAL);
+        mNextExpiry = now.plus(EXPIRY_INTERVAL);
         mLoads.expire(now);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -30,15 +30,15 @@
     private final ControlConfig mConfig;
     private final LogCodec mCodec;
     private final ControlState mState;
-    private final ConsensusReducer mAgreement;
-    private final Freshness mFreshness;
+    private final ConsensusReducer mConsensus;
+    private final StalenessDetector mStaleness;
     private final DecisionNotes mNotes;
-    private final Map<Long, Command> mCommands = new HashMap<>();
-    private final Set<Long> mMemberChanges = new HashSet<>();
-    private final Map<Long, Runnable> mReads = new HashMap<>();
+    private final Map<Long, Command> mPendingCommands = new HashMap<>();
+    private final Set<Long> mPendingMembershipChanges = new HashSet<>();
+    private final Map<Long, Runnable> mPendingReads = new HashMap<>();
 
     /** Whole trees whose difference came too late. */
-    private final Queue<Long> mOvertaken = new ArrayDeque<>();
+    private final Queue<Long> mConflictedReplaces = new ArrayDeque<>();
 
     private Instant mNow;
     private Consumer<? super ControlEffect> mEffects;
@@ -48,8 +48,8 @@
         mConfig = config;
         mCodec = codec;
         mState = new ControlState(config.limits());
-        mAgreement = new ConsensusReducer(config.replica(), config.consensus(), seed);
-        mFreshness = new Freshness(mAgreement, config.staleAfter());
+        mConsensus = new ConsensusReducer(config.replica(), config.consensus(), seed);
+        mStaleness = new StalenessDetector(mConsensus, config.staleAfter());
         mNotes = notes;
     }
 
@@ -59,36 +59,36 @@
     }
 
     boolean isPossiblyStale(Instant now) {
-        return mFreshness.isPossiblyStale(now);
+        return mStaleness.isPossiblyStale(now);
     }
 
-    ControlInstanceStatus presence(Instant now) {
+    ControlInstanceStatus status(Instant now) {
         return new ControlInstanceStatus(
                 mConfig.replica(),
                 mConfig.address(),
-                leads(),
-                mAgreement.term(),
-                mAgreement.commitIndex(),
+                isLeader(),
+                mConsensus.term(),
+                mConsensus.commitIndex(),
                 isPossiblyStale(now),
-                mAgreement.membership());
+                mConsensus.membership());
     }
 
-    boolean leads() {
-        return mAgreement.role() == Role.LEADER;
+    boolean isLeader() {
+        return mConsensus.role() == Role.LEADER;
     }
 
     /** Returns the bytes of the log's entries in memory. */
     long logBytes() {
-        return mAgreement.logBytes();
+        return mConsensus.logBytes();
     }
 
     /** Returns the bytes of the last snapshot's state. */
     long snapshotBytes() {
-        return mAgreement.snapshotBytes();
+        return mConsensus.snapshotBytes();
     }
 
-    Membership members() {
-        return mAgreement.membership();
+    Membership membership() {
+        return mConsensus.membership();
     }
 
     void step(Instant now, ConsensusEvent event, Consumer<? super ControlEffect> effects) {
@@ -97,10 +97,10 @@
         if (event instanceof ConsensusEvent.Recovered r && r.snapshot().index() > 0) {
             restore(r.snapshot());
         }
-        mAgreement.step(now, event, this::take);
-        proposeWholeTrees();
+        mConsensus.step(now, event, this::onEffect);
+        retryConflictedReplaces();
         if (event instanceof ConsensusEvent.MessageReceived m) {
-            mFreshness.received(now, m);
+            mStaleness.onMessage(now, m);
         }
     }
 
@@ -108,7 +108,7 @@
     void propose(Instant now, long call, Command command, Consumer<? super ControlEffect> out) {
         // Files hold milliseconds; all replicas have to apply the same instant.
         Command stamped = command.withTimestamp(Instant.ofEpochMilli(now.toEpochMilli()));
-        mCommands.put(call, stamped);
+        mPendingCommands.put(call, stamped);
         step(now, new ConsensusEvent.Proposed(call, encode(stamped)), out);
     }
 
@@ -116,7 +116,7 @@
     private byte[] encode(Command command) {
         byte[] encoded = mCodec.encode(command);
         boolean fits = encoded.length <= mConfig.consensus().logLimits().maxCommandBytes();
-        if (!fits || !leads() || !(command instanceof Command.ReplaceSettings whole)) {
+        if (!fits || !isLeader() || !(command instanceof Command.ReplaceSettings whole)) {
             return encoded;
         }
         byte[] patch = mCodec.encode(mState.settings().patchTo(whole));
@@ -124,26 +124,27 @@
     }
 
     /** After the step that told of them: the agreement takes one event at a time. */
-    private void proposeWholeTrees() {
-        while (!mOvertaken.isEmpty()) {
-            long call = mOvertaken.remove();
-            byte[] whole = mCodec.encode(mCommands.get(call));
-            mAgreement.step(mNow, new ConsensusEvent.Proposed(call, whole), this::take);
+    private void retryConflictedReplaces() {
+        while (!mConflictedReplaces.isEmpty()) {
+            long call = mConflictedReplaces.remove();
+            byte[] whole = mCodec.encode(mPendingCommands.get(call));
+            mConsensus.step(mNow, new ConsensusEvent.Proposed(call, whole), this::onEffect);
         }
     }
 
-    void change(Instant now, long call, MembershipChange c, Consumer<? super ControlEffect> out) {
-        mMemberChanges.add(call);
+    void changeMembership(
+            Instant now, long call, MembershipChange c, Consumer<? super ControlEffect> out) {
+        mPendingMembershipChanges.add(call);
         step(now, new ConsensusEvent.MembershipChangeProposed(call, c), out);
     }
 
     /** Runs a read once the state is at least as new as any write that ended before. */
     void read(Instant now, long call, Runnable read, Consumer<? super ControlEffect> out) {
-        mReads.put(call, read);
+        mPendingReads.put(call, read);
         step(now, new ConsensusEvent.ReadRequested(call), out);
     }
 
-    private void take(ConsensusEffect e) {
+    private void onEffect(ConsensusEffect e) {
         if (e instanceof ConsensusEffect.Send s) {
             mEffects.accept(new ControlEffect.SendToReplica(s));
         } else if (e instanceof ConsensusEffect.Persist p) {
@@ -153,26 +154,26 @@
         } else if (e instanceof ConsensusEffect.Apply a) {
             mLastResult = mState.apply(a.index(), mCodec.decodeCommand(a.command()));
         } else if (e instanceof ConsensusEffect.ProposalAccepted a) {
-            accepted(a.proposalId());
+            onAccepted(a.proposalId());
         } else if (e instanceof ConsensusEffect.ProposalRejected r) {
-            rejected(r);
+            onRejected(r);
         } else if (e instanceof ConsensusEffect.ReadReady r) {
-            mReads.remove(r.readId()).run();
+            mPendingReads.remove(r.readId()).run();
         } else if (e instanceof ConsensusEffect.ReadRejected r) {
-            mReads.remove(r.readId());
-            refuse(r.readId(), r.code(), r.leader());
+            mPendingReads.remove(r.readId());
+            answerError(r.readId(), r.code(), r.leader());
         } else {
-            takeRest(e);
+            onOtherEffect(e);
         }
     }
 
-    private void takeRest(ConsensusEffect e) {
+    private void onOtherEffect(ConsensusEffect e) {
         if (e instanceof ConsensusEffect.TakeSnapshot t) {
             mEffects.accept(new EncodeSnapshot(t.index(), mState.snapshot()));
         } else if (e instanceof ConsensusEffect.InstallSnapshot i) {
             restore(i.snapshot());
         } else if (e instanceof ConsensusEffect.RoleChanged r) {
-            mFreshness.roleChanged(r.role());
+            mStaleness.onRoleChanged(r.role());
             mNotes.roleChanged(mNow, r, mEffects);
         } else if (e instanceof ConsensusEffect.LeadershipTransferEnded) {
             mEffects.accept(new ControlEffect.LeadershipTransferEnded());
@@ -185,34 +186,34 @@
         mState.restore(mCodec.decodeSnapshot(snapshot.state()));
     }
 
-    private void accepted(long call) {
-        if (mMemberChanges.remove(call)) {
-            mEffects.accept(new AnswerMembership(call, mAgreement.membership()));
+    private void onAccepted(long call) {
+        if (mPendingMembershipChanges.remove(call)) {
+            mEffects.accept(new AnswerMembership(call, mConsensus.membership()));
             return;
         }
-        if (isOvertaken(mCommands.get(call))) {
-            mOvertaken.add(call);
+        if (isPatchConflict(mPendingCommands.get(call))) {
+            mConflictedReplaces.add(call);
             return;
         }
-        mNotes.applied(mNow, mCommands.remove(call), mLastResult, mEffects);
+        mNotes.applied(mNow, mPendingCommands.remove(call), mLastResult, mEffects);
         mEffects.accept(new AnswerCommand(call, mLastResult));
     }
 
     /**
      * Returns whether the tree in force was another one than the one that the log's patch needs.
      */
-    private boolean isOvertaken(Command command) {
+    private boolean isPatchConflict(Command command) {
         return command instanceof Command.ReplaceSettings
                 && mLastResult.code() == ResultCode.SETTINGS_CONFLICT;
     }
 
-    private void rejected(ConsensusEffect.ProposalRejected r) {
-        mMemberChanges.remove(r.proposalId());
-        mCommands.remove(r.proposalId());
-        refuse(r.proposalId(), r.code(), r.leader());
+    private void onRejected(ConsensusEffect.ProposalRejected r) {
+        mPendingMembershipChanges.remove(r.proposalId());
+        mPendingCommands.remove(r.proposalId());
+        answerError(r.proposalId(), r.code(), r.leader());
     }
 
-    private void refuse(long call, ResultCode code, ReplicaId leader) {
+    private void answerError(long call, ResultCode code, ReplicaId leader) {
         boolean leaderless = code == ResultCode.NOT_LEADER && leader == null;
         ResultCode told = leaderless ? ResultCode.NO_QUORUM : code;
         mEffects.accept(new AnswerError(call, told, message(told), mConfig.addressOf(leader)));
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
@@ -14,27 +14,27 @@
  */
 final class PassedOverNotes {
     /** Another writer may send without end; a line a second tells as much as all of them. */
-    private static final Duration INTERVAL = Duration.ofSeconds(1);
+    private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
     private final DecisionNotes mNotes;
-    private final Map<Kind, Instant> mNext = new HashMap<>();
+    private final Map<Kind, Instant> mNextLogTime = new HashMap<>();
     private final Map<Kind, Integer> mCounts = new HashMap<>();
 
     PassedOverNotes(DecisionNotes notes) {
         mNotes = notes;
     }
 
-    void note(Instant now, Backend b, Outcome outcome, Consumer<? super ControlEffect> effects) {
+    void log(Instant now, Backend b, Outcome outcome, Consumer<? super ControlEffect> effects) {
         if (outcome == Outcome.TAKEN) {
             return;
         }
         Kind kind = new Kind(outcome, b.state());
         int count = mCounts.merge(kind, 1, Integer::sum);
-        if (now.isBefore(mNext.getOrDefault(kind, Instant.MIN))) {
+        if (now.isBefore(mNextLogTime.getOrDefault(kind, Instant.MIN))) {
             return;
         }
-        mNext.put(kind, now.plus(INTERVAL));
-        mNotes.passedOver(now, b, outcome.name() + ", " + count + " so far", effects);
+        mNextLogTime.put(kind, now.plus(LOG_INTERVAL));
+        mNotes.announcementIgnored(now, b, outcome.name() + ", " + count + " so far", effects);
     }
 
     private record Kind(Outcome outcome, Backend.State state) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -18,17 +18,17 @@
 
 /** Exchanges with the other control instances what each of them hears. */
 final class PeerSharing {
-    private static final int ROUTERS_EVERY = 10;
+    private static final int ROUNDS_PER_ROUTER_UPDATE = 10;
 
     private final ControlConfig mConfig;
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final RouterTable mRouters;
-    private final PeerPresences mPresences;
+    private final PeerStatuses mPeerStatuses;
     private final ControlPeers mPeers;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
-    private final List<Announcement> mUrgent = new ArrayList<>();
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
+    private final List<Announcement> mPendingAnnouncements = new ArrayList<>();
     private Instant mNextRound = Instant.MIN;
     private int mRound;
 
@@ -37,37 +37,38 @@
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
-            PeerPresences presences,
+            PeerStatuses presences,
             ControlPeers peers,
             CrashSharing crashes,
             LoadSharing loads) {
-        mCrashes = crashes;
-        mLoads = loads;
+        mCrashSharing = crashes;
+        mLoadSharing = loads;
         mConfig = config;
         mMembership = membership;
         mReplica = replica;
         mRouters = routers;
-        mPresences = presences;
+        mPeerStatuses = presences;
         mPeers = peers;
     }
 
     /** Notes a change that peers should learn of before they next ask. */
-    void urgent(Backend backend) {
-        mUrgent.add(new Announcement(backend, mConfig.name()));
+    void announce(Backend backend) {
+        mPendingAnnouncements.add(new Announcement(backend, mConfig.name()));
     }
 
     /** Sends what does not wait for the peers' next question. */
     void flush(Instant now, Consumer<? super ControlEffect> effects) {
-        List<CrashRecord> crashes = mCrashes.takeUrgent();
-        PeerLoads loads = mLoads.takeForPeers(now);
-        if (mUrgent.isEmpty() && crashes.isEmpty() && loads.isEmpty()) {
+        List<CrashRecord> crashes = mCrashSharing.takePeerUpdate();
+        PeerLoads loads = mLoadSharing.takePeerUpdate(now);
+        if (mPendingAnnouncements.isEmpty() && crashes.isEmpty() && loads.isEmpty()) {
             return;
         }
         List<String> peers = mPeers.all();
         if (!peers.isEmpty()) {
-            effects.accept(new AnnounceToPeers(peers, List.copyOf(mUrgent), crashes, loads));
+            effects.accept(
+                    new AnnounceToPeers(peers, List.copyOf(mPendingAnnouncements), crashes, loads));
         }
-        mUrgent.clear();
+        mPendingAnnouncements.clear();
     }
 
     void tick(Instant now, Consumer<? super ControlEffect> effects) {
@@ -76,32 +77,35 @@
         }
         Duration interval = mConfig.shareInterval();
         mNextRound = now.plus(interval);
-        boolean withRouters = mRound++ % ROUTERS_EVERY == 0;
-        mReplica.members().all().forEach(r -> mPeers.learn(now, r.name()));
-        mPeers.forget(now);
+        boolean withRouters = mRound++ % ROUNDS_PER_ROUTER_UPDATE == 0;
+        mReplica.membership().all().forEach(r -> mPeers.discover(now, r.name()));
+        mPeers.removeSilent(now);
         for (String peer : mPeers.all()) {
             effects.accept(
                     new RequestPeerUpdate(
-                            peer, mMembership.cursorOf(peer), mCrashes.seenOf(peer), withRouters));
+                            peer,
+                            mMembership.cursorOf(peer),
+                            mCrashSharing.peerVersion(peer),
+                            withRouters));
         }
     }
 
     void answer(Instant now, PeerUpdateRequested e, Consumer<? super ControlEffect> effects) {
-        mPeers.learn(now, e.peer());
+        mPeers.discover(now, e.peer());
         effects.accept(
                 new AnswerPeerUpdate(
                         e.call(),
                         mMembership.updateSince(e.cursor()),
-                        mCrashes.answer(now, e.cursor(), e.crashesSeen()),
-                        e.withRouters() ? mRouters.own() : List.of(),
-                        mReplica.presence(now)));
+                        mCrashSharing.deltaSince(now, e.cursor(), e.crashesSeen()),
+                        e.withRouters() ? mRouters.local() : List.of(),
+                        mReplica.status(now)));
     }
 
-    void take(Instant now, PeerUpdateReceived e) {
+    void onPeerUpdate(Instant now, PeerUpdateReceived e) {
         mMembership.merge(now, e.peer(), e.share());
-        mCrashes.answered(now, e.peer(), e.crashes());
-        mRouters.told(e.routers());
-        mPresences.put(now, e.status());
-        e.status().members().all().forEach(r -> mPeers.learn(now, r.name()));
+        mCrashSharing.onPeerUpdate(now, e.peer(), e.crashes());
+        mRouters.merge(e.routers());
+        mPeerStatuses.put(now, e.status());
+        e.status().members().all().forEach(r -> mPeers.discover(now, r.name()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Queries.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/QueryHandler.java
@@ -22,27 +22,27 @@
 import org.laurelweir.settings.SettingsTree;
 
 /** Answers operators' questions. */
-final class Queries {
+final class QueryHandler {
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final RouterTable mRouters;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
-    private final PeerPresences mPeers;
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
+    private final PeerStatuses mPeerStatuses;
 
-    Queries(
+    QueryHandler(
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
             CrashSharing crashes,
             LoadSharing loads,
-            PeerPresences peers) {
-        mCrashes = crashes;
-        mLoads = loads;
+            PeerStatuses peers) {
+        mCrashSharing = crashes;
+        mLoadSharing = loads;
         mMembership = membership;
         mReplica = replica;
         mRouters = routers;
-        mPeers = peers;
+        mPeerStatuses = peers;
     }
 
     void answer(Instant now, SettingsRequested e, Consumer<? super ControlEffect> effects) {
@@ -90,14 +90,14 @@
                                 .history(Optional.ofNullable(e.path()), e.limit())));
     }
 
-    ControlEffect.ReportStatus report(Instant now, List<String> peers) {
+    ControlEffect.ReportStatus statusReport(Instant now, List<String> peers) {
         return new ControlEffect.ReportStatus(
-                mReplica.presence(now),
+                mReplica.status(now),
                 mMembership.sessionCount(),
                 mMembership.backendCount(),
                 mReplica.state().claimCount(),
-                mCrashes.quarantined(now).size(),
-                mLoads.requests(),
+                mCrashSharing.quarantined(now).size(),
+                mLoadSharing.requestCount(),
                 mReplica.state().settings().tree().position(),
                 mReplica.logBytes(),
                 mReplica.snapshotBytes(),
@@ -106,8 +106,8 @@
 
     void answer(Instant now, StatusRequested e, Consumer<? super ControlEffect> effects) {
         List<ControlInstanceStatus> controls = new ArrayList<>();
-        controls.add(mReplica.presence(now));
-        controls.addAll(mPeers.all());
+        controls.add(mReplica.status(now));
+        controls.addAll(mPeerStatuses.all());
         List<BackendServerStatus> backends =
                 mMembership.backends().stream()
                         .map(
@@ -125,7 +125,7 @@
                                 backends,
                                 mRouters.all(),
                                 mMembership.loads(),
-                                mCrashes.quarantined(now),
+                                mCrashSharing.quarantined(now),
                                 mReplica.state().settings().tree().position())));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
@@ -30,45 +30,45 @@
  */
 final class ReplicaRepair {
     /** The number under which the replica answers; no caller waits for it. */
-    static final long CALL = -1;
+    static final long INTERNAL_CALL = -1;
 
-    private static final Duration INTERVAL = Duration.ofMillis(500);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
     /** Longer than a restart with recovery takes, so that an ordinary restart changes nothing. */
-    private static final Duration REMOVE_AFTER = Duration.ofSeconds(10);
+    private static final Duration REMOVAL_TIMEOUT = Duration.ofSeconds(10);
 
     private final LogReplica mReplica;
-    private final PeerPresences mPeers;
-    private final boolean mOpen;
+    private final PeerStatuses mPeerStatuses;
+    private final boolean mAutoJoin;
     private final Map<ReplicaId, Instant> mSilentSince = new HashMap<>();
-    private Instant mNext = Instant.MIN;
+    private Instant mNextCheck = Instant.MIN;
 
-    ReplicaRepair(LogReplica replica, PeerPresences peers, boolean open) {
+    ReplicaRepair(LogReplica replica, PeerStatuses peers, boolean open) {
         mReplica = replica;
-        mPeers = peers;
-        mOpen = open;
+        mPeerStatuses = peers;
+        mAutoJoin = open;
     }
 
     void tick(Instant now, Consumer<? super ControlEffect> effects) {
-        if (now.isBefore(mNext)) {
+        if (now.isBefore(mNextCheck)) {
             return;
         }
-        mNext = now.plus(INTERVAL);
-        if (!mReplica.leads()) {
+        mNextCheck = now.plus(CHECK_INTERVAL);
+        if (!mReplica.isLeader()) {
             mSilentSince.clear();
             return;
         }
         List<ReplicaId> present = new ArrayList<>();
-        mPeers.fresh(now).forEach(p -> present.add(p.replica()));
-        present.add(mReplica.presence(now).replica());
-        Membership members = mReplica.members();
-        noteSilent(now, members, present);
-        new VoterPlan(members, present, overdue(now), mOpen)
+        mPeerStatuses.recent(now).forEach(p -> present.add(p.replica()));
+        present.add(mReplica.status(now).replica());
+        Membership members = mReplica.membership();
+        updateSilentReplicas(now, members, present);
+        new VoterPlan(members, present, timedOut(now), mAutoJoin)
                 .nextStep()
-                .ifPresent(step -> mReplica.change(now, CALL, step, effects));
+                .ifPresent(step -> mReplica.changeMembership(now, INTERNAL_CALL, step, effects));
     }
 
-    private void noteSilent(Instant now, Membership members, List<ReplicaId> present) {
+    private void updateSilentReplicas(Instant now, Membership members, List<ReplicaId> present) {
         mSilentSince.keySet().removeIf(r -> present.contains(r) || !members.contains(r));
         for (ReplicaId r : members.all()) {
             if (!present.contains(r)) {
@@ -77,12 +77,12 @@
         }
     }
 
-    private Set<ReplicaId> overdue(Instant now) {
-        if (!mOpen) {
+    private Set<ReplicaId> timedOut(Instant now) {
+        if (!mAutoJoin) {
             return Set.of();
         }
         return mSilentSince.entrySet().stream()
-                .filter(e -> !e.getValue().plus(REMOVE_AFTER).isAfter(now))
+                .filter(e -> !e.getValue().plus(REMOVAL_TIMEOUT).isAfter(now))
                 .map(Map.Entry::getKey)
                 .collect(Collectors.toSet());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
@@ -10,17 +10,17 @@
 
 /** Routers by name, as heard here or told by peers, for operators and account limits. */
 final class RouterTable {
-    private static final Duration KEPT = Duration.ofMinutes(1);
+    private static final Duration RETENTION = Duration.ofMinutes(1);
 
-    private final Map<String, RouterInstanceStatus> mOwn = new TreeMap<>();
+    private final Map<String, RouterInstanceStatus> mLocal = new TreeMap<>();
     private final Map<String, RouterInstanceStatus> mAll = new TreeMap<>();
 
-    void heard(RouterInstanceStatus router) {
-        mOwn.put(router.report().name(), router);
+    void put(RouterInstanceStatus router) {
+        mLocal.put(router.report().name(), router);
         mAll.put(router.report().name(), router);
     }
 
-    void told(Collection<RouterInstanceStatus> routers) {
+    void merge(Collection<RouterInstanceStatus> routers) {
         for (RouterInstanceStatus r : routers) {
             RouterInstanceStatus known = mAll.get(r.report().name());
             if (known == null || r.lastExchange().isAfter(known.lastExchange())) {
@@ -29,8 +29,8 @@
         }
     }
 
-    List<RouterInstanceStatus> own() {
-        return new ArrayList<>(mOwn.values());
+    List<RouterInstanceStatus> local() {
+        return new ArrayList<>(mLocal.values());
     }
 
     /** Returns how many routers serve. One that left without a word counts for a minute more. */
@@ -42,9 +42,9 @@
         return new ArrayList<>(mAll.values());
     }
 
-    void forget(Instant now) {
-        Instant latest = now.minus(KEPT);
-        mOwn.values().removeIf(r -> r.lastExchange().isBefore(latest));
+    void expire(Instant now) {
+        Instant latest = now.minus(RETENTION);
+        mLocal.values().removeIf(r -> r.lastExchange().isBefore(latest));
         mAll.values().removeIf(r -> r.lastExchange().isBefore(latest));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Freshness.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/StalenessDetector.java
@@ -14,28 +14,28 @@
  * It knows by the leader's silence. A leader without a quorum steps down by itself within its
  * election timeout, so a follower that hears one is behind by two such times at most.
  */
-final class Freshness {
-    private final ConsensusReducer mAgreement;
-    private final Duration mFreshFor;
-    private Instant mConfirmed = Instant.MIN;
-    private Instant mHeard;
-    private long mHeardCommit;
-    private long mLeadingSince = Long.MAX_VALUE;
+final class StalenessDetector {
+    private final ConsensusReducer mConsensus;
+    private final Duration mStaleAfter;
+    private Instant mLastConfirmed = Instant.MIN;
+    private Instant mUnconfirmedContact;
+    private long mUnconfirmedCommitIndex;
+    private long mCommitIndexAtElection = Long.MAX_VALUE;
 
-    Freshness(ConsensusReducer agreement, Duration freshFor) {
-        mAgreement = agreement;
-        mFreshFor = freshFor;
+    StalenessDetector(ConsensusReducer agreement, Duration freshFor) {
+        mConsensus = agreement;
+        mStaleAfter = freshFor;
     }
 
     /** Called when the replica has taken a message. */
-    void received(Instant now, MessageReceived e) {
-        boolean fromLeader = e.from().equals(mAgreement.leader());
+    void onMessage(Instant now, MessageReceived e) {
+        boolean fromLeader = e.from().equals(mConsensus.leader());
         if (fromLeader
-                && mHeard == null
+                && mUnconfirmedContact == null
                 && e.message() instanceof AppendRequest a
-                && a.term() == mAgreement.term()) {
-            mHeard = now;
-            mHeardCommit = a.commitIndex();
+                && a.term() == mConsensus.term()) {
+            mUnconfirmedContact = now;
+            mUnconfirmedCommitIndex = a.commitIndex();
         }
         confirm();
     }
@@ -46,23 +46,23 @@
      * behind under load from being called stale.
      */
     private void confirm() {
-        if (mHeard != null && mHeardCommit <= mAgreement.commitIndex()) {
-            mConfirmed = mHeard;
-            mHeard = null;
+        if (mUnconfirmedContact != null && mUnconfirmedCommitIndex <= mConsensus.commitIndex()) {
+            mLastConfirmed = mUnconfirmedContact;
+            mUnconfirmedContact = null;
         }
     }
 
-    void roleChanged(Role role) {
-        mHeard = null;
-        mLeadingSince = role == Role.LEADER ? mAgreement.commitIndex() : Long.MAX_VALUE;
+    void onRoleChanged(Role role) {
+        mUnconfirmedContact = null;
+        mCommitIndexAtElection = role == Role.LEADER ? mConsensus.commitIndex() : Long.MAX_VALUE;
     }
 
     boolean isPossiblyStale(Instant now) {
-        if (mAgreement.role() == Role.LEADER) {
+        if (mConsensus.role() == Role.LEADER) {
             // Until an entry of its own term is committed, a leader may not know of all others.
-            return mAgreement.commitIndex() <= mLeadingSince;
+            return mConsensus.commitIndex() <= mCommitIndexAtElection;
         }
         confirm();
-        return mConfirmed.equals(Instant.MIN) || mConfirmed.plus(mFreshFor).isBefore(now);
+        return mLastConfirmed.equals(Instant.MIN) || mLastConfirmed.plus(mStaleAfter).isBefore(now);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
@@ -18,47 +18,50 @@
  * nothing depends on what it remembers.
  *
  * @param members the replicas of the log
- * @param present those that control instances say they are now
- * @param overdue those that have been silent for so long that they are to be removed
- * @param open whether instances that no settings name join by themselves
+ * @param runningReplicas those that control instances say they are now
+ * @param timedOut those that have been silent for so long that they are to be removed
+ * @param autoJoin whether instances that no settings name join by themselves
  */
 record VoterPlan(
-        Membership members, Collection<ReplicaId> present, Set<ReplicaId> overdue, boolean open) {
-    private static final int MOST_VOTERS = 7;
+        Membership members,
+        Collection<ReplicaId> runningReplicas,
+        Set<ReplicaId> timedOut,
+        boolean autoJoin) {
+    private static final int MAX_VOTERS = 7;
 
     /** Fewer voters would not survive a single loss. */
-    private static final int FEWEST_VOTERS = 3;
+    private static final int MIN_VOTERS = 3;
 
     /** Returns the next step, or nothing where all is as it should be. */
     Optional<MembershipChange> nextStep() {
-        return present.stream()
-                .map(this::stepOf)
+        return runningReplicas.stream()
+                .map(this::stepFor)
                 .flatMap(Optional::stream)
                 .findFirst()
                 .or(this::removal);
     }
 
-    private Optional<MembershipChange> stepOf(ReplicaId replica) {
+    private Optional<MembershipChange> stepFor(ReplicaId replica) {
         Optional<ReplicaId> before =
                 members.all().stream()
                         .filter(r -> r.name().equals(replica.name()) && !r.equals(replica))
                         .findFirst();
         if (members.learners().contains(replica)) {
             boolean replaces = before.filter(members::isVoter).isPresent();
-            return mayVote(replica) && (replaces || isWanted())
+            return mayVote(replica) && (replaces || isVoterNeeded())
                     ? Optional.of(new MembershipChange.Promote(replica))
                     : before.map(MembershipChange.Remove::new);
         }
         if (members.isVoter(replica)) {
             return before.map(MembershipChange.Remove::new);
         }
-        return open || before.isPresent()
+        return autoJoin || before.isPresent()
                 ? Optional.of(new MembershipChange.AddLearner(replica))
                 : Optional.empty();
     }
 
     private boolean mayVote(ReplicaId learner) {
-        return learner.isDurable() && members.voters().size() < MOST_VOTERS;
+        return learner.isDurable() && members.voters().size() < MAX_VOTERS;
     }
 
     /**
@@ -67,28 +70,28 @@
      * is about to be removed, would make the number look even for the moment, and another learner
      * promoted by that would leave it even for good.
      */
-    private boolean isWanted() {
+    private boolean isVoterNeeded() {
         long staying =
                 members.voters().stream()
-                        .filter(v -> !overdue.contains(v))
+                        .filter(v -> !timedOut.contains(v))
                         .map(ReplicaId::name)
                         .distinct()
                         .count();
-        return staying % 2 == 0 || spares() > 1;
+        return staying % 2 == 0 || spareLearnerCount() > 1;
     }
 
     /** Returns how many learners could vote and replace no voter. */
-    private long spares() {
+    private long spareLearnerCount() {
         return members.learners().stream()
-                .filter(r -> r.isDurable() && present.contains(r))
+                .filter(r -> r.isDurable() && runningReplicas.contains(r))
                 .filter(r -> members.voters().stream().noneMatch(v -> v.name().equals(r.name())))
                 .count();
     }
 
     private Optional<MembershipChange> removal() {
         return members.all().stream()
-                .filter(overdue::contains)
-                .filter(r -> !members.isVoter(r) || members.voters().size() > FEWEST_VOTERS)
+                .filter(timedOut::contains)
+                .filter(r -> !members.isVoter(r) || members.voters().size() > MIN_VOTERS)
                 .min(ReplicaId::compareTo)
                 .map(MembershipChange.Remove::new);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
@@ -56,13 +56,13 @@
                         Instant.ofEpochSecond(second), "account", "key", attempt, code));
     }
 
-    private long fence(String backend) {
+    private long issueFence(String backend) {
         Command c = new Command.IssueFence(Instant.EPOCH, backend);
         return ((FenceResult) mState.apply(++mIndex, c)).fence();
     }
 
     @Test
-    void secondAttemptFindsFirst() {
+    void secondAttemptGetsFirstAsHolder() {
         claim(1, "key", FIRST, null);
         assertThat(claim(2, "key", SECOND, null).holder()).isEqualTo(FIRST);
         settle(3, FIRST, ResultCode.OK);
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void keyOfAnotherRequestIsRefused() {
+    void rejectsKeyReusedForAnotherRequest() {
         claim(1, "key", FIRST, null);
         assertThat(claim(2, "key", SECOND, null, 8).code())
                 .isEqualTo(ResultCode.IDEMPOTENCY_KEY_REUSED);
@@ -81,7 +81,7 @@
     // Two routers both find that the first attempt never started, and both want its place. The
     // second to come names a holder that holds no more, and learns of the one that does.
     @Test
-    void onlyOneOfTwoReplacesTheSameHolder() {
+    void onlyOneOfTwoAttemptsReplacesHolder() {
         claim(1, "key", FIRST, null);
         assertThat(claim(2, "key", SECOND, FIRST).holder()).isEqualTo(SECOND);
         assertThat(claim(3, "key", THIRD, FIRST).holder()).isEqualTo(SECOND);
@@ -90,7 +90,7 @@
     // A router settles its attempt after another has taken its place. The late word changes nothing
     // for the attempt that holds the key now.
     @Test
-    void settlingByOneThatHoldsNoMoreChangesNothing() {
+    void ignoresSettleOfReplacedHolder() {
         claim(1, "key", FIRST, null);
         claim(2, "key", SECOND, FIRST);
         settle(3, FIRST, ResultCode.REVOKED);
@@ -100,14 +100,14 @@
     }
 
     @Test
-    void settledHolderIsNotReplaced() {
+    void doesNotReplaceSettledHolder() {
         claim(1, "key", FIRST, null);
         settle(2, FIRST, ResultCode.OUTCOME_UNKNOWN);
         assertThat(claim(3, "key", SECOND, FIRST).holder()).isEqualTo(FIRST);
     }
 
     @Test
-    void holderThatWasNotRunGivesTheKeyFree() {
+    void holderThatWasNotRunReleasesKey() {
         claim(1, "key", FIRST, null);
         settle(2, FIRST, ResultCode.OVERLOADED);
         assertThat(claim(3, "key", SECOND, null).holder()).isEqualTo(SECOND);
@@ -116,7 +116,7 @@
     // A new leader's clock is far behind its predecessor's. The log's time stands still meanwhile,
     // so that a claim ends neither early nor twice.
     @Test
-    void logTimeNeverGoesBack() {
+    void logTimeNeverDecreases() {
         claim(10_000, "key", FIRST, null);
         assertThat(claim(1, "key", SECOND, null).holder()).isEqualTo(FIRST);
         long end = 10_000 + RETENTION.toSeconds();
@@ -125,7 +125,7 @@
     }
 
     @Test
-    void fullTableRefusesNewKeysOnly() {
+    void fullTableRejectsOnlyNewKeys() {
         claim(1, "key", FIRST, null);
         claim(1, "other", FIRST, null);
         assertThat(claim(2, "third", FIRST, null).code()).isEqualTo(ResultCode.CLAIM_UNAVAILABLE);
@@ -135,7 +135,7 @@
     // A caller that resends within the promised time must be known, also at one non-idempotent
     // request in ten of the 11,000 a second at peak: with the default, the table is then half full.
     @Test
-    void defaultRetentionFitsTheTable() {
+    void defaultRetentionFitsMaxClaims() {
         Duration retention = SettingKeys.CLAIM_RETENTION.defaultValue();
         assertThat(retention).isEqualTo(RequestPolicy.DEFAULT.claimRetention());
         ControlState.Limits limits = ControlState.Limits.DEFAULT;
@@ -144,14 +144,15 @@
     }
 
     @Test
-    void fencesRisePerBackendServer() {
-        assertThat(List.of(fence("w1"), fence("w1"), fence("w2"))).containsExactly(1L, 2L, 1L);
+    void fencingTokensRisePerBackendServer() {
+        assertThat(List.of(issueFence("w1"), issueFence("w1"), issueFence("w2")))
+                .containsExactly(1L, 2L, 1L);
     }
 
     @Test
-    void snapshotCarriesEverything() {
+    void snapshotContainsWholeState() {
         claim(1, "key", FIRST, null);
-        fence("w1");
+        issueFence("w1");
         mState.apply(++mIndex, new Command.Drain(Instant.EPOCH, "w1", true, "operator"));
         Command.NodeChange change =
                 new Command.NodeChange("/service=seilhjerne", 0, Map.of(), List.of(), false);
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
@@ -18,21 +18,21 @@
 
 /** Who votes in the end, whatever the order in which instances are heard. */
 class VoterPlanTest {
-    private static final int ORDERS = 300;
-    private static final int MOST_STEPS = 40;
+    private static final int RANDOM_ORDERS = 300;
+    private static final int MAX_STEPS = 40;
 
-    private static ReplicaId disk(String name, int number) {
+    private static ReplicaId replicaWithDisk(String name, int number) {
         return new ReplicaId(name, number);
     }
 
-    private static ReplicaId noDisk(String name) {
+    private static ReplicaId replicaWithoutDisk(String name) {
         return new ReplicaId(name, -1);
     }
 
-    private static List<ReplicaId> disks(int count) {
+    private static List<ReplicaId> replicasWithDisks(int count) {
         List<ReplicaId> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            all.add(disk("c" + i, 1));
+            all.add(replicaWithDisk("c" + i, 1));
         }
         return all;
     }
@@ -40,22 +40,22 @@
     /**
      * Takes one step after the other, with the instances heard in an order of its own each time.
      */
-    private static Membership settle(
+    private static Membership applyAllSteps(
             Membership members, List<ReplicaId> present, Set<ReplicaId> overdue, Random random) {
         Membership now = members;
         List<ReplicaId> heard = new ArrayList<>(present);
-        for (int i = 0; i < MOST_STEPS; i++) {
+        for (int i = 0; i < MAX_STEPS; i++) {
             Collections.shuffle(heard, random);
             Optional<MembershipChange> step = new VoterPlan(now, heard, overdue, true).nextStep();
             if (step.isEmpty()) {
                 return now;
             }
-            now = after(now, step.get());
+            now = applyStep(now, step.get());
         }
         throw new AssertionError("no end of steps: " + now);
     }
 
-    private static Membership after(Membership now, MembershipChange step) {
+    private static Membership applyStep(Membership now, MembershipChange step) {
         if (step instanceof AddLearner) {
             return now.withLearner(step.replica());
         }
@@ -64,17 +64,18 @@
                 : now.without(step.replica());
     }
 
-    private static Membership grown(List<ReplicaId> all, Random random) {
+    private static Membership growFromThreeVoters(List<ReplicaId> all, Random random) {
         Membership first = Membership.ofVoters(all.subList(0, 3));
-        return settle(first, all, Set.of(), random);
+        return applyAllSteps(first, all, Set.of(), random);
     }
 
     @Test
-    void theNumberOfVotersIsOddAndAtMostSeven() {
+    void voterCountIsOddAndAtMostSeven() {
         int[] expected = {3, 3, 5, 5, 7, 7, 7};
         for (int instances = 3; instances < 3 + expected.length; instances++) {
-            for (int seed = 0; seed < ORDERS; seed++) {
-                Membership members = grown(disks(instances), new Random(seed));
+            for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
+                Membership members =
+                        growFromThreeVoters(replicasWithDisks(instances), new Random(seed));
                 assertThat(members.voters()).hasSize(expected[instances - 3]);
                 assertThat(members.all()).hasSize(instances);
             }
@@ -82,17 +83,17 @@
     }
 
     @Test
-    void lostDisksLeaveTheNumberAsItWas() {
+    void lostDisksDoNotChangeVoterCount() {
         // Two of six instances come back with empty disks. While the old and the new disk of one
         // both count, the number of voters is even for a moment: a learner that is promoted for
         // that leaves six voters, and a cut into halves leaves neither side a quorum.
-        for (int seed = 0; seed < ORDERS; seed++) {
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
-            Membership members = grown(disks(6), random);
-            List<ReplicaId> present = new ArrayList<>(disks(6));
-            present.set(0, disk("c1", 2));
-            present.set(1, disk("c2", 2));
-            Membership after = settle(members, present, Set.of(), random);
+            Membership members = growFromThreeVoters(replicasWithDisks(6), random);
+            List<ReplicaId> present = new ArrayList<>(replicasWithDisks(6));
+            present.set(0, replicaWithDisk("c1", 2));
+            present.set(1, replicaWithDisk("c2", 2));
+            Membership after = applyAllSteps(members, present, Set.of(), random);
             assertThat(after.voters()).hasSize(5);
             assertThat(present).containsAll(after.all());
             assertThat(after.all()).hasSize(6);
@@ -100,39 +101,39 @@
     }
 
     @Test
-    void aVoterThatIsGoneForGoodIsReplacedByTheOneLeftOver() {
+    void removedVoterIsReplacedBySpareLearner() {
         for (int instances : List.of(4, 6)) {
-            for (int seed = 0; seed < ORDERS; seed++) {
+            for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
                 Random random = new Random(seed);
-                Membership members = grown(disks(instances), random);
+                Membership members = growFromThreeVoters(replicasWithDisks(instances), random);
                 ReplicaId gone = members.voters().first();
-                List<ReplicaId> present = new ArrayList<>(disks(instances));
+                List<ReplicaId> present = new ArrayList<>(replicasWithDisks(instances));
                 present.remove(gone);
-                Membership after = settle(members, present, Set.of(gone), random);
+                Membership after = applyAllSteps(members, present, Set.of(gone), random);
                 assertThat(after.voters()).hasSize(instances - 1).doesNotContain(gone);
             }
         }
     }
 
     @Test
-    void threeVotersAreLeftHoweverManyAreSilent() {
+    void silentVotersAreRemovedDownToThree() {
         // Nothing that is cut off may talk the core down to a size at which one loss stops it.
-        for (int seed = 0; seed < ORDERS; seed++) {
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
-            Membership members = grown(disks(5), random);
-            List<ReplicaId> present = disks(5).subList(0, 2);
-            Set<ReplicaId> overdue = new HashSet<>(disks(5).subList(2, 5));
-            assertThat(settle(members, present, overdue, random).voters()).hasSize(3);
+            Membership members = growFromThreeVoters(replicasWithDisks(5), random);
+            List<ReplicaId> present = replicasWithDisks(5).subList(0, 2);
+            Set<ReplicaId> overdue = new HashSet<>(replicasWithDisks(5).subList(2, 5));
+            assertThat(applyAllSteps(members, present, overdue, random).voters()).hasSize(3);
         }
     }
 
     @Test
-    void anInstanceWithoutDiskNeverVotes() {
-        List<ReplicaId> all = new ArrayList<>(disks(4));
-        all.add(noDisk("c5"));
-        all.add(noDisk("c6"));
-        for (int seed = 0; seed < ORDERS; seed++) {
-            Membership members = grown(all, new Random(seed));
+    void replicaWithoutDiskNeverVotes() {
+        List<ReplicaId> all = new ArrayList<>(replicasWithDisks(4));
+        all.add(replicaWithoutDisk("c5"));
+        all.add(replicaWithoutDisk("c6"));
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
+            Membership members = growFromThreeVoters(all, new Random(seed));
             assertThat(members.voters()).hasSize(3).allMatch(ReplicaId::isDurable);
             assertThat(members.learners()).hasSize(3);
         }
