--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/BackendServerStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/BackendServerStatus.java
@@ -4,10 +4,11 @@
 import org.laurelweir.membership.SidecarReport;
 
 /**
- * A backend server as an operator sees it.
+ * The status of a backend server as shown to an operator.
  *
- * @param backend as announced
- * @param report its last report, or null where another control instance hears it
- * @param drainOrdered whether an operator wants it drained
+ * @param backend the backend server as announced
+ * @param report the last report of its sidecar, or null if the sidecar reports to another control
+ *     instance
+ * @param drainOrdered whether an operator has ordered to drain it
  */
 public record BackendServerStatus(Backend backend, SidecarReport report, boolean drainOrdered) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Claim.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Claim.java
@@ -7,15 +7,15 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * One idempotency key in use.
+ * A claim: an idempotency key in use and the attempt that holds it.
  *
  * @param account the client account
- * @param key the key, unique within the account
- * @param fingerprint of the request that came under the key first
- * @param holder the one attempt that may run
- * @param target where the holder is sent
- * @param expires when the key is forgotten, by the log's time
- * @param settledCode how the holder ended, or null
+ * @param key the idempotency key, unique within the account
+ * @param fingerprint the fingerprint of the first request with this key
+ * @param holder the only attempt that may run for this key
+ * @param target the backend server that the holder is sent to
+ * @param expires the time at which the claim expires, by the log's time
+ * @param settledCode the result code of the holder, or null while it is unknown
  */
 public record Claim(
         String account,
@@ -26,7 +26,7 @@
         Instant expires,
         ResultCode settledCode) {
 
-    /** Returns whether it is known how the holder ended. */
+    /** Returns whether the result code of the holder is recorded. */
     public boolean settled() {
         return settledCode != null;
     }
@@ -36,7 +36,7 @@
     }
 
     ClaimResult toResult(ResultCode code) {
-        ResultCode end = settled() ? settledCode : ResultCode.OK;
-        return new ClaimResult(code, holder, target, settled(), end);
+        ResultCode holderCode = settled() ? settledCode : ResultCode.OK;
+        return new ClaimResult(code, holder, target, settled(), holderCode);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
@@ -14,11 +14,13 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Which attempt holds each idempotency key. A key has at most one holder at a time, and another
- * attempt takes its place only by naming exactly the holder that it replaces: of two routers that
- * both found the holder never to have started, one is refused and learns of the other.
+ * Maps each idempotency key in use to the attempt that holds it. A key has at most one holder at a
+ * time. Another attempt can replace the holder only if it names exactly that holder. If two routers
+ * both find that the holder never started, only one of them replaces it; the other one gets the new
+ * holder as its answer.
  *
- * <p>Claims end by the log's time, so every replica forgets the same ones at the same entry.
+ * <p>Claims expire by the log's time, so that every replica removes the same claims at the same
+ * entry.
  */
 final class ClaimTable {
     private final int mMaxClaims;
@@ -32,8 +34,9 @@
     /**
      * Creates an empty table.
      *
-     * @param maxClaims above which new claims are refused, rather than old ones forgotten early
-     * @param maxRetention the longest time that a claim is kept, whatever it asks for
+     * @param maxClaims maximum number of claims; beyond it new claims are rejected, and no claim is
+     *     removed before it expires
+     * @param maxRetention upper limit for the retention that a claim asks for
      */
     ClaimTable(int maxClaims, Duration maxRetention) {
         mMaxClaims = maxClaims;
@@ -47,15 +50,15 @@
         if (entry == null) {
             return grant(c);
         }
-        Claim held = entry.mClaim;
-        if (held.fingerprint() != c.fingerprint()) {
-            return held.toResult(ResultCode.IDEMPOTENCY_KEY_REUSED);
+        Claim current = entry.mClaim;
+        if (current.fingerprint() != c.fingerprint()) {
+            return current.toResult(ResultCode.IDEMPOTENCY_KEY_REUSED);
         }
-        if (held.holder().equals(c.replaces()) && !held.settled()) {
+        if (current.holder().equals(c.replaces()) && !current.settled()) {
             remove(key, entry);
             return grant(c);
         }
-        return held.toResult(ResultCode.OK);
+        return current.toResult(ResultCode.OK);
     }
 
     private ClaimResult grant(Command.Claim c) {
@@ -75,16 +78,19 @@
         return claim.toResult(ResultCode.OK);
     }
 
-    /** Whole seconds, so that many claims share the place that they have in the order of ends. */
+    /**
+     * Returns the time at which a claim expires, rounded up to a whole second. So many claims share
+     * an entry of the map by expiry.
+     */
     private Instant expiry(Command.Claim c) {
-        boolean tooLong = c.retention().compareTo(mMaxRetention) > 0;
-        Instant end = c.timestamp().plus(tooLong ? mMaxRetention : c.retention());
-        return end.truncatedTo(ChronoUnit.SECONDS).plusSeconds(1);
+        boolean isTooLong = c.retention().compareTo(mMaxRetention) > 0;
+        Instant expiry = c.timestamp().plus(isTooLong ? mMaxRetention : c.retention());
+        return expiry.truncatedTo(ChronoUnit.SECONDS).plusSeconds(1);
     }
 
     /**
-     * Records how a holder ended. A holder that was not run and will not be gives the key free;
-     * whoever does not hold it changes nothing.
+     * Records the result code of a holder. If the holder was not run and never will be, the key is
+     * released. An attempt that does not hold the key changes nothing.
      */
     ResultCode apply(Command.SettleClaim c) {
         removeExpired(c.timestamp());
@@ -112,15 +118,16 @@
         mByExpiry.computeIfAbsent(claim.expires(), e -> new ArrayList<>()).add(entry);
     }
 
-    /** Shares what many claims have in common. */
+    /** Returns an equal claim that shares the objects that many claims have in common. */
     private Claim internParts(Claim c) {
-        AttemptId h = c.holder();
-        String router = mNameInterner.intern(h.router());
+        AttemptId holder = c.holder();
+        String router = mNameInterner.intern(holder.router());
         return new Claim(
                 mNameInterner.intern(c.account()),
                 c.key(),
                 c.fingerprint(),
-                new AttemptId(router, h.routerIncarnation(), h.request(), h.attempt()),
+                new AttemptId(
+                        router, holder.routerIncarnation(), holder.request(), holder.attempt()),
                 mTargetInterner.intern(c.target()),
                 mTimeInterner.intern(c.expires()),
                 c.settledCode());
@@ -144,7 +151,9 @@
         }
     }
 
-    /** Returns every claim, the first to expire first, in the same order on every replica. */
+    /**
+     * Returns all claims in the order in which they expire. The order is the same on every replica.
+     */
     List<Claim> all() {
         List<Claim> all = new ArrayList<>(mClaims.size());
         mByExpiry.values().forEach(entries -> entries.forEach(e -> all.add(e.mClaim)));
@@ -159,7 +168,9 @@
 
     private record Key(String account, String key) {}
 
-    /** The place of a claim in both indexes; settling changes the claim and not the place. */
+    /**
+     * A claim's entry in both maps. Settling replaces the claim in the entry, but not the entry.
+     */
     private static final class Entry {
         private Claim mClaim;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -11,17 +11,20 @@
 import org.laurelweir.settings.TreePatch;
 
 /**
- * One entry of the replicated log. The leader stamps it with its time, so that every replica
- * decides the same; the stamp never goes back within the log.
+ * A command in the replicated log. The leader adds a timestamp, so that all replicas make the same
+ * decisions. Replicas never let the log's time go back, whatever the timestamps are.
  */
 public sealed interface Command {
-    /** When the leader took the command. */
+    /** Returns the leader's time when it received the command. */
     Instant timestamp();
 
-    /** Returns the command as taken at another time. */
+    /** Returns the same command with another timestamp. */
     Command withTimestamp(Instant time);
 
-    /** A change of settings nodes, all or nothing, under compare-and-set. */
+    /**
+     * Changes settings nodes atomically if all of them have the expected versions
+     * (compare-and-set).
+     */
     record ChangeSettings(
             Instant timestamp, String changeId, String author, List<NodeChange> changes)
             implements Command {
@@ -35,9 +38,9 @@
      * A change of one settings node.
      *
      * @param path the node's path
-     * @param expectedVersion the version that the author saw; 0 for a node that does not exist
-     * @param set keys to set, values as written
-     * @param remove keys to remove, so that they are inherited again
+     * @param expectedVersion the version that the node must have; 0 for a node that does not exist
+     * @param set the keys to set, with their values as written by the author
+     * @param remove the keys to remove, so that their values are inherited again
      * @param delete whether to remove the node
      */
     record NodeChange(
@@ -48,13 +51,13 @@
             boolean delete) {}
 
     /**
-     * The whole tree, under a revision number that its operator gives. The highest revision wins;
-     * one that is not higher changes nothing.
+     * Replaces the whole settings tree under a revision number that the operator chooses. A
+     * revision that is not higher than the current one changes nothing.
      *
-     * @param revision the operator's number of the tree
-     * @param author whom the history names
-     * @param nodes the values of every node by its path; nodes that are not among them go
-     * @param source the operator's own text, kept for reading back; may be empty
+     * @param revision the operator's revision number of the tree
+     * @param author the name that the history records as the author
+     * @param nodes the values of every node by its path; all other nodes are deleted
+     * @param source the operator's own text of the tree, stored to be read back; may be empty
      */
     record ReplaceSettings(
             Instant timestamp,
@@ -70,14 +73,15 @@
     }
 
     /**
-     * A whole tree as what it has other than the one before. It changes nothing where another one
-     * is in force by then; the leader then takes the whole tree to the log.
+     * Replaces the whole settings tree by a patch to an earlier tree. If that tree is not the
+     * current one when the patch is applied, the patch changes nothing. The leader then proposes
+     * the whole tree.
      *
-     * @param base the position of the tree that it differs from
-     * @param revision the operator's number of the tree
-     * @param author whom the history names
-     * @param difference the nodes that change
-     * @param source makes the operator's own text of the one before
+     * @param base the log position of the tree that the patch applies to
+     * @param revision the operator's revision number of the new tree
+     * @param author the name that the history records as the author
+     * @param difference the changes to the nodes
+     * @param source the patch to the operator's own text of the earlier tree
      */
     record PatchSettings(
             Instant timestamp,
@@ -94,9 +98,9 @@
     }
 
     /**
-     * A claim on an idempotency key, before the attempt is sent.
+     * Claims an idempotency key for an attempt before the attempt is sent to a backend server.
      *
-     * @param replaces the attempt that held the claim and is proved never to have started, or null
+     * @param replaces the attempt that holds the key and is proved never to have started, or null
      */
     record Claim(
             Instant timestamp,
@@ -116,7 +120,7 @@
         }
     }
 
-    /** The end of the attempt that holds a claim. */
+    /** Records the result code of the attempt that holds a claim. */
     record SettleClaim(
             Instant timestamp, String account, String key, AttemptId attempt, ResultCode code)
             implements Command {
@@ -126,7 +130,10 @@
         }
     }
 
-    /** An operator's wish that a backend server takes no new work, or takes it again. */
+    /**
+     * An operator's order to drain a backend server, so that it gets no new requests, or to undrain
+     * it.
+     */
     record Drain(Instant timestamp, String backend, boolean drain, String author)
             implements Command {
         @Override
@@ -135,7 +142,7 @@
         }
     }
 
-    /** A new, higher fencing number for orders to one backend server. */
+    /** Issues a new, higher fencing token for orders to a backend server. */
     record IssueFence(Instant timestamp, String backend) implements Command {
         @Override
         public IssueFence withTimestamp(Instant time) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CommandResult.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CommandResult.java
@@ -5,12 +5,12 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.SettingsAnswer;
 
-/** What a command of the log came to; the same on every replica. */
+/** The result of a command of the log. It is the same on every replica. */
 public sealed interface CommandResult {
-    /** Returns OK, or why the command changed nothing. */
+    /** Returns OK, or the reason why the command changed nothing. */
     ResultCode code();
 
-    /** The end of a change of settings. */
+    /** The result of a change of the settings. */
     record SettingsResult(SettingsAnswer answer) implements CommandResult {
         @Override
         public ResultCode code() {
@@ -19,13 +19,13 @@
     }
 
     /**
-     * The end of a claim.
+     * The result of a claim.
      *
-     * @param code OK where some attempt holds the key: the one that asked, or another before it
+     * @param code OK if an attempt holds the key, either the one that claimed it or an earlier one
      * @param holder the attempt that holds the key, or null
-     * @param target where the holder is sent, or null
-     * @param settled whether it is known how the holder ended
-     * @param settledCode how it ended
+     * @param target the backend server that the holder is sent to, or null
+     * @param settled whether the result code of the holder is recorded
+     * @param settledCode the result code of the holder, OK if none is recorded
      */
     record ClaimResult(
             ResultCode code,
@@ -39,16 +39,16 @@
         }
     }
 
-    /** The end of recording how a claimed attempt ended. */
+    /** The result of recording the result code of a claim's holder. */
     record SettleResult(ResultCode code) implements CommandResult {}
 
-    /** The end of an order to drain or undrain. */
+    /** The result of an order to drain or undrain a backend server. */
     record DrainResult(ResultCode code) implements CommandResult {}
 
     /**
-     * The end of asking for a fencing number.
+     * The result of issuing a fencing token.
      *
-     * @param fence the number, higher than every one given for this backend server before
+     * @param fence the token, higher than all tokens issued for this backend server before
      */
     record FenceResult(ResultCode code, long fence) implements CommandResult {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -7,19 +7,21 @@
 import org.laurelweir.membership.MembershipConfig;
 
 /**
- * What one control instance is told at its start.
+ * Configuration of a control instance.
  *
- * @param replica its name with its disk's id
- * @param incarnation rises with every start
- * @param addresses every control instance by name, this one included, host:port
- * @param exchangeInterval how often sidecars and routers exchange
- * @param shareInterval how often control instances tell each other what they hear
- * @param staleAfter how long contact with the leader shows that nothing newer was accepted
- * @param consensus times and bounds of the replicated log
- * @param membership times and bounds of the membership
- * @param limits how much the state machine keeps
- * @param autoJoin whether control instances that no settings name join by themselves; the name of
- *     each is its address then
+ * @param replica the instance's replica id, made of its name and the storage id of its disk
+ * @param incarnation the incarnation of the instance, which rises with every start
+ * @param addresses the addresses (host:port) of all configured control instances by name, this one
+ *     included
+ * @param exchangeInterval interval at which sidecars and routers exchange with control
+ * @param shareInterval interval at which a control instance requests updates from its peers
+ * @param staleAfter time after the last confirmed contact with the leader from which settings count
+ *     as possibly stale
+ * @param consensus configuration of the replicated log
+ * @param membership configuration of the membership of backend servers
+ * @param limits limits of the state machine
+ * @param autoJoin whether control instances that are not configured may join by themselves; the
+ *     name of each instance is then its address
  */
 public record ControlConfig(
         ReplicaId replica,
@@ -34,11 +36,12 @@
         boolean autoJoin) {
 
     /**
-     * Returns a builder with the defaults.
+     * Returns a builder with the default values.
      *
-     * @param replica the instance's name with its disk's id
-     * @param incarnation rises with every start
-     * @param addresses every control instance by name, this one included, host:port
+     * @param replica the instance's replica id, made of its name and the storage id of its disk
+     * @param incarnation the incarnation of the instance, which rises with every start
+     * @param addresses the addresses (host:port) of all configured control instances by name, this
+     *     one included
      */
     public static Builder builder(
             ReplicaId replica, long incarnation, Map<String, String> addresses) {
@@ -50,12 +53,12 @@
         return replica.name();
     }
 
-    /** Returns the instance's own address. */
+    /** Returns the instance's own address, host:port. */
     public String address() {
         return addresses.get(name());
     }
 
-    /** Returns where a replica is reached, or empty for none or one that no settings name. */
+    /** Returns the address of a replica; empty if the id is null or the address is unknown. */
     String addressOf(ReplicaId id) {
         if (id == null) {
             return "";
@@ -82,38 +85,44 @@
             mMembership = MembershipConfig.builder(replica.name(), incarnation).build();
         }
 
-        /** Sets how often sidecars and routers exchange, and control instances share. */
+        /**
+         * Sets the interval of exchanges with sidecars and routers, and that of updates between
+         * control instances.
+         */
         public Builder intervals(Duration exchange, Duration share) {
             mExchangeInterval = exchange;
             mShareInterval = share;
             return this;
         }
 
-        /** Lets control instances join by themselves; the name of each is its address. */
-        public Builder autoJoin(boolean open) {
-            mAutoJoin = open;
+        /**
+         * Sets whether control instances may join by themselves. The name of each is then its
+         * address.
+         */
+        public Builder autoJoin(boolean autoJoin) {
+            mAutoJoin = autoJoin;
             return this;
         }
 
-        /** Sets times and bounds of the replicated log. */
-        public Builder consensus(ConsensusConfig agreement) {
-            mConsensus = agreement;
+        /** Sets the configuration of the replicated log. */
+        public Builder consensus(ConsensusConfig consensus) {
+            mConsensus = consensus;
             return this;
         }
 
-        /** Sets times and bounds of the membership. */
+        /** Sets the configuration of the membership of backend servers. */
         public Builder membership(MembershipConfig membership) {
             mMembership = membership;
             return this;
         }
 
-        /** Sets how much the state machine keeps. */
+        /** Sets the limits of the state machine. */
         public Builder limits(ControlState.Limits limits) {
             mLimits = limits;
             return this;
         }
 
-        /** Returns the configuration. */
+        /** Returns the configuration with the values set so far. */
         public ControlConfig build() {
             return new ControlConfig(
                     mReplica,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -18,33 +18,43 @@
 import org.laurelweir.settings.SettingsDelta;
 import org.laurelweir.settings.SettingsNode;
 
-/** Everything that a control instance's reducer wants done. */
+/**
+ * An action that {@link ControlReducer} requests from the shell, the code that does the I/O of the
+ * control instance.
+ */
 public sealed interface ControlEffect {
-    /** The answer to one call. */
+    /** The answer to a call. */
     sealed interface Answer extends ControlEffect {
-        /** The call's number, as its event gave it. */
+        /** Returns the id of the call, from the call's event. */
         long call();
     }
 
-    /** Send a message to another replica; it may be lost. */
+    /** Sends a message to another replica. The message may be lost. */
     record SendToReplica(ConsensusEffect.Send send) implements ControlEffect {}
 
-    /** Write to disk and sync, and report it as persisted. */
+    /**
+     * Writes to disk and syncs. The shell then reports {@link
+     * org.laurelweir.consensus.ConsensusEvent.Persisted}.
+     */
     record Persist(ConsensusEffect.Persist persist) implements ControlEffect {}
 
-    /** Keep in mind, without a sync, up to which entry the log on this disk is committed. */
+    /** Records, without a sync, up to which index the log on this disk is committed. */
     record MarkCommitted(long index) implements ControlEffect {}
 
-    /** Encode a snapshot and report it as taken under the index. */
+    /**
+     * Encodes a snapshot. The shell then reports {@link
+     * org.laurelweir.consensus.ConsensusEvent.SnapshotTaken} with the same index.
+     */
     record EncodeSnapshot(long index, ControlState.Snapshot snapshot) implements ControlEffect {}
 
     /**
-     * Answer an exchange.
+     * Answers an exchange of a sidecar or router.
      *
-     * @param crashes under which requests backend servers ended; nothing to a sidecar
-     * @param digest what routers have at backend servers; nothing to a sidecar
-     * @param orders what only a sidecar is told, or null
-     * @param routers routers that serve; 0 to a sidecar
+     * @param crashes the requests under which backend servers crashed; empty for a sidecar
+     * @param digest the load digest, the load that routers have at backend servers; empty for a
+     *     sidecar
+     * @param orders orders to the sidecar; null for a router
+     * @param routerCount number of routers that serve; 0 for a sidecar
      */
     record AnswerExchange(
             long call,
@@ -59,53 +69,53 @@
             implements Answer {}
 
     /**
-     * What a sidecar is told of itself.
+     * Orders to a sidecar.
      *
-     * @param drain whether an operator wants its backend server drained
-     * @param fence the highest fencing number given for it
-     * @param leastSession the least session under which it is heard
+     * @param drain whether an operator has ordered to drain its backend server
+     * @param fence the highest fencing token issued for its backend server
+     * @param minSession the lowest session number under which control accepts its reports
      */
     record SidecarOrders(boolean drain, long fence, int minSession) {}
 
-    /** Answer a command that was carried out. */
+    /** Answers a command with its result. */
     record AnswerCommand(long call, CommandResult result) implements Answer {}
 
     /**
-     * Answer a command, read or membership change that this instance can't tell the result of.
+     * Answers a command, read or membership change without a result.
      *
-     * @param code OUTCOME_UNKNOWN if it may still be carried out; with any other code it was not
-     *     and won't be
-     * @param leader the address to ask instead, or empty
+     * @param code OUTCOME_UNKNOWN if it may still be carried out; with any other code it is not and
+     *     never will be
+     * @param leader the address of the leader to ask instead, or empty
      */
     record AnswerError(long call, ResultCode code, String message, String leader)
             implements Answer {}
 
-    /** Answer a read of settings. */
+    /** Answers a request for settings. */
     record AnswerSettings(long call, long position, List<SettingsNode> nodes) implements Answer {}
 
     /**
-     * Answer a read of the operator's own text.
+     * Answers a request for the operator's own text of the settings.
      *
-     * @param revision the operator's number of it, 0 if there is none
+     * @param revision the operator's revision number of the text, 0 if there is none
      */
     record AnswerSource(long call, long revision, String source) implements Answer {}
 
-    /** Acknowledge an announcement of a backend server. */
+    /** Acknowledges an announcement or a withdrawal of a backend server. */
     record AnswerAnnounced(long call) implements Answer {}
 
-    /** Answer a read of accepted changes. */
+    /** Answers a request for the history of accepted changes. */
     record AnswerHistory(long call, List<HistoryEntry> entries) implements Answer {}
 
-    /** Answer an operator's question. */
+    /** Answers an operator's request for the status of the fleet. */
     record AnswerStatus(long call, FleetStatus status) implements Answer {}
 
-    /** Answer that a request is not kept away any more. */
+    /** Confirms that a request is released from quarantine. */
     record AnswerReleased(long call) implements Answer {}
 
-    /** Answer a change of the replicas that was carried out. */
+    /** Answers a change of the replicas with the new membership. */
     record AnswerMembership(long call, Membership members) implements Answer {}
 
-    /** Answer a peer. */
+    /** Answers a peer's request for an update. */
     record AnswerPeerUpdate(
             long call,
             PeerUpdate share,
@@ -115,15 +125,19 @@
             implements Answer {}
 
     /**
-     * Ask a peer for what it hears.
+     * Requests an update from a peer.
      *
-     * @param crashesSeen how far its records of crashes are known here
+     * @param crashesSeen the version up to which this instance has the peer's crash records
+     * @param withRouters whether to include the routers that exchange with the peer
      */
     record RequestPeerUpdate(
             String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
             implements ControlEffect {}
 
-    /** Tell peers at once what changed here; it may be lost. */
+    /**
+     * Sends changes to the peers at once, before they next request an update. The message may be
+     * lost.
+     */
     record AnnounceToPeers(
             List<String> peers,
             List<Announcement> announcements,
@@ -132,17 +146,18 @@
             implements ControlEffect {}
 
     /**
-     * How this instance does, for metrics and readiness; sent about once a second.
+     * Reports the status of this instance for metrics and readiness, about twice a second.
      *
-     * @param sessions sidecars heard here
-     * @param backends backend servers known, those that left lately included
-     * @param claims idempotency keys in use
-     * @param quarantined requests that are kept away from backend servers
-     * @param requestsUnderWay requests that routers are known to have at backend servers
-     * @param settingsPosition the log position of the settings in force
-     * @param logBytes bytes of the log's entries in memory
-     * @param snapshotBytes bytes of the last snapshot's state
-     * @param peers where the other control instances are reached, host:port
+     * @param sessions number of sidecars that report to this instance
+     * @param backends number of known backend servers, including recently departed ones
+     * @param claims number of idempotency keys in use
+     * @param quarantined number of quarantined requests
+     * @param requestsUnderWay number of requests that routers have reported as running at backend
+     *     servers
+     * @param settingsPosition the log position of the current settings
+     * @param logBytes size of the log entries in memory
+     * @param snapshotBytes size of the last snapshot's state
+     * @param peers the addresses (host:port) of the other control instances
      */
     record ReportStatus(
             ControlInstanceStatus self,
@@ -157,9 +172,12 @@
             List<String> peers)
             implements ControlEffect {}
 
-    /** This instance does not lead, or can't hand over: it may stop. */
+    /**
+     * Reports that a requested leadership transfer has ended, so that this instance may stop. It
+     * does not lead, or could not transfer its leadership.
+     */
     record LeadershipTransferEnded() implements ControlEffect {}
 
-    /** Log a decision. */
+    /** Logs a decision. */
     record LogDecision(Decision decision) implements ControlEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -19,25 +19,25 @@
 import org.laurelweir.settings.NodePath;
 
 /**
- * Everything that a control instance's reducer reacts to. A call's number is the shell's; each call
- * is answered by one effect under the same number.
+ * An input of {@link ControlReducer}. The shell chooses the id of each call. The reducer answers
+ * each call with one {@link ControlEffect.Answer} under the same id.
  */
 public sealed interface ControlEvent {
-    /** Time has passed; the shell sends one every few tens of milliseconds. */
+    /** Time has passed. The shell sends a tick every few tens of milliseconds. */
     record Tick() implements ControlEvent {}
 
-    /** Something happened to the replica of the log. */
+    /** An event for this instance's replica of the log. */
     record ReplicaEvent(ConsensusEvent event) implements ControlEvent {}
 
-    /** A sidecar reports and asks for what is new. */
+    /** A sidecar reports its state and requests the changes since its last exchange. */
     record SidecarExchanged(
             long call, SidecarReport report, MembershipCursor cursor, long settingsPosition)
             implements ControlEvent {}
 
     /**
-     * A router reports and asks for what is new.
+     * A router reports its state and requests the changes since its last exchange.
      *
-     * @param loads what it has under way at backend servers without sidecars
+     * @param loads the load that the router has at backend servers without sidecars
      */
     record RouterExchanged(
             long call,
@@ -49,62 +49,66 @@
             implements ControlEvent {}
 
     /**
-     * A backend server without a sidecar announced itself.
+     * A backend server without a sidecar announces itself.
      *
-     * @param backend its session is the announcement's own number, which rises from one to the next
-     *     within one start; its incarnation is when it started, 0 where it does not tell
+     * @param backend the backend server. Its session is the number of the announcement, which rises
+     *     with each announcement within one start. Its incarnation is the time of its start, or 0
+     *     if it does not send one
      */
     record BackendAnnounced(long call, Backend backend) implements ControlEvent {}
 
     /**
-     * A backend server without a sidecar said that it leaves.
+     * A backend server without a sidecar reports its departure.
      *
-     * @param backend the incarnation is when it started, 0 where it does not tell
+     * @param backend the backend server; its incarnation is the time of its start, or 0 if it does
+     *     not send one
      */
     record BackendWithdrawn(long call, BackendRef backend) implements ControlEvent {}
 
-    /** Someone reads the operator's own text of the settings, the newest that was accepted. */
+    /** A caller requests the operator's own text of the newest accepted settings. */
     record SourceRequested(long call) implements ControlEvent {}
 
-    /** Someone wants a command carried out; the time in it is replaced by the leader's. */
+    /** A caller sends a command. The leader replaces the command's timestamp with its own time. */
     record CommandReceived(long call, Command command) implements ControlEvent {}
 
     /**
-     * Someone reads settings.
+     * A caller requests settings.
      *
-     * @param path one node, or null for all
-     * @param linearizable whether to refuse rather than answer what may be stale
-     * @param position an earlier log position, or 0 for what is in force
+     * @param path the path of one node, or null for all nodes
+     * @param linearizable whether to return an error rather than settings that may be stale
+     * @param position an earlier log position, or 0 for the current settings
      */
     record SettingsRequested(long call, NodePath path, boolean linearizable, long position)
             implements ControlEvent {}
 
     /**
-     * Someone reads accepted changes.
+     * A caller requests the history of accepted changes.
      *
-     * @param path only those of one node, or null for all
+     * @param path the path of one node, or null for all nodes
+     * @param limit maximum number of entries
      */
     record HistoryRequested(long call, NodePath path, int limit) implements ControlEvent {}
 
-    /** An operator asks how the fleet does. */
+    /** An operator requests the status of the fleet. */
     record StatusRequested(long call) implements ControlEvent {}
 
-    /** An operator wants a request sent again that is kept away from backend servers. */
+    /** An operator requests to release a request from quarantine. */
     record ReleaseRequested(long call, RequestKey key, String author) implements ControlEvent {}
 
-    /** An operator wants the replicas changed by one step. */
+    /** An operator requests a change of the replicas by one step. */
     record MembershipChangeRequested(long call, MembershipChange change) implements ControlEvent {}
 
     /**
-     * A peer asks for what is heard here.
+     * A peer requests an update.
      *
-     * @param crashesSeen how far it has this instance's records of crashes
+     * @param crashesSeen the version up to which the peer has this instance's crash records
+     * @param withRouters whether to include the routers that exchange with this instance
      */
     record PeerUpdateRequested(
             long call, String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
             implements ControlEvent {}
 
-    /** A peer answered what it hears. */
+    /** A peer answers a request for an update. */
     record PeerUpdateReceived(
             String peer,
             PeerUpdate share,
@@ -113,7 +117,7 @@
             ControlInstanceStatus status)
             implements ControlEvent {}
 
-    /** A peer passes on at once what changed there. */
+    /** A peer sends changes at once, before this instance next requests an update. */
     record PeerAnnounced(
             List<Announcement> announcements, List<CrashRecord> crashes, PeerLoads loads)
             implements ControlEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlInstanceStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlInstanceStatus.java
@@ -4,15 +4,15 @@
 import org.laurelweir.consensus.ReplicaId;
 
 /**
- * A control instance as it describes itself.
+ * The status that a control instance reports of itself.
  *
- * @param replica its name with its disk's id
- * @param address where it is reached
- * @param leader whether it leads
- * @param term its term
- * @param commitIndex the last entry that it knows to be committed; all up to it have been applied
- * @param possiblyStale whether it can't confirm that nothing newer was accepted
- * @param members the replicas of the log as it knows them
+ * @param replica its replica id
+ * @param address its address, host:port
+ * @param leader whether it is the leader of its term
+ * @param term its current term
+ * @param commitIndex the index of the last entry that it knows to be committed and has applied
+ * @param possiblyStale whether it can't confirm that its settings are the newest accepted ones
+ * @param members the newest membership in its log
  */
 public record ControlInstanceStatus(
         ReplicaId replica,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
@@ -12,11 +12,15 @@
 import java.util.function.Consumer;
 
 /**
- * The other control instances. Those that the settings name stay; in an open deployment others are
- * learned from whoever knows them, and forgotten once nothing has been heard of them for long.
+ * The other control instances. Configured ones are permanent. In a deployment where instances join
+ * by themselves, others are discovered through any instance that knows them, and removed after they
+ * have been silent for a time.
  */
 final class ControlPeers {
-    /** Long against a restart or a healed partition, short against a machine gone for good. */
+    /**
+     * Longer than a restart or a short partition, so that only instances that are gone for good are
+     * removed.
+     */
     private static final Duration SILENCE_TIMEOUT = Duration.ofMinutes(1);
 
     private final String mSelf;
@@ -26,16 +30,18 @@
     private final Map<String, Instant> mDiscoveredPeers = new HashMap<>();
     private final Consumer<String> mOnRemoved;
 
-    ControlPeers(ControlConfig config, Consumer<String> onForgotten) {
+    ControlPeers(ControlConfig config, Consumer<String> onRemoved) {
         mSelf = config.name();
         mAutoJoin = config.autoJoin();
         mAddresses = config.addresses();
         mConfiguredPeers.addAll(config.addresses().keySet());
         mConfiguredPeers.remove(mSelf);
-        mOnRemoved = onForgotten;
+        mOnRemoved = onRemoved;
     }
 
-    /** Notes that an instance was heard, or that one that was heard counts it in. */
+    /**
+     * Records that an instance was in contact, or that an instance in contact lists it as a member.
+     */
     void discover(Instant now, String name) {
         if (mAutoJoin
                 && !name.isEmpty()
@@ -45,25 +51,25 @@
         }
     }
 
-    /** Returns those to talk to, by name. */
+    /** Returns the names of all peers, sorted. */
     List<String> all() {
         Set<String> all = new TreeSet<>(mConfiguredPeers);
         all.addAll(mDiscoveredPeers.keySet());
         return new ArrayList<>(all);
     }
 
-    /** Returns where those to talk to are reached, host:port. */
+    /** Returns the addresses (host:port) of all peers. */
     List<String> addresses() {
         return all().stream().map(n -> mAddresses.getOrDefault(n, n)).toList();
     }
 
     void removeSilent(Instant now) {
-        Iterator<Map.Entry<String, Instant>> each = mDiscoveredPeers.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<String, Instant> e = each.next();
-            if (e.getValue().plus(SILENCE_TIMEOUT).isBefore(now)) {
-                each.remove();
-                mOnRemoved.accept(e.getKey());
+        Iterator<Map.Entry<String, Instant>> entries = mDiscoveredPeers.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<String, Instant> peer = entries.next();
+            if (peer.getValue().plus(SILENCE_TIMEOUT).isBefore(now)) {
+                entries.remove();
+                mOnRemoved.accept(peer.getKey());
             }
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -28,8 +28,8 @@
 import org.laurelweir.settings.SettingsTree;
 
 /**
- * Decides what a control instance does. Durable is what goes through the replicated log; the
- * membership beside it is not, and is served without a quorum.
+ * Makes the decisions of a control instance. State that goes through the replicated log is durable.
+ * The membership of backend servers is not; it is served without a quorum.
  */
 public final class ControlReducer implements Reducer<ControlEvent, ControlEffect> {
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
@@ -54,9 +54,9 @@
     /**
      * Creates the reducer; its first event is {@link ConsensusEvent.Recovered}.
      *
-     * @param config what the instance is told at its start
-     * @param codec how the log is written
-     * @param seed for election timeouts; must differ between instances
+     * @param config configuration of the instance
+     * @param codec codec of the commands and snapshots in the log
+     * @param seed seed for random election timeouts; must differ between instances
      */
     public ControlReducer(ControlConfig config, LogCodec codec, long seed) {
         mNotes = new DecisionNotes(config.name());
@@ -66,7 +66,7 @@
         peers.remove(config.name());
         mMembership = new SharedMembership(config.membership(), peers, this::onBackendChanged);
         mPeers = new ControlPeers(config, mMembership::forgetPeer);
-        PeerStatuses presences = new PeerStatuses();
+        PeerStatuses peerStatuses = new PeerStatuses();
         mCrashSharing = new CrashSharing(config);
         mLoadSharing = new LoadSharing(config, mMembership);
         mExchanges =
@@ -74,8 +74,8 @@
                         mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, mNotes);
         mQueries =
                 new QueryHandler(
-                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, presences);
-        mReplicaRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
+                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, peerStatuses);
+        mReplicaRepair = new ReplicaRepair(mReplica, peerStatuses, config.autoJoin());
         mDirectAnnouncements = new DirectAnnouncements(mMembership, this::isAcceptedService);
         mPeerSharing =
                 new PeerSharing(
@@ -83,7 +83,7 @@
                         mMembership,
                         mReplica,
                         mRouters,
-                        presences,
+                        peerStatuses,
                         mPeers,
                         mCrashSharing,
                         mLoadSharing);
@@ -159,22 +159,28 @@
         mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
     }
 
-    /** An instance that can't take a departure must not acknowledge it: another one may. */
+    /**
+     * Handles a departure. An instance that does not know the backend server must not acknowledge
+     * the departure; the caller can then report it to another instance.
+     */
     private void onWithdrawn(BackendWithdrawn e) {
         DirectAnnouncements.Outcome outcome = mDirectAnnouncements.withdraw(mNow, e.backend());
         if (outcome == DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
-            mEffects.accept(unknownServer(e.call(), e.backend().id()));
+            mEffects.accept(unknownBackendServer(e.call(), e.backend().id()));
         } else {
             mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
         }
     }
 
-    private static ControlEffect.AnswerError unknownServer(long call, String id) {
+    private static ControlEffect.AnswerError unknownBackendServer(long call, String id) {
         String message = "no backend server " + id + " has announced itself";
         return new ControlEffect.AnswerError(call, ResultCode.UNKNOWN_BACKEND_SERVER, message, "");
     }
 
-    /** Before any settings are known, backend servers of every service are heard. */
+    /**
+     * Returns whether announcements for a service are accepted. Until settings are known, every
+     * service is accepted.
+     */
     private boolean isAcceptedService(String name) {
         SettingsTree tree = mReplica.state().settings().tree();
         return tree.size() == 0 || tree.services().contains(name);
@@ -184,7 +190,7 @@
         if (e.command() instanceof Command.Drain d
                 && d.drain()
                 && !mMembership.knows(d.backend())) {
-            mEffects.accept(unknownServer(e.call(), d.backend()));
+            mEffects.accept(unknownBackendServer(e.call(), d.backend()));
             return;
         }
         mReplica.propose(mNow, e.call(), e.command(), mEffects);
@@ -195,15 +201,15 @@
             mNotes.quarantineReleased(mNow, e.key(), e.author(), mEffects);
             mEffects.accept(new ControlEffect.AnswerReleased(e.call()));
         } else {
-            String message = "request " + e.key().fingerprintText() + " is not kept away";
+            String message = "request " + e.key().fingerprintText() + " is not quarantined";
             mEffects.accept(
                     new ControlEffect.AnswerError(
                             e.call(), ResultCode.NOT_QUARANTINED, message, ""));
         }
     }
 
-    private void onBackendChanged(Backend backend, String reason, boolean heardHere) {
-        if (!heardHere) {
+    private void onBackendChanged(Backend backend, String reason, boolean receivedHere) {
+        if (!receivedHere) {
             mNotes.peerReportedBackend(mNow, backend, reason, mEffects);
             return;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
@@ -14,9 +14,9 @@
 import org.laurelweir.settings.SettingsStore;
 
 /**
- * The state machine over the replicated log: settings, claims, fencing numbers and drain orders.
- * Replicas that apply the same commands at the same positions hold equal states and give equal
- * results.
+ * The state machine of the replicated log: settings, claims, fencing tokens and drain orders.
+ * Replicas that apply the same commands at the same log positions have equal states and return
+ * equal results.
  */
 public final class ControlState {
     private final Limits mLimits;
@@ -27,14 +27,17 @@
     private Instant mLogTime = Instant.EPOCH;
 
     /**
-     * How much is kept; the same on every replica.
+     * Limits of the state; they must be the same on every replica.
      *
-     * @param settings history and first answers of settings changes
-     * @param maxClaims idempotency keys in use
-     * @param maxRetention the longest time that a claim is kept
+     * @param settings limits for the history and the recorded answers of settings changes
+     * @param maxClaims maximum number of idempotency keys in use
+     * @param maxRetention maximum retention of a claim
      */
     public record Limits(SettingsStore.Limits settings, int maxClaims, Duration maxRetention) {
-        /** Half an hour of claims at one in ten of 11,000 requests a second, five hours at 1%. */
+        /**
+         * The default limits. 2,000,000 claims cover half an hour if 10% of 11,000 requests a
+         * second make a claim, and five hours at 1%.
+         */
         public static final Limits DEFAULT =
                 new Limits(SettingsStore.Limits.DEFAULT, 2_000_000, Duration.ofDays(7));
     }
@@ -42,7 +45,7 @@
     /**
      * Creates the state before the first command.
      *
-     * @param limits how much is kept
+     * @param limits limits of the state
      */
     public ControlState(Limits limits) {
         mLimits = limits;
@@ -53,12 +56,13 @@
     /**
      * Applies a command.
      *
-     * @param index its position in the log; rises from call to call
+     * @param index the command's position in the log; rises from call to call
      * @param command the command
-     * @return what it came to
+     * @return the result of the command
      */
     public CommandResult apply(long index, Command command) {
-        // A new leader's clock may be behind its predecessor's; the log's time never goes back.
+        // The log's time never goes back, although a new leader's clock may be behind its
+        // predecessor's.
         mLogTime = mLogTime.isAfter(command.timestamp()) ? mLogTime : command.timestamp();
         Command c = command.withTimestamp(mLogTime);
         if (c instanceof Command.ChangeSettings s) {
@@ -98,22 +102,22 @@
         return mSettings;
     }
 
-    /** Returns whether an operator wants a backend server drained. */
+    /** Returns whether an operator has ordered to drain a backend server. */
     public boolean isDrainOrdered(String backend) {
         return mDrains.containsKey(backend);
     }
 
-    /** Returns the highest fencing number given for a backend server, 0 if none was. */
+    /** Returns the highest fencing token issued for a backend server, or 0 if none was issued. */
     public long fence(String backend) {
         return mFences.getOrDefault(backend, 0L);
     }
 
-    /** Returns how many idempotency keys are in use. */
+    /** Returns the number of idempotency keys in use. */
     public int claimCount() {
         return mClaims.size();
     }
 
-    /** Returns all that the state remembers. */
+    /** Returns a copy of the whole state. */
     public Snapshot snapshot() {
         return new Snapshot(
                 mLogTime,
@@ -124,9 +128,9 @@
     }
 
     /**
-     * Replaces the state by what another one remembered.
+     * Replaces the state with a snapshot.
      *
-     * @param snapshot as {@link #snapshot()} gave it
+     * @param snapshot a result of {@link #snapshot()}
      */
     public void restore(Snapshot snapshot) {
         mLogTime = snapshot.time();
@@ -139,12 +143,12 @@
     }
 
     /**
-     * All that a state remembers.
+     * A copy of the whole state.
      *
      * @param time the log's time
      * @param settings the settings with their history
-     * @param claims the idempotency keys in use, the first to expire first
-     * @param fences the highest fencing number of each backend server that has one
+     * @param claims the claims in the order in which they expire
+     * @param fences the highest fencing token of each backend server that has one
      * @param drains the drain orders in force
      */
     public record Snapshot(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -14,8 +14,9 @@
 import org.laurelweir.quarantine.RequestKey;
 
 /**
- * Passes on between routers, and between control instances, under which requests backend servers
- * ended. Nothing of it is durable: after a start routers and peers tell it again.
+ * Distributes crash records, which name the requests under which backend servers crashed, between
+ * routers and between control instances. Nothing is durable: after a restart, routers and peers
+ * send their records again.
  */
 final class CrashSharing {
     private final MembershipCursor mOwnRun;
@@ -30,16 +31,16 @@
     }
 
     /**
-     * Returns what a reader lacks.
+     * Returns the crash records that a reader does not have yet.
      *
-     * @param cursor names the run of a control instance whose records it has
-     * @param seen how far
+     * @param cursor names the run of the control instance that the reader's version belongs to
+     * @param seen the version up to which the reader has the records of that run
      */
     CrashDelta deltaSince(Instant now, MembershipCursor cursor, long seen) {
         return mCrashes.since(now, cursor.isSameRun(mOwnRun) ? seen : 0);
     }
 
-    /** Takes what a router saw; what is new of it goes to the peers at once. */
+    /** Merges records from a router. New ones go to the peers at once. */
     void onRouterReport(Instant now, List<CrashRecord> records) {
         if (mCrashes.merge(now, records)) {
             mPendingForPeers.addAll(records);
@@ -47,9 +48,9 @@
     }
 
     /**
-     * Lets a request be sent again.
+     * Releases a request from quarantine.
      *
-     * @return whether it was kept away
+     * @return whether the request was quarantined
      */
     boolean release(Instant now, RequestKey key) {
         if (!mCrashes.isQuarantined(key)) {
@@ -60,30 +61,30 @@
         return true;
     }
 
-    /** Returns the requests that are kept away from backend servers. */
+    /** Returns the records of the quarantined requests. */
     List<CrashRecord> quarantined(Instant now) {
         return mCrashes.quarantined(now);
     }
 
-    /** Returns, once, what peers should learn before they next ask. */
+    /** Returns the records that go to the peers at once, and clears them. */
     List<CrashRecord> takePeerUpdate() {
-        List<CrashRecord> urgent = List.copyOf(mPendingForPeers);
+        List<CrashRecord> pending = List.copyOf(mPendingForPeers);
         mPendingForPeers.clear();
-        return urgent;
+        return pending;
     }
 
-    /** Returns how far a peer's records are known here. */
+    /** Returns the version up to which this instance has a peer's records. */
     long peerVersion(String peer) {
         return mPeerVersions.getOrDefault(peer, 0L);
     }
 
-    /** Takes a peer's answer. */
+    /** Merges the records from a peer's update. */
     void onPeerUpdate(Instant now, String peer, CrashDelta delta) {
         mPeerVersions.put(peer, delta.version());
         mCrashes.merge(now, delta.records());
     }
 
-    /** Takes what a peer passed on ahead of its next answer. */
+    /** Merges records that a peer has sent ahead of its next update. */
     void onPeerAnnouncement(Instant now, List<CrashRecord> records) {
         mCrashes.merge(now, records);
     }
@@ -92,7 +93,7 @@
         mCrashes.expire(now);
     }
 
-    /** Writes what changed to the log. */
+    /** Logs the changes of quarantined requests as decisions. */
     void logDecisions(Instant now, Consumer<? super ControlEffect> effects) {
         mNotes.flush(now, d -> effects.accept(new ControlEffect.LogDecision(d)));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
@@ -14,7 +14,10 @@
 import org.laurelweir.quarantine.RequestKey;
 import org.laurelweir.settings.SettingsDelta;
 
-/** Words a control instance's decisions for the log. */
+/**
+ * Logs decisions about the state of a control instance: its role, the replicas, backend servers,
+ * settings, claims and orders of operators.
+ */
 final class DecisionNotes {
     static final String PROGRAM = "control";
 
@@ -45,7 +48,7 @@
         log(now, new Subject("", "", b.service()), List.of(id), choice, reason, effects);
     }
 
-    /** A peer's word that a backend server takes no new work from now on. */
+    /** Logs that a peer reports a backend server that takes no new requests. */
     void peerReportedBackend(
             Instant now, Backend b, String reason, Consumer<? super ControlEffect> effects) {
         if (b.state() != Backend.State.SERVING) {
@@ -53,13 +56,16 @@
         }
     }
 
-    /** An announcement that changes nothing, since it is late or of another writer. */
+    /**
+     * Logs an announcement that is ignored, for example because it is late or comes from another
+     * sender than the backend server.
+     */
     void announcementIgnored(
             Instant now, Backend b, String reason, Consumer<? super ControlEffect> effects) {
         List<String> candidates = List.of(b.ref().toString(), b.address());
         Subject subject = new Subject("", "", b.service());
-        String announced = "announcement of " + b.state() + " " + reason;
-        log(now, subject, candidates, "passed over", announced, effects);
+        String reasonText = "announcement of " + b.state() + " " + reason;
+        log(now, subject, candidates, "passed over", reasonText, effects);
     }
 
     void applied(Instant now, Command c, CommandResult r, Consumer<? super ControlEffect> out) {
@@ -81,15 +87,15 @@
         } else if (c instanceof Command.IssueFence f) {
             String fence = Long.toString(((FenceResult) r).fence());
             List<String> backend = List.of(f.backend());
-            log(now, new Subject("", "", ""), backend, fence, "fencing number issued", out);
+            log(now, new Subject("", "", ""), backend, fence, "fencing token issued", out);
         }
     }
 
-    /** A reader that has nothing, such as one that has just started, is told of every node. */
+    /** Logs that a reader gets the whole settings tree, such as a router that has just started. */
     void fullTreeSent(
-            Instant now, String reader, SettingsDelta d, Consumer<? super ControlEffect> out) {
-        List<String> position = List.of("position " + d.position());
-        String reason = "whole tree told, " + d.nodes().size() + " nodes";
+            Instant now, String reader, SettingsDelta delta, Consumer<? super ControlEffect> out) {
+        List<String> position = List.of("position " + delta.position());
+        String reason = "whole tree told, " + delta.nodes().size() + " nodes";
         log(now, new Subject("", "", ""), position, reader, reason, out);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -15,8 +15,9 @@
 import org.laurelweir.settings.SettingsNode;
 
 /**
- * Answers exchanges. An answer costs what is new to the reader: a sidecar is told of its own
- * service alone, and neither of single client accounts.
+ * Handles exchanges of sidecars and routers. An answer contains only the changes that the reader
+ * does not have yet. A sidecar gets the backend servers and the load of its own service only, and
+ * no settings of client accounts.
  */
 final class ExchangeHandler {
     private final SharedMembership mMembership;
@@ -30,11 +31,11 @@
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
-            CrashSharing crashes,
-            LoadSharing loads,
+            CrashSharing crashSharing,
+            LoadSharing loadSharing,
             DecisionNotes notes) {
-        mCrashSharing = crashes;
-        mLoadSharing = loads;
+        mCrashSharing = crashSharing;
+        mLoadSharing = loadSharing;
         mNotes = notes;
         mMembership = membership;
         mReplica = replica;
@@ -43,13 +44,13 @@
 
     void answer(Instant now, SidecarExchanged e, Consumer<? super ControlEffect> effects) {
         Backend b = e.report().backend();
-        int leastSession = mMembership.receiveReport(now, e.report());
+        int minSession = mMembership.receiveReport(now, e.report());
         String id = b.ref().id();
         SidecarOrders orders =
                 new SidecarOrders(
                         mReplica.state().isDrainOrdered(id),
                         mReplica.state().fence(id),
-                        leastSession);
+                        minSession);
         effects.accept(
                 new AnswerExchange(
                         e.call(),
@@ -88,7 +89,10 @@
         return mReplica.state().settings().deltaSince(position);
     }
 
-    /** A reader that is ahead shows that newer settings were accepted, whatever the leader said. */
+    /**
+     * Returns whether newer settings may have been accepted. A reader with a higher position proves
+     * that, whatever the leader has confirmed.
+     */
     private boolean isPossiblyStale(Instant now, long readerPosition) {
         long position = mReplica.state().settings().tree().position();
         return readerPosition > position || mReplica.isPossiblyStale(now);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/FleetStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/FleetStatus.java
@@ -5,14 +5,14 @@
 import org.laurelweir.quarantine.CrashRecord;
 
 /**
- * The fleet as one control instance knows it.
+ * The status of the fleet as known to one control instance.
  *
- * @param controls the control instances, this one first
- * @param backends the backend servers, those that left lately included
- * @param routers the routers
- * @param loads the services' loads
- * @param quarantined requests that are kept away from backend servers
- * @param settingsPosition the log position of the settings in force
+ * @param controls the statuses of the control instances, this one first
+ * @param backends the statuses of the backend servers, including recently departed ones
+ * @param routers the statuses of the routers
+ * @param loads the loads of the services
+ * @param quarantined the crash records of the quarantined requests
+ * @param settingsPosition the log position of the current settings
  */
 public record FleetStatus(
         List<ControlInstanceStatus> controls,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Interner.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Interner.java
@@ -4,13 +4,17 @@
 import java.util.Map;
 
 /**
- * Gives equal values the same object. Claims repeat few accounts, routers and backend servers, and
- * each claim decoded from the log brings copies of its own.
+ * Returns the same object for equal values, to save memory. Many claims share the same few
+ * accounts, routers and backend servers, but each claim that is decoded from the log has its own
+ * copies.
  *
  * @param <T> an immutable type
  */
 final class Interner<T> {
-    /** Names come and go; starting anew costs one further copy of those in use. */
+    /**
+     * Number of values at which the interner is cleared, as unused values would pile up. Clearing
+     * costs one more copy of each value in use.
+     */
     private static final int MAX_VALUES = 1 << 16;
 
     private final Map<T, T> mValues = new HashMap<>();
@@ -19,7 +23,7 @@
         if (mValues.size() >= MAX_VALUES) {
             mValues.clear();
         }
-        T known = mValues.putIfAbsent(value, value);
-        return known == null ? value : known;
+        T existing = mValues.putIfAbsent(value, value);
+        return existing == null ? value : existing;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LoadSharing.java
@@ -9,14 +9,16 @@
 import org.laurelweir.membership.SharedMembership;
 
 /**
- * Passes on between routers, and between control instances, what routers have at backend servers.
- * Nothing of it is durable: it is out of date within seconds.
+ * Distributes the loads that routers have at backend servers, between routers and between control
+ * instances. Nothing is durable, as loads are outdated within seconds.
  */
 final class LoadSharing {
-    /** Between two messages of loads to the other control instances. */
+    /** Interval between two load messages to the other control instances. */
     private static final Duration PEER_UPDATE_INTERVAL = Duration.ofMillis(100);
 
-    /** How often it is looked for who is busy; that takes a look at every backend server. */
+    /**
+     * Interval at which the load digest is computed. Each computation visits every backend server.
+     */
     private static final Duration DIGEST_INTERVAL = Duration.ofMillis(50);
 
     private static final Duration EXPIRY_INTERVAL = Duration.ofMillis(100);
@@ -33,19 +35,22 @@
         mMembership = membership;
     }
 
-    /** Takes what a router has at each backend server. */
+    /** Records the load that a router reports for each backend server. */
     void onRouterReport(Instant now, String router, LoadReport loads) {
         mLoads.onRouterReport(now, router, loads);
     }
 
-    /** Takes what a peer passed on. */
+    /** Records the loads that a peer has sent. */
     void onPeerLoads(Instant now, PeerLoads loads) {
         if (!loads.isEmpty()) {
             mLoads.onPeerLoads(now, loads);
         }
     }
 
-    /** Returns what a router is told; what it has just reported is in it. */
+    /**
+     * Returns the load digest for a router. It includes the loads that the router has just
+     * reported.
+     */
     LoadDigest digest(Instant now) {
         if (!now.isBefore(mNextDigest)) {
             mNextDigest = now.plus(DIGEST_INTERVAL);
@@ -54,7 +59,10 @@
         return mLoads.refreshed(mDigest);
     }
 
-    /** Returns, once, what peers are told now; nothing while the last message is too fresh. */
+    /**
+     * Returns the pending loads for the peers and clears them. Returns nothing if the last message
+     * was sent less than the interval ago.
+     */
     PeerLoads takePeerUpdate(Instant now) {
         if (now.isBefore(mNextPeerUpdate)) {
             return PeerLoads.NONE;
@@ -63,7 +71,7 @@
         return mLoads.takePeerUpdate(now);
     }
 
-    /** Returns how many requests are known to be at backend servers. */
+    /** Returns the number of requests that routers have reported as running at backend servers. */
     int requestCount() {
         return mLoads.requests();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogCodec.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogCodec.java
@@ -1,24 +1,26 @@
 package org.laurelweir.coordination;
 
-/** How commands and snapshots are written into the replicated log. */
+/** Encodes and decodes the commands and snapshots of the replicated log. */
 public interface LogCodec {
-    /** Returns the bytes of a command. */
+    /** Returns the encoded command. */
     byte[] encode(Command command);
 
     /**
-     * Returns the command that bytes hold.
+     * Returns the decoded command.
      *
-     * @throws org.laurelweir.errors.LaurelweirException LOG_CORRUPT if they hold none
+     * @throws org.laurelweir.errors.LaurelweirException LOG_CORRUPT if the bytes are not a valid
+     *     command
      */
     Command decodeCommand(byte[] bytes);
 
-    /** Returns the bytes of a snapshot; equal snapshots give equal bytes. */
+    /** Returns the encoded snapshot. Equal snapshots have equal encodings. */
     byte[] encode(ControlState.Snapshot snapshot);
 
     /**
-     * Returns the snapshot that bytes hold.
+     * Returns the decoded snapshot.
      *
-     * @throws org.laurelweir.errors.LaurelweirException SNAPSHOT_CORRUPT if they hold none
+     * @throws org.laurelweir.errors.LaurelweirException SNAPSHOT_CORRUPT if the bytes are not a
+     *     valid snapshot
      */
     ControlState.Snapshot decodeSnapshot(byte[] bytes);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -23,8 +23,8 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * The replica of the log together with the state machine that it feeds: takes commands to their
- * results, reads to their moment, and snapshots in and out.
+ * This instance's replica of the log together with its state machine. It proposes commands and
+ * answers them with their results, runs linearizable reads, and takes and installs snapshots.
  */
 final class LogReplica {
     private final ControlConfig mConfig;
@@ -37,7 +37,11 @@
     private final Set<Long> mPendingMembershipChanges = new HashSet<>();
     private final Map<Long, Runnable> mPendingReads = new HashMap<>();
 
-    /** Whole trees whose difference came too late. */
+    /**
+     * Calls that replace the whole settings tree and whose patch could not be applied, because the
+     * current tree was not the one that the patch was made for. They are proposed again with the
+     * whole tree.
+     */
     private final Queue<Long> mConflictedReplaces = new ArrayDeque<>();
 
     private Instant mNow;
@@ -53,7 +57,7 @@
         mNotes = notes;
     }
 
-    /** Returns the state as applied; not to be changed. */
+    /** Returns the applied state. Callers must not modify it. */
     ControlState state() {
         return mState;
     }
@@ -77,12 +81,12 @@
         return mConsensus.role() == Role.LEADER;
     }
 
-    /** Returns the bytes of the log's entries in memory. */
+    /** Returns the size in bytes of the log entries in memory. */
     long logBytes() {
         return mConsensus.logBytes();
     }
 
-    /** Returns the bytes of the last snapshot's state. */
+    /** Returns the size in bytes of the last snapshot's state. */
     long snapshotBytes() {
         return mConsensus.snapshotBytes();
     }
@@ -104,15 +108,22 @@
         }
     }
 
-    /** Takes a command to its result, unless this replica does not lead. */
+    /**
+     * Proposes a command and answers the call with the result, or with an error if this replica
+     * does not lead.
+     */
     void propose(Instant now, long call, Command command, Consumer<? super ControlEffect> out) {
-        // Files hold milliseconds; all replicas have to apply the same instant.
+        // Files store milliseconds. A finer timestamp would differ between a replica that has
+        // restarted and the others.
         Command stamped = command.withTimestamp(Instant.ofEpochMilli(now.toEpochMilli()));
         mPendingCommands.put(call, stamped);
         step(now, new ConsensusEvent.Proposed(call, encode(stamped)), out);
     }
 
-    /** A whole tree goes into the log as what changes, where it is small enough to be taken. */
+    /**
+     * Returns the encoded command. A command that replaces the whole settings tree is encoded as a
+     * patch if that is smaller, provided that the whole tree is within the size limit of commands.
+     */
     private byte[] encode(Command command) {
         byte[] encoded = mCodec.encode(command);
         boolean fits = encoded.length <= mConfig.consensus().logLimits().maxCommandBytes();
@@ -123,7 +134,11 @@
         return patch.length < encoded.length ? patch : encoded;
     }
 
-    /** After the step that told of them: the agreement takes one event at a time. */
+    /**
+     * Proposes the whole tree for calls whose patch had a conflict. This has to wait until the
+     * consensus step that reported the conflict is complete, since the consensus reducer handles
+     * one event at a time.
+     */
     private void retryConflictedReplaces() {
         while (!mConflictedReplaces.isEmpty()) {
             long call = mConflictedReplaces.remove();
@@ -138,7 +153,10 @@
         step(now, new ConsensusEvent.MembershipChangeProposed(call, c), out);
     }
 
-    /** Runs a read once the state is at least as new as any write that ended before. */
+    /**
+     * Runs a read once the applied state includes every write that was acknowledged before the
+     * call.
+     */
     void read(Instant now, long call, Runnable read, Consumer<? super ControlEffect> out) {
         mPendingReads.put(call, read);
         step(now, new ConsensusEvent.ReadRequested(call), out);
@@ -200,7 +218,8 @@
     }
 
     /**
-     * Returns whether the tree in force was another one than the one that the log's patch needs.
+     * Returns whether a patch was not applied because the current tree was not the one that the
+     * patch was made for.
      */
     private boolean isPatchConflict(Command command) {
         return command instanceof Command.ReplaceSettings
@@ -214,19 +233,22 @@
     }
 
     private void answerError(long call, ResultCode code, ReplicaId leader) {
-        boolean leaderless = code == ResultCode.NOT_LEADER && leader == null;
-        ResultCode told = leaderless ? ResultCode.NO_QUORUM : code;
-        mEffects.accept(new AnswerError(call, told, message(told), mConfig.addressOf(leader)));
+        boolean hasNoLeader = code == ResultCode.NOT_LEADER && leader == null;
+        ResultCode answerCode = hasNoLeader ? ResultCode.NO_QUORUM : code;
+        mEffects.accept(
+                new AnswerError(call, answerCode, message(answerCode), mConfig.addressOf(leader)));
     }
 
     private String message(ResultCode code) {
         return switch (code) {
             case NOT_LEADER -> mConfig.name() + " does not lead";
             case NO_QUORUM -> mConfig.name() + " knows of no leader with a quorum";
-            case OUTCOME_UNKNOWN -> "it may have been accepted; send the same again";
+            case OUTCOME_UNKNOWN ->
+                    "the request may have been accepted; send the same request again";
             case MEMBERSHIP_CHANGE_PENDING ->
-                    "another change of replicas is under way, or the replica has not caught up";
-            case BODY_TOO_LARGE -> "the change is larger than the log of this instance takes";
+                    "another change of the replicas is pending, or the replica has not caught up";
+            case BODY_TOO_LARGE ->
+                    "the change is larger than the largest command that the log accepts";
             case OVERLOADED -> "the log has no room at the moment";
             default -> code.name();
         };
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
@@ -9,11 +9,12 @@
 import org.laurelweir.membership.DirectAnnouncements.Outcome;
 
 /**
- * Notes announcements that were passed over: each kind at most once a second, with a count. One
- * that says its backend server leaves is a kind of its own, so that others don't hide it.
+ * Logs decisions about ignored announcements: each kind at most once a second, with a count.
+ * Outcome and announced state make the kind, so that an ignored departure has its own log line and
+ * is not hidden by other announcements.
  */
 final class PassedOverNotes {
-    /** Another writer may send without end; a line a second tells as much as all of them. */
+    /** Limits the log lines if another sender keeps sending announcements. */
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
     private final DecisionNotes mNotes;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -16,7 +16,10 @@
 import org.laurelweir.membership.SharedMembership;
 import org.laurelweir.quarantine.CrashRecord;
 
-/** Exchanges with the other control instances what each of them hears. */
+/**
+ * Exchanges membership, crash records, loads, routers and statuses with the other control
+ * instances.
+ */
 final class PeerSharing {
     private static final int ROUNDS_PER_ROUTER_UPDATE = 10;
 
@@ -37,26 +40,26 @@
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
-            PeerStatuses presences,
+            PeerStatuses peerStatuses,
             ControlPeers peers,
-            CrashSharing crashes,
-            LoadSharing loads) {
-        mCrashSharing = crashes;
-        mLoadSharing = loads;
+            CrashSharing crashSharing,
+            LoadSharing loadSharing) {
+        mCrashSharing = crashSharing;
+        mLoadSharing = loadSharing;
         mConfig = config;
         mMembership = membership;
         mReplica = replica;
         mRouters = routers;
-        mPeerStatuses = presences;
+        mPeerStatuses = peerStatuses;
         mPeers = peers;
     }
 
-    /** Notes a change that peers should learn of before they next ask. */
+    /** Queues a change of a backend server to be sent to the peers at once. */
     void announce(Backend backend) {
         mPendingAnnouncements.add(new Announcement(backend, mConfig.name()));
     }
 
-    /** Sends what does not wait for the peers' next question. */
+    /** Sends the changes that do not wait for the next update. */
     void flush(Instant now, Consumer<? super ControlEffect> effects) {
         List<CrashRecord> crashes = mCrashSharing.takePeerUpdate();
         PeerLoads loads = mLoadSharing.takePeerUpdate(now);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerStatuses.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerStatuses.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What the other control instances said of themselves last. */
+/** The last statuses received from the other control instances. */
 final class PeerStatuses {
     private static final Duration MAX_AGE = Duration.ofSeconds(2);
 
@@ -21,15 +21,15 @@
         return mByName.values().stream().map(ReceivedStatus::status).toList();
     }
 
-    /** Returns those that were told moments ago. */
+    /** Returns the statuses received within the last two seconds. */
     List<ControlInstanceStatus> recent(Instant now) {
-        List<ControlInstanceStatus> fresh = new ArrayList<>();
-        for (ReceivedStatus t : mByName.values()) {
-            if (!t.receivedAt().plus(MAX_AGE).isBefore(now)) {
-                fresh.add(t.status());
+        List<ControlInstanceStatus> recent = new ArrayList<>();
+        for (ReceivedStatus received : mByName.values()) {
+            if (!received.receivedAt().plus(MAX_AGE).isBefore(now)) {
+                recent.add(received.status());
             }
         }
-        return fresh;
+        return recent;
     }
 
     private record ReceivedStatus(Instant receivedAt, ControlInstanceStatus status) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/QueryHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/QueryHandler.java
@@ -21,7 +21,7 @@
 import org.laurelweir.settings.SettingsStore;
 import org.laurelweir.settings.SettingsTree;
 
-/** Answers operators' questions. */
+/** Answers requests to read settings, the history of changes and the status of the fleet. */
 final class QueryHandler {
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
@@ -34,15 +34,15 @@
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
-            CrashSharing crashes,
-            LoadSharing loads,
-            PeerStatuses peers) {
-        mCrashSharing = crashes;
-        mLoadSharing = loads;
+            CrashSharing crashSharing,
+            LoadSharing loadSharing,
+            PeerStatuses peerStatuses) {
+        mCrashSharing = crashSharing;
+        mLoadSharing = loadSharing;
         mMembership = membership;
         mReplica = replica;
         mRouters = routers;
-        mPeerStatuses = peers;
+        mPeerStatuses = peerStatuses;
     }
 
     void answer(Instant now, SettingsRequested e, Consumer<? super ControlEffect> effects) {
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ReplicaRepair.java
@@ -13,28 +13,32 @@
 import org.laurelweir.consensus.ReplicaId;
 
 /**
- * Keeps the replicas of the log in step with the control instances that there are, one step at a
- * time.
+ * Adapts the replicas of the log to the running control instances, one membership change at a time.
  *
- * <p>An instance that has come back with another disk is replaced: the new replica learns, becomes
- * a voter once it has caught up, and then the old one is removed; of seven voters the old one goes
- * first, as there may not be eight. The old replica is gone for good, as the instance of its name
- * says who it is now; as long as it is counted, the log survives one loss fewer. An instance that
- * an operator removed is left out.
+ * <p>An instance that has returned with a new disk is replaced. Its new replica is added as a
+ * learner and promoted to voter once it has caught up; then the old replica is removed. If there
+ * are seven voters, the old replica is removed first, because eight are not allowed. The old
+ * replica can't return, as the instance of the same name reports a new replica id. As long as the
+ * old replica is counted, the log survives one loss fewer. An instance that an operator has removed
+ * is not added again.
  *
- * <p>Who should vote is decided by {@link VoterPlan}.
+ * <p>{@link VoterPlan} decides which replicas vote.
  *
- * <p>In an open deployment a new instance joins the same way, and a voter that has been silent for
- * long is removed: one that was replaced at another address never comes back, and each such voter
- * would take away one loss that the log survives. One that does come back joins again.
+ * <p>In a deployment where instances join by themselves, a new instance is added in the same way,
+ * and a replica that has been silent for a time is removed. An instance that was replaced at
+ * another address never returns, and each such voter would reduce by one the losses that the log
+ * survives. An instance that does return joins again.
  */
 final class ReplicaRepair {
-    /** The number under which the replica answers; no caller waits for it. */
+    /** The call id of this class's membership changes. No caller waits for their answers. */
     static final long INTERNAL_CALL = -1;
 
     private static final Duration CHECK_INTERVAL = Duration.ofMillis(500);
 
-    /** Longer than a restart with recovery takes, so that an ordinary restart changes nothing. */
+    /**
+     * Time of silence after which a replica is removed. It is longer than a restart with recovery
+     * takes, so that an ordinary restart changes nothing.
+     */
     private static final Duration REMOVAL_TIMEOUT = Duration.ofSeconds(10);
 
     private final LogReplica mReplica;
@@ -43,10 +47,10 @@
     private final Map<ReplicaId, Instant> mSilentSince = new HashMap<>();
     private Instant mNextCheck = Instant.MIN;
 
-    ReplicaRepair(LogReplica replica, PeerStatuses peers, boolean open) {
+    ReplicaRepair(LogReplica replica, PeerStatuses peerStatuses, boolean autoJoin) {
         mReplica = replica;
-        mPeerStatuses = peers;
-        mAutoJoin = open;
+        mPeerStatuses = peerStatuses;
+        mAutoJoin = autoJoin;
     }
 
     void tick(Instant now, Consumer<? super ControlEffect> effects) {
@@ -58,20 +62,21 @@
             mSilentSince.clear();
             return;
         }
-        List<ReplicaId> present = new ArrayList<>();
-        mPeerStatuses.recent(now).forEach(p -> present.add(p.replica()));
-        present.add(mReplica.status(now).replica());
+        List<ReplicaId> runningReplicas = new ArrayList<>();
+        mPeerStatuses.recent(now).forEach(p -> runningReplicas.add(p.replica()));
+        runningReplicas.add(mReplica.status(now).replica());
         Membership members = mReplica.membership();
-        updateSilentReplicas(now, members, present);
-        new VoterPlan(members, present, timedOut(now), mAutoJoin)
+        updateSilentReplicas(now, members, runningReplicas);
+        new VoterPlan(members, runningReplicas, timedOut(now), mAutoJoin)
                 .nextStep()
                 .ifPresent(step -> mReplica.changeMembership(now, INTERNAL_CALL, step, effects));
     }
 
-    private void updateSilentReplicas(Instant now, Membership members, List<ReplicaId> present) {
-        mSilentSince.keySet().removeIf(r -> present.contains(r) || !members.contains(r));
+    private void updateSilentReplicas(
+            Instant now, Membership members, List<ReplicaId> runningReplicas) {
+        mSilentSince.keySet().removeIf(r -> runningReplicas.contains(r) || !members.contains(r));
         for (ReplicaId r : members.all()) {
-            if (!present.contains(r)) {
+            if (!runningReplicas.contains(r)) {
                 mSilentSince.putIfAbsent(r, now);
             }
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterInstanceStatus.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterInstanceStatus.java
@@ -4,11 +4,11 @@
 import org.laurelweir.membership.RouterReport;
 
 /**
- * A router as some control instance hears it.
+ * The status of a router as known to the control instance that the router exchanges with.
  *
- * @param report what it told of itself
- * @param settingsPosition the log position of the settings that it has
- * @param lastExchange when it exchanged last, by that instance's clock
+ * @param report the router's last report
+ * @param settingsPosition the log position of the settings that the router uses
+ * @param lastExchange the time of its last exchange, by the clock of that control instance
  */
 public record RouterInstanceStatus(
         RouterReport report, long settingsPosition, Instant lastExchange) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/RouterTable.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Routers by name, as heard here or told by peers, for operators and account limits. */
+/**
+ * Routers by name that exchange with this instance or that peers have reported. Operators see them,
+ * and routers divide the limits of client accounts by their number.
+ */
 final class RouterTable {
     private static final Duration RETENTION = Duration.ofMinutes(1);
 
@@ -22,8 +25,8 @@
 
     void merge(Collection<RouterInstanceStatus> routers) {
         for (RouterInstanceStatus r : routers) {
-            RouterInstanceStatus known = mAll.get(r.report().name());
-            if (known == null || r.lastExchange().isAfter(known.lastExchange())) {
+            RouterInstanceStatus existing = mAll.get(r.report().name());
+            if (existing == null || r.lastExchange().isAfter(existing.lastExchange())) {
                 mAll.put(r.report().name(), r);
             }
         }
@@ -33,7 +36,10 @@
         return new ArrayList<>(mLocal.values());
     }
 
-    /** Returns how many routers serve. One that left without a word counts for a minute more. */
+    /**
+     * Returns the number of routers that serve. A router that stops without notice is counted for
+     * another minute.
+     */
     int count() {
         return mAll.size();
     }
@@ -43,8 +49,8 @@
     }
 
     void expire(Instant now) {
-        Instant latest = now.minus(RETENTION);
-        mLocal.values().removeIf(r -> r.lastExchange().isBefore(latest));
-        mAll.values().removeIf(r -> r.lastExchange().isBefore(latest));
+        Instant earliest = now.minus(RETENTION);
+        mLocal.values().removeIf(r -> r.lastExchange().isBefore(earliest));
+        mAll.values().removeIf(r -> r.lastExchange().isBefore(earliest));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/StalenessDetector.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/StalenessDetector.java
@@ -8,11 +8,13 @@
 import org.laurelweir.consensus.Role;
 
 /**
- * Tells whether the settings applied here are the newest accepted ones as of moments ago.
+ * Detects whether the settings applied on this instance may be stale, that is, whether newer
+ * settings may have been accepted more than a short time ago.
  *
- * <p>A follower on the far side of a partition serves settings that look sound and are hours old.
- * It knows by the leader's silence. A leader without a quorum steps down by itself within its
- * election timeout, so a follower that hears one is behind by two such times at most.
+ * <p>A follower that is partitioned from the quorum could serve settings that look valid but are
+ * hours old. It detects that by the silence of the leader. A leader without a quorum steps down
+ * within its election timeout, so a follower in contact with a leader is stale by at most two
+ * election timeouts.
  */
 final class StalenessDetector {
     private final ConsensusReducer mConsensus;
@@ -22,15 +24,15 @@
     private long mUnconfirmedCommitIndex;
     private long mCommitIndexAtElection = Long.MAX_VALUE;
 
-    StalenessDetector(ConsensusReducer agreement, Duration freshFor) {
-        mConsensus = agreement;
-        mStaleAfter = freshFor;
+    StalenessDetector(ConsensusReducer consensus, Duration staleAfter) {
+        mConsensus = consensus;
+        mStaleAfter = staleAfter;
     }
 
-    /** Called when the replica has taken a message. */
+    /** Handles a message after the replica has processed it. */
     void onMessage(Instant now, MessageReceived e) {
-        boolean fromLeader = e.from().equals(mConsensus.leader());
-        if (fromLeader
+        boolean isFromLeader = e.from().equals(mConsensus.leader());
+        if (isFromLeader
                 && mUnconfirmedContact == null
                 && e.message() instanceof AppendRequest a
                 && a.term() == mConsensus.term()) {
@@ -41,9 +43,10 @@
     }
 
     /**
-     * What the leader had committed when it was heard is applied here. Waiting for that same
-     * message, rather than looking at the newest one only, keeps a follower that is always a little
-     * behind under load from being called stale.
+     * Confirms the last recorded contact with the leader once this instance has applied the
+     * leader's commit index of that contact. Later messages do not replace the recorded contact
+     * before it is confirmed. Otherwise a follower that always lags slightly under load would count
+     * as stale.
      */
     private void confirm() {
         if (mUnconfirmedContact != null && mUnconfirmedCommitIndex <= mConsensus.commitIndex()) {
@@ -59,7 +62,8 @@
 
     boolean isPossiblyStale(Instant now) {
         if (mConsensus.role() == Role.LEADER) {
-            // Until an entry of its own term is committed, a leader may not know of all others.
+            // Until an entry of its own term is committed, a leader may not know all committed
+            // entries.
             return mConsensus.commitIndex() <= mCommitIndexAtElection;
         }
         confirm();
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/VoterPlan.java
@@ -8,19 +8,21 @@
 import org.laurelweir.consensus.ReplicaId;
 
 /**
- * Decides the next step from the replicas that there are to those that there should be.
+ * Decides the next membership change that brings the replicas of the log closer to the intended
+ * ones.
  *
- * <p>The voters are of an odd number, as far as there are disks for it: one more bears no further
- * loss, and a core of an even number that is cut into halves has a quorum on neither side. The
- * learner that is left over takes the place of the next voter that is removed.
+ * <p>The number of voters is odd, as far as there are enough replicas with disks. An additional
+ * voter would not make the log survive a further loss, and an even number of voters that is
+ * partitioned into halves has no quorum on either side. A remaining learner takes the place of the
+ * next voter that is removed.
  *
- * <p>An instance without a disk stays a learner: it serves its callers from what it learns, and
- * nothing depends on what it remembers.
+ * <p>An instance without a disk stays a learner. It serves its callers from its copy of the log,
+ * and no quorum depends on its memory.
  *
- * @param members the replicas of the log
- * @param runningReplicas those that control instances say they are now
- * @param timedOut those that have been silent for so long that they are to be removed
- * @param autoJoin whether instances that no settings name join by themselves
+ * @param members the current membership of the log
+ * @param runningReplicas the replica ids that the running control instances report
+ * @param timedOut the replicas that have been silent for so long that they are removed
+ * @param autoJoin whether instances that are not configured may join by themselves
  */
 record VoterPlan(
         Membership members,
@@ -29,10 +31,10 @@
         boolean autoJoin) {
     private static final int MAX_VOTERS = 7;
 
-    /** Fewer voters would not survive a single loss. */
+    /** Minimum number of voters after a removal. Fewer voters would not survive a single loss. */
     private static final int MIN_VOTERS = 3;
 
-    /** Returns the next step, or nothing where all is as it should be. */
+    /** Returns the next membership change, or empty if none is needed. */
     Optional<MembershipChange> nextStep() {
         return runningReplicas.stream()
                 .map(this::stepFor)
@@ -42,20 +44,20 @@
     }
 
     private Optional<MembershipChange> stepFor(ReplicaId replica) {
-        Optional<ReplicaId> before =
+        Optional<ReplicaId> predecessor =
                 members.all().stream()
                         .filter(r -> r.name().equals(replica.name()) && !r.equals(replica))
                         .findFirst();
         if (members.learners().contains(replica)) {
-            boolean replaces = before.filter(members::isVoter).isPresent();
-            return mayVote(replica) && (replaces || isVoterNeeded())
+            boolean replacesVoter = predecessor.filter(members::isVoter).isPresent();
+            return mayVote(replica) && (replacesVoter || isVoterNeeded())
                     ? Optional.of(new MembershipChange.Promote(replica))
-                    : before.map(MembershipChange.Remove::new);
+                    : predecessor.map(MembershipChange.Remove::new);
         }
         if (members.isVoter(replica)) {
-            return before.map(MembershipChange.Remove::new);
+            return predecessor.map(MembershipChange.Remove::new);
         }
-        return autoJoin || before.isPresent()
+        return autoJoin || predecessor.isPresent()
                 ? Optional.of(new MembershipChange.AddLearner(replica))
                 : Optional.empty();
     }
@@ -65,22 +67,23 @@
     }
 
     /**
-     * Returns whether another voter bears a further loss, or takes a place that gets free. Counted
-     * is what the voters come to: a lost disk whose successor votes already, and an instance that
-     * is about to be removed, would make the number look even for the moment, and another learner
-     * promoted by that would leave it even for good.
+     * Returns whether a learner should be promoted, so that the voters tolerate a further loss or a
+     * removed voter is replaced. This counts the voters that remain after pending removals. A
+     * replica with a lost disk whose successor is already a voter, and an instance that is about to
+     * be removed, would make the number even for a short time. A learner that is promoted because
+     * of that would leave the number even permanently.
      */
     private boolean isVoterNeeded() {
-        long staying =
+        long remainingVoters =
                 members.voters().stream()
                         .filter(v -> !timedOut.contains(v))
                         .map(ReplicaId::name)
                         .distinct()
                         .count();
-        return staying % 2 == 0 || spareLearnerCount() > 1;
+        return remainingVoters % 2 == 0 || spareLearnerCount() > 1;
     }
 
-    /** Returns how many learners could vote and replace no voter. */
+    /** Returns the number of learners that could vote and are not the successor of a voter. */
     private long spareLearnerCount() {
         return members.learners().stream()
                 .filter(r -> r.isDurable() && runningReplicas.contains(r))
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
@@ -15,7 +15,7 @@
 import org.laurelweir.routing.RequestPolicy;
 import org.laurelweir.settings.SettingKeys;
 
-/** The state machine over the log: claims, fencing numbers, drain orders. */
+/** Tests the state machine of the log: claims, fencing tokens and drain orders. */
 class ControlStateTest {
     private static final Duration RETENTION = Duration.ofMinutes(10);
     private static final BackendRef TARGET = new BackendRef("w1", 1);
@@ -78,8 +78,9 @@
                 .isEqualTo(ResultCode.IDEMPOTENCY_KEY_REUSED);
     }
 
-    // Two routers both find that the first attempt never started, and both want its place. The
-    // second to come names a holder that holds no more, and learns of the one that does.
+    // Guards against two attempts that run under one key. Two routers both find that the first
+    // attempt never started, and both try to replace it. The second one names a holder that is
+    // already replaced, and gets the new holder as its answer.
     @Test
     void onlyOneOfTwoAttemptsReplacesHolder() {
         claim(1, "key", FIRST, null);
@@ -87,8 +88,8 @@
         assertThat(claim(3, "key", THIRD, FIRST).holder()).isEqualTo(SECOND);
     }
 
-    // A router settles its attempt after another has taken its place. The late word changes nothing
-    // for the attempt that holds the key now.
+    // Guards against a late settle command: a router settles its attempt after another attempt has
+    // replaced it. This must not change the claim of the current holder.
     @Test
     void ignoresSettleOfReplacedHolder() {
         claim(1, "key", FIRST, null);
@@ -113,8 +114,8 @@
         assertThat(claim(3, "key", SECOND, null).holder()).isEqualTo(SECOND);
     }
 
-    // A new leader's clock is far behind its predecessor's. The log's time stands still meanwhile,
-    // so that a claim ends neither early nor twice.
+    // Guards against claims that expire early or twice when a new leader's clock is far behind its
+    // predecessor's. The log's time must not go back meanwhile.
     @Test
     void logTimeNeverDecreases() {
         claim(10_000, "key", FIRST, null);
@@ -132,8 +133,8 @@
         assertThat(claim(2, "key", SECOND, null).holder()).isEqualTo(FIRST);
     }
 
-    // A caller that resends within the promised time must be known, also at one non-idempotent
-    // request in ten of the 11,000 a second at peak: with the default, the table is then half full.
+    // A caller that retries within the default retention must find its claim, even if 10% of the
+    // 11,000 requests a second at peak are not idempotent. The table is then at most half full.
     @Test
     void defaultRetentionFitsMaxClaims() {
         Duration retention = SettingKeys.CLAIM_RETENTION.defaultValue();
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
@@ -15,11 +15,11 @@
 import org.laurelweir.quarantine.CrashRecord;
 import org.laurelweir.quarantine.RequestKey;
 
-/** What control instances pass on of requests under which backend servers ended. */
+/** Tests how control instances distribute the records of crashes of backend servers. */
 class CrashSharingTest {
     private static final Instant NOW = Instant.EPOCH;
 
-    private final CrashSharing mSharing = newCrashSharing("c0", 2);
+    private final CrashSharing mCrashSharing = newCrashSharing("c0", 2);
 
     private static CrashSharing newCrashSharing(String name, long incarnation) {
         return new CrashSharing(
@@ -36,27 +36,28 @@
         return new MembershipCursor(control, incarnation, 0);
     }
 
-    // A router that had more records of an instance's run before was never told those of the next.
+    // Guards against missing records after a restart of control: the router's version from the
+    // previous run is higher than all versions of the new run. It must not count for the new run.
     @Test
     void readerOfAnotherRunGetsAllRecords() {
-        mSharing.onRouterReport(NOW, List.of(crashRecord(1), crashRecord(2)));
-        assertThat(mSharing.deltaSince(NOW, cursorOfRun("c0", 1), 500).records()).hasSize(2);
-        assertThat(mSharing.deltaSince(NOW, cursorOfRun("c1", 2), 500).records()).hasSize(2);
-        assertThat(mSharing.deltaSince(NOW, cursorOfRun("c0", 2), 1).records()).hasSize(1);
-        assertThat(mSharing.deltaSince(NOW, cursorOfRun("c0", 2), 2).records()).isEmpty();
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1), crashRecord(2)));
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 1), 500).records()).hasSize(2);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c1", 2), 500).records()).hasSize(2);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 2), 1).records()).hasSize(1);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 2), 2).records()).isEmpty();
     }
 
-    // What two instances told each other went back and forth between them.
+    // Guards against records that two control instances send back and forth between each other.
     @Test
     void onlyRouterReportsGoToPeersAtOnce() {
-        mSharing.onRouterReport(NOW, List.of(crashRecord(1)));
-        assertThat(mSharing.takePeerUpdate()).hasSize(1);
-        assertThat(mSharing.takePeerUpdate()).isEmpty();
-        mSharing.onRouterReport(NOW, List.of(crashRecord(1)));
-        mSharing.onPeerAnnouncement(NOW, List.of(crashRecord(2)));
-        mSharing.onPeerUpdate(NOW, "c1", new CrashDelta(9, List.of(crashRecord(3))));
-        assertThat(mSharing.takePeerUpdate()).isEmpty();
-        assertThat(mSharing.peerVersion("c1")).isEqualTo(9);
-        assertThat(mSharing.deltaSince(NOW, MembershipCursor.NONE, 0).records()).hasSize(3);
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1)));
+        assertThat(mCrashSharing.takePeerUpdate()).hasSize(1);
+        assertThat(mCrashSharing.takePeerUpdate()).isEmpty();
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1)));
+        mCrashSharing.onPeerAnnouncement(NOW, List.of(crashRecord(2)));
+        mCrashSharing.onPeerUpdate(NOW, "c1", new CrashDelta(9, List.of(crashRecord(3))));
+        assertThat(mCrashSharing.takePeerUpdate()).isEmpty();
+        assertThat(mCrashSharing.peerVersion("c1")).isEqualTo(9);
+        assertThat(mCrashSharing.deltaSince(NOW, MembershipCursor.NONE, 0).records()).hasSize(3);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
@@ -16,7 +16,9 @@
 import org.laurelweir.consensus.MembershipChange.Promote;
 import org.laurelweir.consensus.ReplicaId;
 
-/** Who votes in the end, whatever the order in which instances are heard. */
+/**
+ * Tests which replicas are voters in the end, whatever the order in which control instances report.
+ */
 class VoterPlanTest {
     private static final int RANDOM_ORDERS = 300;
     private static final int MAX_STEPS = 40;
@@ -38,30 +40,35 @@
     }
 
     /**
-     * Takes one step after the other, with the instances heard in an order of its own each time.
+     * Applies steps until none is left. The control instances report in a different random order
+     * before each step.
      */
     private static Membership applyAllSteps(
-            Membership members, List<ReplicaId> present, Set<ReplicaId> overdue, Random random) {
-        Membership now = members;
-        List<ReplicaId> heard = new ArrayList<>(present);
+            Membership members,
+            List<ReplicaId> runningReplicas,
+            Set<ReplicaId> timedOut,
+            Random random) {
+        Membership current = members;
+        List<ReplicaId> reporting = new ArrayList<>(runningReplicas);
         for (int i = 0; i < MAX_STEPS; i++) {
-            Collections.shuffle(heard, random);
-            Optional<MembershipChange> step = new VoterPlan(now, heard, overdue, true).nextStep();
+            Collections.shuffle(reporting, random);
+            Optional<MembershipChange> step =
+                    new VoterPlan(current, reporting, timedOut, true).nextStep();
             if (step.isEmpty()) {
-                return now;
+                return current;
             }
-            now = applyStep(now, step.get());
+            current = applyStep(current, step.get());
         }
-        throw new AssertionError("no end of steps: " + now);
+        throw new AssertionError("steps left after the maximum number; members: " + current);
     }
 
-    private static Membership applyStep(Membership now, MembershipChange step) {
+    private static Membership applyStep(Membership current, MembershipChange step) {
         if (step instanceof AddLearner) {
-            return now.withLearner(step.replica());
+            return current.withLearner(step.replica());
         }
         return step instanceof Promote
-                ? now.withVoter(step.replica())
-                : now.without(step.replica());
+                ? current.withVoter(step.replica())
+                : current.without(step.replica());
     }
 
     private static Membership growFromThreeVoters(List<ReplicaId> all, Random random) {
@@ -84,18 +91,19 @@
 
     @Test
     void lostDisksDoNotChangeVoterCount() {
-        // Two of six instances come back with empty disks. While the old and the new disk of one
-        // both count, the number of voters is even for a moment: a learner that is promoted for
-        // that leaves six voters, and a cut into halves leaves neither side a quorum.
+        // Guards against an even number of voters. Two of six instances return with empty disks.
+        // While both the old and the new replica of an instance are voters, the number is even for
+        // a short time. A learner that is promoted because of that would leave six voters, and a
+        // partition into halves would leave no side with a quorum.
         for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
             Membership members = growFromThreeVoters(replicasWithDisks(6), random);
-            List<ReplicaId> present = new ArrayList<>(replicasWithDisks(6));
-            present.set(0, replicaWithDisk("c1", 2));
-            present.set(1, replicaWithDisk("c2", 2));
-            Membership after = applyAllSteps(members, present, Set.of(), random);
+            List<ReplicaId> runningReplicas = new ArrayList<>(replicasWithDisks(6));
+            runningReplicas.set(0, replicaWithDisk("c1", 2));
+            runningReplicas.set(1, replicaWithDisk("c2", 2));
+            Membership after = applyAllSteps(members, runningReplicas, Set.of(), random);
             assertThat(after.voters()).hasSize(5);
-            assertThat(present).containsAll(after.all());
+            assertThat(runningReplicas).containsAll(after.all());
             assertThat(after.all()).hasSize(6);
         }
     }
@@ -106,24 +114,26 @@
             for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
                 Random random = new Random(seed);
                 Membership members = growFromThreeVoters(replicasWithDisks(instances), random);
-                ReplicaId gone = members.voters().first();
-                List<ReplicaId> present = new ArrayList<>(replicasWithDisks(instances));
-                present.remove(gone);
-                Membership after = applyAllSteps(members, present, Set.of(gone), random);
-                assertThat(after.voters()).hasSize(instances - 1).doesNotContain(gone);
+                ReplicaId lost = members.voters().first();
+                List<ReplicaId> runningReplicas = new ArrayList<>(replicasWithDisks(instances));
+                runningReplicas.remove(lost);
+                Membership after = applyAllSteps(members, runningReplicas, Set.of(lost), random);
+                assertThat(after.voters()).hasSize(instances - 1).doesNotContain(lost);
             }
         }
     }
 
     @Test
     void silentVotersAreRemovedDownToThree() {
-        // Nothing that is cut off may talk the core down to a size at which one loss stops it.
+        // Guards against removals by a partitioned leader that would leave fewer than three voters,
+        // so that one more loss stops the log.
         for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
             Membership members = growFromThreeVoters(replicasWithDisks(5), random);
-            List<ReplicaId> present = replicasWithDisks(5).subList(0, 2);
-            Set<ReplicaId> overdue = new HashSet<>(replicasWithDisks(5).subList(2, 5));
-            assertThat(applyAllSteps(members, present, overdue, random).voters()).hasSize(3);
+            List<ReplicaId> runningReplicas = replicasWithDisks(5).subList(0, 2);
+            Set<ReplicaId> timedOut = new HashSet<>(replicasWithDisks(5).subList(2, 5));
+            assertThat(applyAllSteps(members, runningReplicas, timedOut, random).voters())
+                    .hasSize(3);
         }
     }
 
