--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusReducer.java
@@ -24,30 +24,30 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * One replica of the log. The first event is {@link ConsensusEvent.Recovered}. After an exception
- * the reducer must not be used again: the replica has to be restarted from its disk.
+ * One replica of the Raft log. The first event is {@link ConsensusEvent.Recovered}. After an
+ * exception the reducer must not be used again: the replica has to restart from its disk.
  */
 public final class ConsensusReducer implements Reducer<ConsensusEvent, ConsensusEffect> {
     private final ReplicaState mState;
     private final Elections mElections;
     private final Applier mApplier;
-    private final AppendReceiver mAppends;
-    private final SnapshotReceiver mSnapshots;
+    private final AppendReceiver mAppendReceiver;
+    private final SnapshotReceiver mSnapshotReceiver;
     private Leadership mLeadership;
 
     /**
      * Creates a replica.
      *
-     * @param self this replica, with the storage id of its disk
-     * @param config times and bounds, the same on all replicas
-     * @param seed for election timeouts; must differ between replicas
+     * @param self the id of this replica, with the storage id of its disk
+     * @param config timeouts and limits, the same on all replicas
+     * @param seed seed for random election timeouts; must differ between replicas
      */
     public ConsensusReducer(ReplicaId self, ConsensusConfig config, long seed) {
         mState = new ReplicaState(self, config);
         mElections = new Elections(mState, seed);
         mApplier = new Applier(mState, this::onApplied);
-        mAppends = new AppendReceiver(mState, mApplier);
-        mSnapshots = new SnapshotReceiver(mState, mApplier);
+        mAppendReceiver = new AppendReceiver(mState, mApplier);
+        mSnapshotReceiver = new SnapshotReceiver(mState, mApplier);
     }
 
     public Role role() {
@@ -58,12 +58,12 @@
         return mState.term();
     }
 
-    /** Returns the leader of the present term, or null while unknown. */
+    /** Returns the leader of the current term, or null while unknown. */
     public ReplicaId leader() {
         return mState.leader();
     }
 
-    /** Returns the newest membership in this replica's log, committed or not. */
+    /** Returns the newest membership in this replica's log, which may be uncommitted. */
     public Membership membership() {
         return mState.log().membership();
     }
@@ -72,43 +72,45 @@
         return mState.log();
     }
 
-    /** Returns the bytes of the entries in memory. */
+    /** Returns the size in bytes of the log entries in memory. */
     public long logBytes() {
         return mState.log().bytes();
     }
 
-    /** Returns the bytes of the last snapshot's state. */
+    /** Returns the size in bytes of the last snapshot's state. */
     public long snapshotBytes() {
         return mState.log().snapshot().state().length;
     }
 
-    /** Returns the last entry known committed here; all up to it have been applied. */
+    /**
+     * Returns the index of the last entry known to be committed. All entries up to it are applied.
+     */
     public long commitIndex() {
         return mApplier.commitIndex();
     }
 
     @Override
     public void step(Instant now, ConsensusEvent event, Consumer<? super ConsensusEffect> effects) {
-        mState.begin(now, effects);
+        mState.beginStep(now, effects);
         dispatch(event);
-        followRole();
+        updateLeadership();
         if (mLeadership != null) {
             mLeadership.advance();
-            followRole();
+            updateLeadership();
         }
-        mApplier.mark();
-        mState.finish();
+        mApplier.markCommitted();
+        mState.endStep();
     }
 
-    /** Opens or closes a term of leading when the role has changed. */
-    private void followRole() {
-        boolean leads = mState.role() == Role.LEADER;
-        if (mLeadership != null && !leads) {
+    /** Starts or ends the {@link Leadership} when the role has changed. */
+    private void updateLeadership() {
+        boolean isLeader = mState.role() == Role.LEADER;
+        if (mLeadership != null && !isLeader) {
             mLeadership.end();
             mLeadership = null;
             mElections.restartTimer();
         }
-        if (mLeadership == null && leads) {
+        if (mLeadership == null && isLeader) {
             mLeadership = new Leadership(mState, mApplier);
             mLeadership.begin();
         }
@@ -120,7 +122,7 @@
         } else if (event instanceof ConsensusEvent.Tick) {
             onTick();
         } else if (event instanceof Persisted e) {
-            mState.durability().persisted(e.sequence());
+            mState.diskWrites().onSynced(e.sequence());
         } else if (event instanceof Proposed e) {
             onProposed(e);
         } else if (event instanceof ReadRequested e) {
@@ -132,7 +134,7 @@
         } else if (event instanceof Recovered e) {
             onRecovered(e);
         } else if (event instanceof ConsensusEvent.LeadershipTransferRequested) {
-            onHandOverRequested();
+            onTransferRequested();
         } else if (event instanceof Bootstrapped e) {
             onBootstrapped(e);
         }
@@ -141,7 +143,7 @@
     private void onRecovered(Recovered disk) {
         mState.recover(disk);
         mApplier.recover(disk.commitIndex());
-        mElections.startTimer();
+        mElections.startStartupTimer();
     }
 
     private void onBootstrapped(Bootstrapped e) {
@@ -152,11 +154,11 @@
         mState.append(List.of(new LogEntry(1, 0, LogEntry.Kind.MEMBERSHIP, members)));
     }
 
-    private void onHandOverRequested() {
+    private void onTransferRequested() {
         if (mLeadership == null) {
             mState.emit(new ConsensusEffect.LeadershipTransferEnded());
         } else {
-            mLeadership.onHandOverRequested();
+            mLeadership.onTransferRequested();
         }
     }
 
@@ -217,43 +219,46 @@
         }
     }
 
-    /** Handles the messages whose sender has reached their term. */
+    /**
+     * Handles the messages whose term is the sender's current term. Pre-votes and vote requests are
+     * not among them: their term may not have started yet.
+     */
     private void onTermMessage(ReplicaId from, ReplicaMessage message) {
         if (message.term() > mState.term()) {
             mState.adoptTerm(message.term());
-            followRole();
+            updateLeadership();
         }
         if (message.term() < mState.term()) {
-            refuseOldTerm(from, message);
+            rejectOldTerm(from, message);
         } else if (message instanceof VoteReply m) {
             mElections.onVoteReply(from, m);
         } else if (message instanceof ReplicaMessage.TimeoutNow) {
-            mElections.takeOver();
+            mElections.onTimeoutNow();
         } else if (message instanceof AppendRequest m) {
-            followLeader(from);
-            mAppends.onAppend(from, m);
+            acceptLeader(from);
+            mAppendReceiver.onAppend(from, m);
         } else if (message instanceof SnapshotChunk m) {
-            followLeader(from);
-            mSnapshots.onChunk(from, m);
+            acceptLeader(from);
+            mSnapshotReceiver.onChunk(from, m);
         } else {
             onFollowerReply(from, message);
         }
     }
 
-    /** Tells a leader of an earlier term that it has been replaced; ignores late replies. */
-    private void refuseOldTerm(ReplicaId from, ReplicaMessage message) {
+    /** Tells the leader of an earlier term that a newer term exists. Late replies are ignored. */
+    private void rejectOldTerm(ReplicaId from, ReplicaMessage message) {
         if (message instanceof AppendRequest || message instanceof SnapshotChunk) {
-            mState.sendDurable(from, new AppendReply(mState.term(), false, 0, 0));
+            mState.sendAfterSync(from, new AppendReply(mState.term(), false, 0, 0));
         }
     }
 
-    private void followLeader(ReplicaId from) {
+    private void acceptLeader(ReplicaId from) {
         if (mState.role() == Role.LEADER) {
             throw new LaurelweirException(
                     ResultCode.LOG_CORRUPT,
-                    "term " + mState.term() + " has a second leader " + from);
+                    "term " + mState.term() + " has two leaders: this replica and " + from);
         }
-        mElections.leaderHeard(from);
+        mElections.onLeaderContact(from);
     }
 
     private void onFollowerReply(ReplicaId from, ReplicaMessage message) {
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/Leadership.java
@@ -6,40 +6,46 @@
 import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
-/** One term of leading: orders proposals, counts copies, and ends when a quorum is out of reach. */
+/**
+ * The leader's side of one term: appends proposals to the log, commits what a quorum holds, and
+ * steps down without contact to a quorum.
+ */
 final class Leadership {
     private static final byte[] EMPTY = new byte[0];
 
     private final ReplicaState mState;
     private final Applier mApplier;
     private final Replication mReplication;
-    private final Proposals mProposals;
-    private final Reads mReads;
-    private final MembershipRules mRules;
-    private final LeadershipTransfer mHandOver;
+    private final PendingProposals mPendingProposals;
+    private final PendingReads mPendingReads;
+    private final MembershipRules mMembershipRules;
+    private final LeadershipTransfer mTransfer;
     private Instant mNextHeartbeat;
 
     Leadership(ReplicaState state, Applier applier) {
         mState = state;
         mApplier = applier;
         mReplication = new Replication(state, applier);
-        mProposals = new Proposals(state);
-        mReads = new Reads(state, applier, mReplication);
-        mRules = new MembershipRules(state, mReplication, this::isHeard);
-        mHandOver = new LeadershipTransfer(state, mReplication, this::isHeard);
+        mPendingProposals = new PendingProposals(state);
+        mPendingReads = new PendingReads(state, applier, mReplication);
+        mMembershipRules = new MembershipRules(state, mReplication, this::isInContact);
+        mTransfer = new LeadershipTransfer(state, mReplication, this::isInContact);
         mNextHeartbeat = state.now();
     }
 
-    /** Opens the term with an entry of its own, since entries of earlier terms can't be counted. */
+    /**
+     * Starts the term with an entry of its own. The leader can't commit entries of earlier terms by
+     * counting their copies.
+     */
     void begin() {
         append(LogEntry.Kind.NO_OP, EMPTY);
     }
 
-    /** Closes the term; what is pending gets its answer. */
+    /** Ends the term and rejects all pending proposals and reads. */
     void end() {
-        mProposals.end();
-        mReads.end();
-        mHandOver.end();
+        mPendingProposals.rejectAll();
+        mPendingReads.rejectAll();
+        mTransfer.end();
     }
 
     private LogEntry append(LogEntry.Kind kind, byte[] payload) {
@@ -48,39 +54,42 @@
         return entry;
     }
 
-    void onHandOverRequested() {
-        mHandOver.begin();
+    void onTransferRequested() {
+        mTransfer.begin();
     }
 
     void onProposed(long proposalId, byte[] command) {
-        if (isLeaving(proposalId)) {
+        if (rejectDuringTransfer(proposalId)) {
             return;
         }
-        if (command.length > mState.config().bounds().command()) {
+        if (command.length > mState.config().logLimits().maxCommandBytes()) {
             reject(proposalId, ResultCode.BODY_TOO_LARGE);
             return;
         }
-        if (!mProposals.hasRoom(command.length)) {
+        if (!mPendingProposals.hasRoom(command.length)) {
             reject(proposalId, ResultCode.OVERLOADED);
             return;
         }
-        mProposals.add(proposalId, append(LogEntry.Kind.COMMAND, command));
+        mPendingProposals.add(proposalId, append(LogEntry.Kind.COMMAND, command));
     }
 
-    /** Turns a proposal away while another is to lead; it is in no log. */
-    private boolean isLeaving(long proposalId) {
-        if (mHandOver.isUnderWay()) {
+    /**
+     * Rejects a proposal during a leadership transfer, before it is in any log. Returns whether a
+     * transfer is in progress.
+     */
+    private boolean rejectDuringTransfer(long proposalId) {
+        if (mTransfer.isInProgress()) {
             mState.emit(new ProposalRejected(proposalId, ResultCode.NOT_LEADER, null));
         }
-        return mHandOver.isUnderWay();
+        return mTransfer.isInProgress();
     }
 
     void onMembershipChange(long proposalId, MembershipChange change) {
-        if (isLeaving(proposalId)) {
+        if (rejectDuringTransfer(proposalId)) {
             return;
         }
-        Membership next = mRules.after(change);
-        ResultCode code = mRules.judge(change, next, isSettled());
+        Membership next = mMembershipRules.resultOf(change);
+        ResultCode code = mMembershipRules.check(change, next, isMembershipCommitted());
         if (code != ResultCode.OK) {
             reject(proposalId, code);
             return;
@@ -89,7 +98,7 @@
             mState.emit(new ProposalAccepted(proposalId, mState.log().membershipIndex()));
             return;
         }
-        mProposals.add(proposalId, append(LogEntry.Kind.MEMBERSHIP, next.encode()));
+        mPendingProposals.add(proposalId, append(LogEntry.Kind.MEMBERSHIP, next.encode()));
         mReplication.updateFollowers();
     }
 
@@ -97,43 +106,46 @@
         mState.emit(new ProposalRejected(proposalId, code, mState.self()));
     }
 
-    private boolean isSettled() {
-        return isTermCommitted() && mState.log().membershipIndex() <= mApplier.commitIndex();
+    /** Returns whether the newest membership and an entry of the current term are committed. */
+    private boolean isMembershipCommitted() {
+        return hasCommittedInTerm() && mState.log().membershipIndex() <= mApplier.commitIndex();
     }
 
-    private boolean isTermCommitted() {
+    private boolean hasCommittedInTerm() {
         return mState.log().termAt(mApplier.commitIndex()) == mState.term();
     }
 
     void onReadRequested(long readId) {
-        mReads.add(readId);
+        mPendingReads.add(readId);
     }
 
     void onTick() {
-        if (!isQuorumHeard()) {
-            // A leader cut off from its quorum can't commit; its callers should look for another.
+        if (!isQuorumInContact()) {
+            // A leader without contact to a quorum can't commit. After it steps down, its callers
+            // look for another leader.
             mState.become(Role.FOLLOWER, null);
             return;
         }
         if (!mState.now().isBefore(mNextHeartbeat)) {
             mNextHeartbeat = mState.now().plus(mState.config().heartbeatInterval());
             mReplication.sendHeartbeats();
-            mHandOver.onHeartbeat();
+            mTransfer.onHeartbeat();
         }
     }
 
-    private boolean isQuorumHeard() {
+    private boolean isQuorumInContact() {
         Membership membership = mState.log().membership();
-        return membership.voters().stream().filter(this::isHeard).count() >= membership.quorum();
+        return membership.voters().stream().filter(this::isInContact).count()
+                >= membership.quorum();
     }
 
-    private boolean isHeard(ReplicaId id) {
+    private boolean isInContact(ReplicaId id) {
         if (id.equals(mState.self())) {
             return true;
         }
-        FollowerProgress p = mReplication.progress(id);
-        Instant limit = mState.now().minus(mState.config().electionTimeout());
-        return p != null && p.heard().isAfter(limit);
+        FollowerProgress progress = mReplication.progress(id);
+        Instant earliest = mState.now().minus(mState.config().electionTimeout());
+        return progress != null && progress.lastContact().isAfter(earliest);
     }
 
     void onAppendReply(ReplicaId from, ReplicaMessage.AppendReply m) {
@@ -144,19 +156,22 @@
         mReplication.onSnapshotReply(from, m);
     }
 
-    /** Does what the event of this step has made possible: commits, answers reads, sends. */
+    /**
+     * Makes the progress that the event of this step allows: commits entries, answers reads, sends
+     * entries, continues a leadership transfer.
+     */
     void advance() {
         commit();
-        mReads.advance(isTermCommitted());
+        mPendingReads.advance(hasCommittedInTerm());
         mReplication.sendEntries();
-        mHandOver.advance(mApplier.commitIndex());
-        stepDownOnceRemoved();
+        mTransfer.advance(mApplier.commitIndex());
+        stepDownIfRemoved();
     }
 
     /**
-     * Commits what a quorum holds. An entry of an earlier term may be on a quorum and still be
-     * replaced by a later leader whose log ends in a higher term; only an entry of this term rules
-     * that out, and commits all before it.
+     * Commits the entries that a quorum holds. A later leader whose log ends in a higher term may
+     * still replace an entry of an earlier term, even if a quorum holds that entry. So only an
+     * entry of the current term is committed by counting; it commits all entries before it.
      */
     private void commit() {
         long index = quorumIndex();
@@ -167,25 +182,25 @@
 
     private long quorumIndex() {
         Membership membership = mState.log().membership();
-        long[] held =
+        long[] durableIndexes =
                 membership.voters().stream().mapToLong(this::durableIndexOf).sorted().toArray();
-        return held[held.length - membership.quorum()];
+        return durableIndexes[durableIndexes.length - membership.quorum()];
     }
 
     private long durableIndexOf(ReplicaId voter) {
         if (voter.equals(mState.self())) {
-            return mState.durability().durableIndex();
+            return mState.diskWrites().durableIndex();
         }
         return mReplication.progress(voter).matchIndex();
     }
 
-    private void stepDownOnceRemoved() {
-        if (!mState.isVoter() && isSettled()) {
+    private void stepDownIfRemoved() {
+        if (!mState.isVoter() && isMembershipCommitted()) {
             mState.become(Role.FOLLOWER, null);
         }
     }
 
     void onApplied(long index) {
-        mProposals.onApplied(index);
+        mPendingProposals.onApplied(index);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/Proposals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/PendingProposals.java
@@ -5,46 +5,52 @@
 import org.laurelweir.consensus.ConsensusEffect.ProposalRejected;
 import org.laurelweir.lib.ResultCode;
 
-/** The proposals of one term of leading that are not yet committed. */
-final class Proposals {
+/** The proposals of a leader's term that are not yet committed. */
+final class PendingProposals {
     private final ReplicaState mState;
     private final ArrayDeque<Pending> mPending = new ArrayDeque<>();
-    private long mBytes;
+    private long mPendingBytes;
 
-    Proposals(ReplicaState state) {
+    PendingProposals(ReplicaState state) {
         mState = state;
     }
 
-    /** Returns whether a command of this size has room, here, in the log and before the disk. */
+    /**
+     * Returns whether a command of this size fits into the limits for uncommitted proposals, for
+     * the log and for unsynced entries.
+     */
     boolean hasRoom(int bytes) {
-        LogBounds bounds = mState.config().bounds();
-        return mBytes + bytes <= bounds.uncommitted()
-                && mState.log().bytes() + bytes <= bounds.held()
-                && mState.mayWaitForDisk(bytes);
+        LogLimits limits = mState.config().logLimits();
+        return mPendingBytes + bytes <= limits.maxUncommittedBytes()
+                && mState.log().bytes() + bytes <= limits.maxLogBytes()
+                && mState.hasDiskQueueRoom(bytes);
     }
 
     void add(long proposalId, LogEntry entry) {
         mPending.add(new Pending(proposalId, entry.index(), entry.payload().length));
-        mBytes += entry.payload().length;
+        mPendingBytes += entry.payload().length;
     }
 
     void onApplied(long index) {
         while (!mPending.isEmpty() && mPending.peek().mIndex <= index) {
             Pending p = mPending.poll();
-            mBytes -= p.mBytes;
+            mPendingBytes -= p.mBytes;
             mState.emit(new ProposalAccepted(p.mId, p.mIndex));
         }
     }
 
-    /** Ends what is pending: the next leader may hold it or not. */
-    void end() {
+    /**
+     * Rejects all pending proposals with OUTCOME_UNKNOWN, because the next leader's log may contain
+     * them.
+     */
+    void rejectAll() {
         for (Pending p : mPending) {
             mState.emit(new ProposalRejected(p.mId, ResultCode.OUTCOME_UNKNOWN, mState.leader()));
         }
         mPending.clear();
     }
 
-    /** A proposal in the log. */
+    /** An uncommitted proposal whose entry is in the log. */
     private static final class Pending {
         private final long mId;
         private final long mIndex;
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ReplicaState.java
@@ -4,16 +4,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What all concerns of one replica share: its term, vote, role and log, and the way out. */
+/**
+ * The state that all parts of a replica share: its term, vote, role and log, and the receiver of
+ * its effects.
+ */
 final class ReplicaState {
     private final ReplicaId mSelf;
     private final ConsensusConfig mConfig;
     private final ReplicatedLog mLog = new ReplicatedLog();
-    private final Durability mDurability = new Durability();
+    private final DiskWriteQueue mDiskWrites = new DiskWriteQueue();
     private HardState mHardState = HardState.INITIAL;
     private Role mRole = Role.FOLLOWER;
     private ReplicaId mLeader;
-    private Membership mAnnounced = Membership.EMPTY;
+    private Membership mReportedMembership = Membership.EMPTY;
     private Instant mNow;
     private Consumer<? super ConsensusEffect> mEffects;
 
@@ -22,18 +25,18 @@
         mConfig = config;
     }
 
-    /** Opens a step. */
-    void begin(Instant now, Consumer<? super ConsensusEffect> effects) {
+    /** Starts a step with its time and the receiver of its effects. */
+    void beginStep(Instant now, Consumer<? super ConsensusEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
-    /** Ends a step: writes what has gathered and tells of a new membership. */
-    void finish() {
-        mDurability.flush(mEffects);
-        if (!mAnnounced.equals(mLog.membership())) {
-            mAnnounced = mLog.membership();
-            emit(new ConsensusEffect.MembershipChanged(mAnnounced));
+    /** Ends a step: issues the queued disk writes and reports a changed membership. */
+    void endStep() {
+        mDiskWrites.flush(mEffects);
+        if (!mReportedMembership.equals(mLog.membership())) {
+            mReportedMembership = mLog.membership();
+            emit(new ConsensusEffect.MembershipChanged(mReportedMembership));
         }
         mEffects = null;
     }
@@ -42,7 +45,7 @@
         mHardState = disk.hardState();
         mLog.reset(disk.snapshot());
         disk.entries().forEach(mLog::append);
-        mDurability.recovered(mLog.lastIndex());
+        mDiskWrites.reset(mLog.lastIndex());
         emit(new ConsensusEffect.RoleChanged(mRole, term(), mLeader));
     }
 
@@ -58,8 +61,8 @@
         return mLog;
     }
 
-    Durability durability() {
-        return mDurability;
+    DiskWriteQueue diskWrites() {
+        return mDiskWrites;
     }
 
     Instant now() {
@@ -78,7 +81,7 @@
         return mRole;
     }
 
-    /** Returns the leader of this term, or null while unknown. */
+    /** Returns the leader of the current term, or null while unknown. */
     ReplicaId leader() {
         return mLeader;
     }
@@ -87,7 +90,7 @@
         return mLog.membership().isVoter(mSelf);
     }
 
-    /** Moves to a higher term, as a follower of nobody known. */
+    /** Moves to a higher term as a follower without a known leader. */
     void adoptTerm(long term) {
         setHardState(new HardState(term, null));
         become(Role.FOLLOWER, null);
@@ -95,7 +98,7 @@
 
     void setHardState(HardState hardState) {
         mHardState = hardState;
-        mDurability.write(hardState);
+        mDiskWrites.write(hardState);
     }
 
     void become(Role role, ReplicaId leader) {
@@ -107,23 +110,25 @@
         }
     }
 
-    /** Keeps a snapshot of a part of the log, and of the log as much as is set. */
+    /** Stores a snapshot and removes the entries that it covers, except for the configured tail. */
     void compact(Snapshot snapshot) {
-        mLog.compact(snapshot, mConfig.snapshotTail(), mConfig.bounds().tail());
+        mLog.compact(
+                snapshot, mConfig.snapshotTailEntries(), mConfig.logLimits().snapshotTailBytes());
     }
 
     /**
-     * Returns whether so many bytes may wait for the disk besides those that do. While a disk hangs
-     * the other replicas may go on, and without a bound all that they accept would gather here.
+     * Returns whether this many more bytes may be queued for the disk. While this replica's disk
+     * hangs, the other replicas may continue; without a limit, all entries that they accept would
+     * pile up in memory here.
      */
-    boolean mayWaitForDisk(long bytes) {
-        return mDurability.unsyncedBytes() + bytes <= mConfig.bounds().uncommitted();
+    boolean hasDiskQueueRoom(long bytes) {
+        return mDiskWrites.unsyncedBytes() + bytes <= mConfig.logLimits().maxUncommittedBytes();
     }
 
-    /** Appends entries that continue the log, here and on disk. */
+    /** Appends entries to the end of the log and queues them for the disk. */
     void append(List<LogEntry> entries) {
         entries.forEach(mLog::append);
-        mDurability.write(entries);
+        mDiskWrites.write(entries);
     }
 
     void emit(ConsensusEffect effect) {
@@ -135,14 +140,14 @@
     }
 
     /**
-     * Sends a message that promises something about this replica's state once that state is synced.
-     * Without the wait a crash would take back a vote or an entry that others have counted, and an
-     * accepted proposal could be lost. A promise made in an earlier term is dropped: nobody waits
-     * for it any more.
+     * Sends a message that depends on this replica's state, once that state is synced. If it were
+     * sent earlier, a crash could revoke a vote or an entry that other replicas have counted, and
+     * an accepted proposal could be lost. The message is dropped if the term has changed meanwhile,
+     * because no replica waits for it then.
      */
-    void sendDurable(ReplicaId to, ReplicaMessage message) {
+    void sendAfterSync(ReplicaId to, ReplicaMessage message) {
         long term = term();
-        mDurability.afterSync(
+        mDiskWrites.afterSync(
                 () -> {
                     if (term() == term) {
                         send(to, message);
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/SnapshotReceiver.java
@@ -3,60 +3,61 @@
 import org.laurelweir.consensus.ReplicaMessage.SnapshotChunk;
 import org.laurelweir.consensus.ReplicaMessage.SnapshotReply;
 
-/** Puts a leader's snapshot together from its pieces and continues from it. */
+/** Assembles a leader's snapshot from its chunks and installs it. */
 final class SnapshotReceiver {
     private final ReplicaState mState;
     private final Applier mApplier;
-    private long mTerm;
-    private long mIndex;
+    private long mLeaderTerm;
+    private long mSnapshotIndex;
     private byte[] mData = new byte[0];
-    private int mReceived;
+    private int mReceivedBytes;
 
     SnapshotReceiver(ReplicaState state, Applier applier) {
         mState = state;
         mApplier = applier;
     }
 
-    /** Takes a chunk of this term's leader. */
+    /** Handles a chunk from the leader of the current term and replies to it. */
     void onChunk(ReplicaId from, SnapshotChunk m) {
         if (m.index() <= mApplier.commitIndex()) {
             reply(from, m, m.totalBytes(), true);
             return;
         }
-        // Two leaders may encode the same state differently, so pieces of one term only fit.
-        if (m.term() != mTerm || m.index() != mIndex) {
-            mTerm = m.term();
-            mIndex = m.index();
+        // Leaders may encode the same state differently, so only chunks of the same term are
+        // combined.
+        if (m.term() != mLeaderTerm || m.index() != mSnapshotIndex) {
+            mLeaderTerm = m.term();
+            mSnapshotIndex = m.index();
             mData = new byte[m.totalBytes()];
-            mReceived = 0;
+            mReceivedBytes = 0;
         }
-        if (m.offset() == mReceived) {
-            System.arraycopy(m.data(), 0, mData, mReceived, m.data().length);
-            mReceived += m.data().length;
+        if (m.offset() == mReceivedBytes) {
+            System.arraycopy(m.data(), 0, mData, mReceivedBytes, m.data().length);
+            mReceivedBytes += m.data().length;
         }
-        boolean whole = mReceived == mData.length;
-        if (whole) {
+        boolean isComplete = mReceivedBytes == mData.length;
+        if (isComplete) {
             install(new Snapshot(m.index(), m.snapshotTerm(), m.membership(), mData));
         }
-        reply(from, m, mReceived, whole);
+        reply(from, m, mReceivedBytes, isComplete);
     }
 
     private void install(Snapshot snapshot) {
         ReplicatedLog log = mState.log();
-        boolean continues = log.termAt(snapshot.index()) == snapshot.term();
-        if (continues) {
+        boolean matchesLog = log.termAt(snapshot.index()) == snapshot.term();
+        if (matchesLog) {
             mState.compact(snapshot);
         } else {
             log.reset(snapshot);
         }
-        mState.durability().write(snapshot, !continues);
+        mState.diskWrites().write(snapshot, !matchesLog);
         mApplier.install(snapshot);
-        mTerm = 0;
+        mLeaderTerm = 0;
         mData = new byte[0];
     }
 
     private void reply(ReplicaId from, SnapshotChunk m, int nextOffset, boolean installed) {
-        mState.sendDurable(
+        mState.sendAfterSync(
                 from,
                 new SnapshotReply(mState.term(), m.index(), nextOffset, installed, m.round()));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ClaimTable.java
@@ -14,26 +14,29 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Which attempt holds each idempotency key. A key has at most one holder at a time, and another
- * attempt takes its place only by naming exactly the holder that it replaces: of two routers that
- * both found the holder never to have started, one is refused and learns of the other.
+ * Maps each idempotency key in use to the attempt that holds it. A key has at most one holder at a
+ * time. Another attempt can replace the holder only if it names exactly that holder. If two routers
+ * both find that the holder never started, only one of them replaces it; the other one gets the new
+ * holder as its answer.
  *
- * <p>Claims end by the log's time, so every replica forgets the same ones at the same entry.
+ * <p>Claims expire by the log's time, so that every replica removes the same claims at the same
+ * entry.
  */
 final class ClaimTable {
     private final int mMaxClaims;
     private final Duration mMaxRetention;
     private final Map<Key, Entry> mClaims = new HashMap<>();
-    private final TreeMap<Instant, List<Entry>> mExpiries = new TreeMap<>();
-    private final Interner<String> mNames = new Interner<>();
-    private final Interner<BackendRef> mTargets = new Interner<>();
-    private final Interner<Instant> mTimes = new Interner<>();
+    private final TreeMap<Instant, List<Entry>> mByExpiry = new TreeMap<>();
+    private final Interner<String> mNameInterner = new Interner<>();
+    private final Interner<BackendRef> mTargetInterner = new Interner<>();
+    private final Interner<Instant> mTimeInterner = new Interner<>();
 
     /**
      * Creates an empty table.
      *
-     * @param maxClaims above which new claims are refused, rather than old ones forgotten early
-     * @param maxRetention the longest time that a claim is kept, whatever it asks for
+     * @param maxClaims maximum number of claims; beyond it new claims are rejected, and no claim is
+     *     removed before it expires
+     * @param maxRetention upper limit for the retention that a claim asks for
      */
     ClaimTable(int maxClaims, Duration maxRetention) {
         mMaxClaims = maxClaims;
@@ -41,26 +44,26 @@
     }
 
     ClaimResult apply(Command.Claim c) {
-        expire(c.timestamp());
+        removeExpired(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null) {
             return grant(c);
         }
-        Claim held = entry.mClaim;
-        if (held.fingerprint() != c.fingerprint()) {
-            return held.result(ResultCode.IDEMPOTENCY_KEY_REUSED);
+        Claim current = entry.mClaim;
+        if (current.fingerprint() != c.fingerprint()) {
+            return current.toResult(ResultCode.IDEMPOTENCY_KEY_REUSED);
         }
-        if (held.holder().equals(c.replaces()) && !held.settled()) {
-            forget(key, entry);
+        if (current.holder().equals(c.replaces()) && !current.settled()) {
+            remove(key, entry);
             return grant(c);
         }
-        return held.result(ResultCode.OK);
+        return current.toResult(ResultCode.OK);
     }
 
     private ClaimResult grant(Command.Claim c) {
         if (mClaims.size() >= mMaxClaims) {
-            return ClaimResult.refused(ResultCode.CLAIM_UNAVAILABLE);
+            return ClaimResult.rejected(ResultCode.CLAIM_UNAVAILABLE);
         }
         Claim claim =
                 new Claim(
@@ -71,30 +74,33 @@
                         c.target(),
                         expiry(c),
                         null);
-        put(claim);
-        return claim.result(ResultCode.OK);
+        insert(claim);
+        return claim.toResult(ResultCode.OK);
     }
 
-    /** Whole seconds, so that many claims share the place that they have in the order of ends. */
+    /**
+     * Returns the time at which a claim expires, rounded up to a whole second. So many claims share
+     * an entry of the map by expiry.
+     */
     private Instant expiry(Command.Claim c) {
-        boolean tooLong = c.retention().compareTo(mMaxRetention) > 0;
-        Instant end = c.timestamp().plus(tooLong ? mMaxRetention : c.retention());
-        return end.truncatedTo(ChronoUnit.SECONDS).plusSeconds(1);
+        boolean isTooLong = c.retention().compareTo(mMaxRetention) > 0;
+        Instant expiry = c.timestamp().plus(isTooLong ? mMaxRetention : c.retention());
+        return expiry.truncatedTo(ChronoUnit.SECONDS).plusSeconds(1);
     }
 
     /**
-     * Records how a holder ended. A holder that was not run and will not be gives the key free;
-     * whoever does not hold it changes nothing.
+     * Records the result code of a holder. If the holder was not run and never will be, the key is
+     * released. An attempt that does not hold the key changes nothing.
      */
     ResultCode apply(Command.SettleClaim c) {
-        expire(c.timestamp());
+        removeExpired(c.timestamp());
         Key key = new Key(c.account(), c.key());
         Entry entry = mClaims.get(key);
         if (entry == null || !entry.mClaim.holder().equals(c.attempt()) || entry.mClaim.settled()) {
             return ResultCode.OK;
         }
         if (c.code().isNotRun()) {
-            forget(key, entry);
+            remove(key, entry);
         } else {
             entry.mClaim = entry.mClaim.withSettled(c.code());
         }
@@ -105,61 +111,66 @@
         return mClaims.size();
     }
 
-    private void put(Claim c) {
-        Claim claim = compact(c);
+    private void insert(Claim c) {
+        Claim claim = internParts(c);
         Entry entry = new Entry(claim);
         mClaims.put(new Key(claim.account(), claim.key()), entry);
-        mExpiries.computeIfAbsent(claim.expires(), e -> new ArrayList<>()).add(entry);
+        mByExpiry.computeIfAbsent(claim.expires(), e -> new ArrayList<>()).add(entry);
     }
 
-    /** Shares what many claims have in common. */
-    private Claim compact(Claim c) {
-        AttemptId h = c.holder();
-        String router = mNames.intern(h.router());
+    /** Returns an equal claim that shares the objects that many claims have in common. */
+    private Claim internParts(Claim c) {
+        AttemptId holder = c.holder();
+        String router = mNameInterner.intern(holder.router());
         return new Claim(
-                mNames.intern(c.account()),
+                mNameInterner.intern(c.account()),
                 c.key(),
                 c.fingerprint(),
-                new AttemptId(router, h.routerIncarnation(), h.request(), h.attempt()),
-                mTargets.intern(c.target()),
-                mTimes.intern(c.expires()),
+                new AttemptId(
+                        router, holder.routerIncarnation(), holder.request(), holder.attempt()),
+                mTargetInterner.intern(c.target()),
+                mTimeInterner.intern(c.expires()),
                 c.settledCode());
     }
 
-    private void forget(Key key, Entry entry) {
+    private void remove(Key key, Entry entry) {
         mClaims.remove(key);
         Instant expires = entry.mClaim.expires();
-        List<Entry> sameTime = mExpiries.get(expires);
+        List<Entry> sameTime = mByExpiry.get(expires);
         sameTime.remove(entry);
         if (sameTime.isEmpty()) {
-            mExpiries.remove(expires);
+            mByExpiry.remove(expires);
         }
     }
 
-    private void expire(Instant now) {
-        while (!mExpiries.isEmpty() && !mExpiries.firstKey().isAfter(now)) {
-            for (Entry e : mExpiries.pollFirstEntry().getValue()) {
+    private void removeExpired(Instant now) {
+        while (!mByExpiry.isEmpty() && !mByExpiry.firstKey().isAfter(now)) {
+            for (Entry e : mByExpiry.pollFirstEntry().getValue()) {
                 mClaims.remove(new Key(e.mClaim.account(), e.mClaim.key()));
             }
         }
     }
 
-    /** Returns every claim, the first to expire first, in the same order on every replica. */
+    /**
+     * Returns all claims in the order in which they expire. The order is the same on every replica.
+     */
     List<Claim> all() {
         List<Claim> all = new ArrayList<>(mClaims.size());
-        mExpiries.values().forEach(entries -> entries.forEach(e -> all.add(e.mClaim)));
+        mByExpiry.values().forEach(entries -> entries.forEach(e -> all.add(e.mClaim)));
         return all;
     }
 
     void restore(List<Claim> claims) {
         mClaims.clear();
-        mExpiries.clear();
-        claims.forEach(this::put);
+        mByExpiry.clear();
+        claims.forEach(this::insert);
     }
 
     private record Key(String account, String key) {}
 
-    /** The place of a claim in both indexes; settling changes the claim and not the place. */
+    /**
+     * A claim's entry in both maps. Settling replaces the claim in the entry, but not the entry.
+     */
     private static final class Entry {
         private Claim mClaim;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlPeers.java
@@ -12,55 +12,64 @@
 import java.util.function.Consumer;
 
 /**
- * The other control instances. Those that the settings name stay; in an open deployment others are
- * learned from whoever knows them, and forgotten once nothing has been heard of them for long.
+ * The other control instances. Configured ones are permanent. In a deployment where instances join
+ * by themselves, others are discovered through any instance that knows them, and removed after they
+ * have been silent for a time.
  */
 final class ControlPeers {
-    /** Long against a restart or a healed partition, short against a machine gone for good. */
-    private static final Duration FORGET_AFTER = Duration.ofMinutes(1);
+    /**
+     * Longer than a restart or a short partition, so that only instances that are gone for good are
+     * removed.
+     */
+    private static final Duration SILENCE_TIMEOUT = Duration.ofMinutes(1);
 
     private final String mSelf;
-    private final boolean mOpen;
+    private final boolean mAutoJoin;
     private final Map<String, String> mAddresses;
-    private final Set<String> mNamed = new TreeSet<>();
-    private final Map<String, Instant> mLearned = new HashMap<>();
-    private final Consumer<String> mOnForgotten;
+    private final Set<String> mConfiguredPeers = new TreeSet<>();
+    private final Map<String, Instant> mDiscoveredPeers = new HashMap<>();
+    private final Consumer<String> mOnRemoved;
 
-    ControlPeers(ControlConfig config, Consumer<String> onForgotten) {
+    ControlPeers(ControlConfig config, Consumer<String> onRemoved) {
         mSelf = config.name();
-        mOpen = config.autoJoin();
+        mAutoJoin = config.autoJoin();
         mAddresses = config.addresses();
-        mNamed.addAll(config.addresses().keySet());
-        mNamed.remove(mSelf);
-        mOnForgotten = onForgotten;
+        mConfiguredPeers.addAll(config.addresses().keySet());
+        mConfiguredPeers.remove(mSelf);
+        mOnRemoved = onRemoved;
     }
 
-    /** Notes that an instance was heard, or that one that was heard counts it in. */
-    void learn(Instant now, String name) {
-        if (mOpen && !name.isEmpty() && !name.equals(mSelf) && !mNamed.contains(name)) {
-            mLearned.put(name, now);
+    /**
+     * Records that an instance was in contact, or that an instance in contact lists it as a member.
+     */
+    void discover(Instant now, String name) {
+        if (mAutoJoin
+                && !name.isEmpty()
+                && !name.equals(mSelf)
+                && !mConfiguredPeers.contains(name)) {
+            mDiscoveredPeers.put(name, now);
         }
     }
 
-    /** Returns those to talk to, by name. */
+    /** Returns the names of all peers, sorted. */
     List<String> all() {
-        Set<String> all = new TreeSet<>(mNamed);
-        all.addAll(mLearned.keySet());
+        Set<String> all = new TreeSet<>(mConfiguredPeers);
+        all.addAll(mDiscoveredPeers.keySet());
         return new ArrayList<>(all);
     }
 
-    /** Returns where those to talk to are reached, host:port. */
+    /** Returns the addresses (host:port) of all peers. */
     List<String> addresses() {
         return all().stream().map(n -> mAddresses.getOrDefault(n, n)).toList();
     }
 
-    void forget(Instant now) {
-        Iterator<Map.Entry<String, Instant>> each = mLearned.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<String, Instant> e = each.next();
-            if (e.getValue().plus(FORGET_AFTER).isBefore(now)) {
-                each.remove();
-                mOnForgotten.accept(e.getKey());
+    void removeSilent(Instant now) {
+        Iterator<Map.Entry<String, Instant>> entries = mDiscoveredPeers.entrySet().iterator();
+        while (entries.hasNext()) {
+            Map.Entry<String, Instant> peer = entries.next();
+            if (peer.getValue().plus(SILENCE_TIMEOUT).isBefore(now)) {
+                entries.remove();
+                mOnRemoved.accept(peer.getKey());
             }
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -28,8 +28,8 @@
 import org.laurelweir.settings.SettingsTree;
 
 /**
- * Decides what a control instance does. Durable is what goes through the replicated log; the
- * membership beside it is not, and is served without a quorum.
+ * Makes the decisions of a control instance. State that goes through the replicated log is durable.
+ * The membership of backend servers is not; it is served without a quorum.
  */
 public final class ControlReducer implements Reducer<ControlEvent, ControlEffect> {
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
@@ -39,14 +39,14 @@
     private final LogReplica mReplica;
     private final ControlPeers mPeers;
     private final RouterTable mRouters = new RouterTable();
-    private final Exchanges mExchanges;
-    private final Queries mQueries;
-    private final ReplicaRepair mRepair;
-    private final PeerSharing mSharing;
-    private final DirectAnnouncements mDirect;
+    private final ExchangeHandler mExchanges;
+    private final QueryHandler mQueries;
+    private final ReplicaRepair mReplicaRepair;
+    private final PeerSharing mPeerSharing;
+    private final DirectAnnouncements mDirectAnnouncements;
     private final PassedOverNotes mPassedOver;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
     private Instant mNextReport = Instant.MIN;
     private Instant mNow;
     private Consumer<? super ControlEffect> mEffects;
@@ -54,9 +54,9 @@
     /**
      * Creates the reducer; its first event is {@link ConsensusEvent.Recovered}.
      *
-     * @param config what the instance is told at its start
-     * @param codec how the log is written
-     * @param seed for election timeouts; must differ between instances
+     * @param config configuration of the instance
+     * @param codec codec of the commands and snapshots in the log
+     * @param seed seed for random election timeouts; must differ between instances
      */
     public ControlReducer(ControlConfig config, LogCodec codec, long seed) {
         mNotes = new DecisionNotes(config.name());
@@ -64,25 +64,29 @@
         mReplica = new LogReplica(config, codec, seed, mNotes);
         List<String> peers = new ArrayList<>(config.addresses().keySet());
         peers.remove(config.name());
-        mMembership = new SharedMembership(config.membership(), peers, this::backendChanged);
+        mMembership = new SharedMembership(config.membership(), peers, this::onBackendChanged);
         mPeers = new ControlPeers(config, mMembership::forgetPeer);
-        PeerPresences presences = new PeerPresences();
-        mCrashes = new CrashSharing(config);
-        mLoads = new LoadSharing(config, mMembership);
-        mExchanges = new Exchanges(mMembership, mReplica, mRouters, mCrashes, mLoads, mNotes);
-        mQueries = new Queries(mMembership, mReplica, mRouters, mCrashes, mLoads, presences);
-        mRepair = new ReplicaRepair(mReplica, presences, config.autoJoin());
-        mDirect = new DirectAnnouncements(mMembership, this::mayBeService);
-        mSharing =
+        PeerStatuses peerStatuses = new PeerStatuses();
+        mCrashSharing = new CrashSharing(config);
+        mLoadSharing = new LoadSharing(config, mMembership);
+        mExchanges =
+                new ExchangeHandler(
+                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, mNotes);
+        mQueries =
+                new QueryHandler(
+                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, peerStatuses);
+        mReplicaRepair = new ReplicaRepair(mReplica, peerStatuses, config.autoJoin());
+        mDirectAnnouncements = new DirectAnnouncements(mMembership, this::isAcceptedService);
+        mPeerSharing =
                 new PeerSharing(
                         config,
                         mMembership,
                         mReplica,
                         mRouters,
-                        presences,
+                        peerStatuses,
                         mPeers,
-                        mCrashes,
-                        mLoads);
+                        mCrashSharing,
+                        mLoadSharing);
     }
 
     @Override
@@ -104,21 +108,21 @@
         } else if (event instanceof CommandReceived e) {
             onCommand(e);
         } else {
-            takeRest(event);
+            onOtherEvent(event);
         }
-        mSharing.flush(now, effects);
-        mCrashes.flushNotes(now, effects);
+        mPeerSharing.flush(now, effects);
+        mCrashSharing.logDecisions(now, effects);
     }
 
-    private void takeRest(ControlEvent event) {
+    private void onOtherEvent(ControlEvent event) {
         if (event instanceof PeerUpdateRequested e) {
-            mSharing.answer(mNow, e, mEffects);
+            mPeerSharing.answer(mNow, e, mEffects);
         } else if (event instanceof PeerUpdateReceived e) {
-            mSharing.take(mNow, e);
+            mPeerSharing.onPeerUpdate(mNow, e);
         } else if (event instanceof PeerAnnounced e) {
             mMembership.mergeAnnouncements(mNow, e.announcements());
-            mCrashes.announced(mNow, e.crashes());
-            mLoads.toldByPeer(mNow, e.loads());
+            mCrashSharing.onPeerAnnouncement(mNow, e.crashes());
+            mLoadSharing.onPeerLoads(mNow, e.loads());
         } else if (event instanceof SettingsRequested e) {
             mQueries.answer(mNow, e, mEffects);
         } else if (event instanceof SourceRequested e) {
@@ -128,50 +132,56 @@
         } else if (event instanceof StatusRequested e) {
             mQueries.answer(mNow, e, mEffects);
         } else if (event instanceof ReleaseRequested e) {
-            onReleaseOrdered(e);
+            onReleaseRequested(e);
         } else if (event instanceof MembershipChangeRequested e) {
-            mReplica.change(mNow, e.call(), e.change(), mEffects);
+            mReplica.changeMembership(mNow, e.call(), e.change(), mEffects);
         }
     }
 
     private void tick() {
         mReplica.step(mNow, new ConsensusEvent.Tick(), mEffects);
         mMembership.tick(mNow);
-        mRouters.forget(mNow);
-        mCrashes.forget(mNow);
-        mLoads.forget(mNow);
-        mSharing.tick(mNow, mEffects);
-        mRepair.tick(mNow, mEffects);
+        mRouters.expire(mNow);
+        mCrashSharing.expire(mNow);
+        mLoadSharing.expire(mNow);
+        mPeerSharing.tick(mNow, mEffects);
+        mReplicaRepair.tick(mNow, mEffects);
         if (!mNow.isBefore(mNextReport)) {
             mNextReport = mNow.plus(REPORT_INTERVAL);
-            mDirect.prune();
-            mEffects.accept(mQueries.report(mNow, mPeers.addresses()));
+            mDirectAnnouncements.prune();
+            mEffects.accept(mQueries.statusReport(mNow, mPeers.addresses()));
         }
     }
 
     private void onAnnounced(BackendAnnounced e) {
-        DirectAnnouncements.Outcome outcome = mDirect.receive(mNow, e.backend());
-        mPassedOver.note(mNow, e.backend(), outcome, mEffects);
+        DirectAnnouncements.Outcome outcome = mDirectAnnouncements.receive(mNow, e.backend());
+        mPassedOver.log(mNow, e.backend(), outcome, mEffects);
         mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
     }
 
-    /** An instance that can't take a departure must not acknowledge it: another one may. */
+    /**
+     * Handles a departure. An instance that does not know the backend server must not acknowledge
+     * the departure; the caller can then report it to another instance.
+     */
     private void onWithdrawn(BackendWithdrawn e) {
-        DirectAnnouncements.Outcome outcome = mDirect.withdraw(mNow, e.backend());
+        DirectAnnouncements.Outcome outcome = mDirectAnnouncements.withdraw(mNow, e.backend());
         if (outcome == DirectAnnouncements.Outcome.UNKNOWN_SERVER) {
-            mEffects.accept(unknownServer(e.call(), e.backend().id()));
+            mEffects.accept(unknownBackendServer(e.call(), e.backend().id()));
         } else {
             mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
         }
     }
 
-    private static ControlEffect.AnswerError unknownServer(long call, String id) {
+    private static ControlEffect.AnswerError unknownBackendServer(long call, String id) {
         String message = "no backend server " + id + " has announced itself";
         return new ControlEffect.AnswerError(call, ResultCode.UNKNOWN_BACKEND_SERVER, message, "");
     }
 
-    /** Before any settings are known, backend servers of every service are heard. */
-    private boolean mayBeService(String name) {
+    /**
+     * Returns whether announcements for a service are accepted. Until settings are known, every
+     * service is accepted.
+     */
+    private boolean isAcceptedService(String name) {
         SettingsTree tree = mReplica.state().settings().tree();
         return tree.size() == 0 || tree.services().contains(name);
     }
@@ -180,32 +190,32 @@
         if (e.command() instanceof Command.Drain d
                 && d.drain()
                 && !mMembership.knows(d.backend())) {
-            mEffects.accept(unknownServer(e.call(), d.backend()));
+            mEffects.accept(unknownBackendServer(e.call(), d.backend()));
             return;
         }
         mReplica.propose(mNow, e.call(), e.command(), mEffects);
     }
 
-    private void onReleaseOrdered(ReleaseRequested e) {
-        if (mCrashes.release(mNow, e.key())) {
-            mNotes.released(mNow, e.key(), e.author(), mEffects);
+    private void onReleaseRequested(ReleaseRequested e) {
+        if (mCrashSharing.release(mNow, e.key())) {
+            mNotes.quarantineReleased(mNow, e.key(), e.author(), mEffects);
             mEffects.accept(new ControlEffect.AnswerReleased(e.call()));
         } else {
-            String message = "request " + e.key().fingerprintText() + " is not kept away";
+            String message = "request " + e.key().fingerprintText() + " is not quarantined";
             mEffects.accept(
                     new ControlEffect.AnswerError(
                             e.call(), ResultCode.NOT_QUARANTINED, message, ""));
         }
     }
 
-    private void backendChanged(Backend backend, String reason, boolean heardHere) {
-        if (!heardHere) {
-            mNotes.leavingToldByPeer(mNow, backend, reason, mEffects);
+    private void onBackendChanged(Backend backend, String reason, boolean receivedHere) {
+        if (!receivedHere) {
+            mNotes.peerReportedBackend(mNow, backend, reason, mEffects);
             return;
         }
         mNotes.backendChanged(mNow, backend, reason, mEffects);
         if (backend.state() != Backend.State.SERVING) {
-            mSharing.urgent(backend);
+            mPeerSharing.announce(backend);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Exchanges.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -15,26 +15,27 @@
 import org.laurelweir.settings.SettingsNode;
 
 /**
- * Answers exchanges. An answer costs what is new to the reader: a sidecar is told of its own
- * service alone, and neither of single client accounts.
+ * Handles exchanges of sidecars and routers. An answer contains only the changes that the reader
+ * does not have yet. A sidecar gets the backend servers and the load of its own service only, and
+ * no settings of client accounts.
  */
-final class Exchanges {
+final class ExchangeHandler {
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final RouterTable mRouters;
-    private final CrashSharing mCrashes;
-    private final LoadSharing mLoads;
+    private final CrashSharing mCrashSharing;
+    private final LoadSharing mLoadSharing;
     private final DecisionNotes mNotes;
 
-    Exchanges(
+    ExchangeHandler(
             SharedMembership membership,
             LogReplica replica,
             RouterTable routers,
-            CrashSharing crashes,
-            LoadSharing loads,
+            CrashSharing crashSharing,
+            LoadSharing loadSharing,
             DecisionNotes notes) {
-        mCrashes = crashes;
-        mLoads = loads;
+        mCrashSharing = crashSharing;
+        mLoadSharing = loadSharing;
         mNotes = notes;
         mMembership = membership;
         mReplica = replica;
@@ -43,13 +44,13 @@
 
     void answer(Instant now, SidecarExchanged e, Consumer<? super ControlEffect> effects) {
         Backend b = e.report().backend();
-        int leastSession = mMembership.receiveReport(now, e.report());
+        int minSession = mMembership.receiveReport(now, e.report());
         String id = b.ref().id();
         SidecarOrders orders =
                 new SidecarOrders(
                         mReplica.state().isDrainOrdered(id),
                         mReplica.state().fence(id),
-                        leastSession);
+                        minSession);
         effects.accept(
                 new AnswerExchange(
                         e.call(),
@@ -64,19 +65,19 @@
     }
 
     void answer(Instant now, RouterExchanged e, Consumer<? super ControlEffect> effects) {
-        mCrashes.toldByRouter(now, e.crashes().records());
-        mLoads.toldByRouter(now, e.report().name(), e.loads());
-        mRouters.heard(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
+        mCrashSharing.onRouterReport(now, e.crashes().records());
+        mLoadSharing.onRouterReport(now, e.report().name(), e.loads());
+        mRouters.put(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
         SettingsDelta settings = settings(e.settingsPosition());
         if (settings.full()) {
-            mNotes.treeTold(now, e.report().name(), settings, effects);
+            mNotes.fullTreeSent(now, e.report().name(), settings, effects);
         }
         effects.accept(
                 new AnswerExchange(
                         e.call(),
                         mMembership.deltaSince(e.cursor(), null),
-                        mCrashes.answer(now, e.cursor(), e.crashes().seen()),
-                        mLoads.digest(now),
+                        mCrashSharing.deltaSince(now, e.cursor(), e.crashes().seen()),
+                        mLoadSharing.digest(now),
                         settings,
                         mMembership.loads(),
                         isPossiblyStale(now, e.settingsPosition()),
@@ -88,7 +89,10 @@
         return mReplica.state().settings().deltaSince(position);
     }
 
-    /** A reader that is ahead shows that newer settings were accepted, whatever the leader said. */
+    /**
+     * Returns whether newer settings may have been accepted. A reader with a higher position proves
+     * that, whatever the leader has confirmed.
+     */
     private boolean isPossiblyStale(Instant now, long readerPosition) {
         long position = mReplica.state().settings().tree().position();
         return readerPosition > position || mReplica.isPossiblyStale(now);
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -23,22 +23,26 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * The replica of the log together with the state machine that it feeds: takes commands to their
- * results, reads to their moment, and snapshots in and out.
+ * This instance's replica of the log together with its state machine. It proposes commands and
+ * answers them with their results, runs linearizable reads, and takes and installs snapshots.
  */
 final class LogReplica {
     private final ControlConfig mConfig;
     private final LogCodec mCodec;
     private final ControlState mState;
-    private final ConsensusReducer mAgreement;
-    private final Freshness mFreshness;
+    private final ConsensusReducer mConsensus;
+    private final StalenessDetector mStaleness;
     private final DecisionNotes mNotes;
-    private final Map<Long, Command> mCommands = new HashMap<>();
-    private final Set<Long> mMemberChanges = new HashSet<>();
-    private final Map<Long, Runnable> mReads = new HashMap<>();
+    private final Map<Long, Command> mPendingCommands = new HashMap<>();
+    private final Set<Long> mPendingMembershipChanges = new HashSet<>();
+    private final Map<Long, Runnable> mPendingReads = new HashMap<>();
 
-    /** Whole trees whose difference came too late. */
-    private final Queue<Long> mOvertaken = new ArrayDeque<>();
+    /**
+     * Calls that replace the whole settings tree and whose patch could not be applied, because the
+     * current tree was not the one that the patch was made for. They are proposed again with the
+     * whole tree.
+     */
+    private final Queue<Long> mConflictedReplaces = new ArrayDeque<>();
 
     private Instant mNow;
     private Consumer<? super ControlEffect> mEffects;
@@ -48,47 +52,47 @@
         mConfig = config;
         mCodec = codec;
         mState = new ControlState(config.limits());
-        mAgreement = new ConsensusReducer(config.replica(), config.consensus(), seed);
-        mFreshness = new Freshness(mAgreement, config.staleAfter());
+        mConsensus = new ConsensusReducer(config.replica(), config.consensus(), seed);
+        mStaleness = new StalenessDetector(mConsensus, config.staleAfter());
         mNotes = notes;
     }
 
-    /** Returns the state as applied; not to be changed. */
+    /** Returns the applied state. Callers must not modify it. */
     ControlState state() {
         return mState;
     }
 
     boolean isPossiblyStale(Instant now) {
-        return mFreshness.isPossiblyStale(now);
+        return mStaleness.isPossiblyStale(now);
     }
 
-    ControlInstanceStatus presence(Instant now) {
+    ControlInstanceStatus status(Instant now) {
         return new ControlInstanceStatus(
                 mConfig.replica(),
                 mConfig.address(),
-                leads(),
-                mAgreement.term(),
-                mAgreement.commitIndex(),
+                isLeader(),
+                mConsensus.term(),
+                mConsensus.commitIndex(),
                 isPossiblyStale(now),
-                mAgreement.membership());
+                mConsensus.membership());
     }
 
-    boolean leads() {
-        return mAgreement.role() == Role.LEADER;
+    boolean isLeader() {
+        return mConsensus.role() == Role.LEADER;
     }
 
-    /** Returns the bytes of the log's entries in memory. */
+    /** Returns the size in bytes of the log entries in memory. */
     long logBytes() {
-        return mAgreement.logBytes();
+        return mConsensus.logBytes();
     }
 
-    /** Returns the bytes of the last snapshot's state. */
+    /** Returns the size in bytes of the last snapshot's state. */
     long snapshotBytes() {
-        return mAgreement.snapshotBytes();
+        return mConsensus.snapshotBytes();
     }
 
-    Membership members() {
-        return mAgreement.membership();
+    Membership membership() {
+        return mConsensus.membership();
     }
 
     void step(Instant now, ConsensusEvent event, Consumer<? super ControlEffect> effects) {
@@ -97,53 +101,68 @@
         if (event instanceof ConsensusEvent.Recovered r && r.snapshot().index() > 0) {
             restore(r.snapshot());
         }
-        mAgreement.step(now, event, this::take);
-        proposeWholeTrees();
+        mConsensus.step(now, event, this::onEffect);
+        retryConflictedReplaces();
         if (event instanceof ConsensusEvent.MessageReceived m) {
-            mFreshness.received(now, m);
+            mStaleness.onMessage(now, m);
         }
     }
 
-    /** Takes a command to its result, unless this replica does not lead. */
+    /**
+     * Proposes a command and answers the call with the result, or with an error if this replica
+     * does not lead.
+     */
     void propose(Instant now, long call, Command command, Consumer<? super ControlEffect> out) {
-        // Files hold milliseconds; all replicas have to apply the same instant.
+        // Files store milliseconds. A finer timestamp would differ between a replica that has
+        // restarted and the others.
         Command stamped = command.withTimestamp(Instant.ofEpochMilli(now.toEpochMilli()));
-        mCommands.put(call, stamped);
+        mPendingCommands.put(call, stamped);
         step(now, new ConsensusEvent.Proposed(call, encode(stamped)), out);
     }
 
-    /** A whole tree goes into the log as what changes, where it is small enough to be taken. */
+    /**
+     * Returns the encoded command. A command that replaces the whole settings tree is encoded as a
+     * patch if that is smaller, provided that the whole tree is within the size limit of commands.
+     */
     private byte[] encode(Command command) {
         byte[] encoded = mCodec.encode(command);
-        boolean fits = encoded.length <= mConfig.consensus().bounds().command();
-        if (!fits || !leads() || !(command instanceof Command.ReplaceSettings whole)) {
+        boolean fits = encoded.length <= mConfig.consensus().logLimits().maxCommandBytes();
+        if (!fits || !isLeader() || !(command instanceof Command.ReplaceSettings whole)) {
             return encoded;
         }
         byte[] patch = mCodec.encode(mState.settings().patchTo(whole));
         return patch.length < encoded.length ? patch : encoded;
     }
 
-    /** After the step that told of them: the agreement takes one event at a time. */
-    private void proposeWholeTrees() {
-        while (!mOvertaken.isEmpty()) {
-            long call = mOvertaken.remove();
-            byte[] whole = mCodec.encode(mCommands.get(call));
-            mAgreement.step(mNow, new ConsensusEvent.Proposed(call, whole), this::take);
+    /**
+     * Proposes the whole tree for calls whose patch had a conflict. This has to wait until the
+     * consensus step that reported the conflict is complete, since the consensus reducer handles
+     * one event at a time.
+     */
+    private void retryConflictedReplaces() {
+        while (!mConflictedReplaces.isEmpty()) {
+            long call = mConflictedReplaces.remove();
+            byte[] whole = mCodec.encode(mPendingCommands.get(call));
+            mConsensus.step(mNow, new ConsensusEvent.Proposed(call, whole), this::onEffect);
         }
     }
 
-    void change(Instant now, long call, MembershipChange c, Consumer<? super ControlEffect> out) {
-        mMemberChanges.add(call);
+    void changeMembership(
+            Instant now, long call, MembershipChange c, Consumer<? super ControlEffect> out) {
+        mPendingMembershipChanges.add(call);
         step(now, new ConsensusEvent.MembershipChangeProposed(call, c), out);
     }
 
-    /** Runs a read once the state is at least as new as any write that ended before. */
+    /**
+     * Runs a read once the applied state includes every write that was acknowledged before the
+     * call.
+     */
     void read(Instant now, long call, Runnable read, Consumer<? super ControlEffect> out) {
-        mReads.put(call, read);
+        mPendingReads.put(call, read);
         step(now, new ConsensusEvent.ReadRequested(call), out);
     }
 
-    private void take(ConsensusEffect e) {
+    private void onEffect(ConsensusEffect e) {
         if (e instanceof ConsensusEffect.Send s) {
             mEffects.accept(new ControlEffect.SendToReplica(s));
         } else if (e instanceof ConsensusEffect.Persist p) {
@@ -153,26 +172,26 @@
         } else if (e instanceof ConsensusEffect.Apply a) {
             mLastResult = mState.apply(a.index(), mCodec.decodeCommand(a.command()));
         } else if (e instanceof ConsensusEffect.ProposalAccepted a) {
-            accepted(a.proposalId());
+            onAccepted(a.proposalId());
         } else if (e instanceof ConsensusEffect.ProposalRejected r) {
-            rejected(r);
+            onRejected(r);
         } else if (e instanceof ConsensusEffect.ReadReady r) {
-            mReads.remove(r.readId()).run();
+            mPendingReads.remove(r.readId()).run();
         } else if (e instanceof ConsensusEffect.ReadRejected r) {
-            mReads.remove(r.readId());
-            refuse(r.readId(), r.code(), r.leader());
+            mPendingReads.remove(r.readId());
+            answerError(r.readId(), r.code(), r.leader());
         } else {
-            takeRest(e);
+            onOtherEffect(e);
         }
     }
 
-    private void takeRest(ConsensusEffect e) {
+    private void onOtherEffect(ConsensusEffect e) {
         if (e instanceof ConsensusEffect.TakeSnapshot t) {
             mEffects.accept(new EncodeSnapshot(t.index(), mState.snapshot()));
         } else if (e instanceof ConsensusEffect.InstallSnapshot i) {
             restore(i.snapshot());
         } else if (e instanceof ConsensusEffect.RoleChanged r) {
-            mFreshness.roleChanged(r.role());
+            mStaleness.onRoleChanged(r.role());
             mNotes.roleChanged(mNow, r, mEffects);
         } else if (e instanceof ConsensusEffect.LeadershipTransferEnded) {
             mEffects.accept(new ControlEffect.LeadershipTransferEnded());
@@ -185,47 +204,51 @@
         mState.restore(mCodec.decodeSnapshot(snapshot.state()));
     }
 
-    private void accepted(long call) {
-        if (mMemberChanges.remove(call)) {
-            mEffects.accept(new AnswerMembership(call, mAgreement.membership()));
+    private void onAccepted(long call) {
+        if (mPendingMembershipChanges.remove(call)) {
+            mEffects.accept(new AnswerMembership(call, mConsensus.membership()));
             return;
         }
-        if (isOvertaken(mCommands.get(call))) {
-            mOvertaken.add(call);
+        if (isPatchConflict(mPendingCommands.get(call))) {
+            mConflictedReplaces.add(call);
             return;
         }
-        mNotes.applied(mNow, mCommands.remove(call), mLastResult, mEffects);
+        mNotes.applied(mNow, mPendingCommands.remove(call), mLastResult, mEffects);
         mEffects.accept(new AnswerCommand(call, mLastResult));
     }
 
     /**
-     * Returns whether the tree in force was another one than the one that the log's patch needs.
+     * Returns whether a patch was not applied because the current tree was not the one that the
+     * patch was made for.
      */
-    private boolean isOvertaken(Command command) {
+    private boolean isPatchConflict(Command command) {
         return command instanceof Command.ReplaceSettings
                 && mLastResult.code() == ResultCode.SETTINGS_CONFLICT;
     }
 
-    private void rejected(ConsensusEffect.ProposalRejected r) {
-        mMemberChanges.remove(r.proposalId());
-        mCommands.remove(r.proposalId());
-        refuse(r.proposalId(), r.code(), r.leader());
+    private void onRejected(ConsensusEffect.ProposalRejected r) {
+        mPendingMembershipChanges.remove(r.proposalId());
+        mPendingCommands.remove(r.proposalId());
+        answerError(r.proposalId(), r.code(), r.leader());
     }
 
-    private void refuse(long call, ResultCode code, ReplicaId leader) {
-        boolean leaderless = code == ResultCode.NOT_LEADER && leader == null;
-        ResultCode told = leaderless ? ResultCode.NO_QUORUM : code;
-        mEffects.accept(new AnswerError(call, told, message(told), mConfig.addressOf(leader)));
+    private void answerError(long call, ResultCode code, ReplicaId leader) {
+        boolean hasNoLeader = code == ResultCode.NOT_LEADER && leader == null;
+        ResultCode answerCode = hasNoLeader ? ResultCode.NO_QUORUM : code;
+        mEffects.accept(
+                new AnswerError(call, answerCode, message(answerCode), mConfig.addressOf(leader)));
     }
 
     private String message(ResultCode code) {
         return switch (code) {
             case NOT_LEADER -> mConfig.name() + " does not lead";
             case NO_QUORUM -> mConfig.name() + " knows of no leader with a quorum";
-            case OUTCOME_UNKNOWN -> "it may have been accepted; send the same again";
+            case OUTCOME_UNKNOWN ->
+                    "the request may have been accepted; send the same request again";
             case MEMBERSHIP_CHANGE_PENDING ->
-                    "another change of replicas is under way, or the replica has not caught up";
-            case BODY_TOO_LARGE -> "the change is larger than the log of this instance takes";
+                    "another change of the replicas is pending, or the replica has not caught up";
+            case BODY_TOO_LARGE ->
+                    "the change is larger than the largest command that the log accepts";
             case OVERLOADED -> "the log has no room at the moment";
             default -> code.name();
         };
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/CrashSharingTest.java
@@ -15,48 +15,49 @@
 import org.laurelweir.quarantine.CrashRecord;
 import org.laurelweir.quarantine.RequestKey;
 
-/** What control instances pass on of requests under which backend servers ended. */
+/** Tests how control instances distribute the records of crashes of backend servers. */
 class CrashSharingTest {
     private static final Instant NOW = Instant.EPOCH;
 
-    private final CrashSharing mSharing = sharing("c0", 2);
+    private final CrashSharing mCrashSharing = newCrashSharing("c0", 2);
 
-    private static CrashSharing sharing(String name, long incarnation) {
+    private static CrashSharing newCrashSharing(String name, long incarnation) {
         return new CrashSharing(
                 ControlConfig.builder(new ReplicaId(name, 1), incarnation, Map.of(name, name))
                         .build());
     }
 
-    private static CrashRecord record(int request) {
+    private static CrashRecord crashRecord(int request) {
         Crash crash = new Crash(new BackendRef("s1", 1), "r1", Duration.ZERO, false);
         return new CrashRecord(new RequestKey("acme", request), "svc", List.of(crash));
     }
 
-    private static MembershipCursor run(String control, long incarnation) {
+    private static MembershipCursor cursorOfRun(String control, long incarnation) {
         return new MembershipCursor(control, incarnation, 0);
     }
 
-    // A router that had more records of an instance's run before was never told those of the next.
+    // Guards against missing records after a restart of control: the router's version from the
+    // previous run is higher than all versions of the new run. It must not count for the new run.
     @Test
-    void aReaderOfAnotherRunIsToldEverything() {
-        mSharing.toldByRouter(NOW, List.of(record(1), record(2)));
-        assertThat(mSharing.answer(NOW, run("c0", 1), 500).records()).hasSize(2);
-        assertThat(mSharing.answer(NOW, run("c1", 2), 500).records()).hasSize(2);
-        assertThat(mSharing.answer(NOW, run("c0", 2), 1).records()).hasSize(1);
-        assertThat(mSharing.answer(NOW, run("c0", 2), 2).records()).isEmpty();
+    void readerOfAnotherRunGetsAllRecords() {
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1), crashRecord(2)));
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 1), 500).records()).hasSize(2);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c1", 2), 500).records()).hasSize(2);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 2), 1).records()).hasSize(1);
+        assertThat(mCrashSharing.deltaSince(NOW, cursorOfRun("c0", 2), 2).records()).isEmpty();
     }
 
-    // What two instances told each other went back and forth between them.
+    // Guards against records that two control instances send back and forth between each other.
     @Test
-    void onlyWhatARouterSawGoesToPeersAtOnce() {
-        mSharing.toldByRouter(NOW, List.of(record(1)));
-        assertThat(mSharing.takeUrgent()).hasSize(1);
-        assertThat(mSharing.takeUrgent()).isEmpty();
-        mSharing.toldByRouter(NOW, List.of(record(1)));
-        mSharing.announced(NOW, List.of(record(2)));
-        mSharing.answered(NOW, "c1", new CrashDelta(9, List.of(record(3))));
-        assertThat(mSharing.takeUrgent()).isEmpty();
-        assertThat(mSharing.seenOf("c1")).isEqualTo(9);
-        assertThat(mSharing.answer(NOW, MembershipCursor.NONE, 0).records()).hasSize(3);
+    void onlyRouterReportsGoToPeersAtOnce() {
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1)));
+        assertThat(mCrashSharing.takePeerUpdate()).hasSize(1);
+        assertThat(mCrashSharing.takePeerUpdate()).isEmpty();
+        mCrashSharing.onRouterReport(NOW, List.of(crashRecord(1)));
+        mCrashSharing.onPeerAnnouncement(NOW, List.of(crashRecord(2)));
+        mCrashSharing.onPeerUpdate(NOW, "c1", new CrashDelta(9, List.of(crashRecord(3))));
+        assertThat(mCrashSharing.takePeerUpdate()).isEmpty();
+        assertThat(mCrashSharing.peerVersion("c1")).isEqualTo(9);
+        assertThat(mCrashSharing.deltaSince(NOW, MembershipCursor.NONE, 0).records()).hasSize(3);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/VoterPlanTest.java
@@ -16,65 +16,73 @@
 import org.laurelweir.consensus.MembershipChange.Promote;
 import org.laurelweir.consensus.ReplicaId;
 
-/** Who votes in the end, whatever the order in which instances are heard. */
+/**
+ * Tests which replicas are voters in the end, whatever the order in which control instances report.
+ */
 class VoterPlanTest {
-    private static final int ORDERS = 300;
-    private static final int MOST_STEPS = 40;
+    private static final int RANDOM_ORDERS = 300;
+    private static final int MAX_STEPS = 40;
 
-    private static ReplicaId disk(String name, int number) {
+    private static ReplicaId replicaWithDisk(String name, int number) {
         return new ReplicaId(name, number);
     }
 
-    private static ReplicaId noDisk(String name) {
+    private static ReplicaId replicaWithoutDisk(String name) {
         return new ReplicaId(name, -1);
     }
 
-    private static List<ReplicaId> disks(int count) {
+    private static List<ReplicaId> replicasWithDisks(int count) {
         List<ReplicaId> all = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
-            all.add(disk("c" + i, 1));
+            all.add(replicaWithDisk("c" + i, 1));
         }
         return all;
     }
 
     /**
-     * Takes one step after the other, with the instances heard in an order of its own each time.
+     * Applies steps until none is left. The control instances report in a different random order
+     * before each step.
      */
-    private static Membership settle(
-            Membership members, List<ReplicaId> present, Set<ReplicaId> overdue, Random random) {
-        Membership now = members;
-        List<ReplicaId> heard = new ArrayList<>(present);
-        for (int i = 0; i < MOST_STEPS; i++) {
-            Collections.shuffle(heard, random);
-            Optional<MembershipChange> step = new VoterPlan(now, heard, overdue, true).nextStep();
+    private static Membership applyAllSteps(
+            Membership members,
+            List<ReplicaId> runningReplicas,
+            Set<ReplicaId> timedOut,
+            Random random) {
+        Membership current = members;
+        List<ReplicaId> reporting = new ArrayList<>(runningReplicas);
+        for (int i = 0; i < MAX_STEPS; i++) {
+            Collections.shuffle(reporting, random);
+            Optional<MembershipChange> step =
+                    new VoterPlan(current, reporting, timedOut, true).nextStep();
             if (step.isEmpty()) {
-                return now;
+                return current;
             }
-            now = after(now, step.get());
+            current = applyStep(current, step.get());
         }
-        throw new AssertionError("no end of steps: " + now);
+        throw new AssertionError("steps left after the maximum number; members: " + current);
     }
 
-    private static Membership after(Membership now, MembershipChange step) {
+    private static Membership applyStep(Membership current, MembershipChange step) {
         if (step instanceof AddLearner) {
-            return now.withLearner(step.replica());
+            return current.withLearner(step.replica());
         }
         return step instanceof Promote
-                ? now.withVoter(step.replica())
-                : now.without(step.replica());
+                ? current.withVoter(step.replica())
+                : current.without(step.replica());
     }
 
-    private static Membership grown(List<ReplicaId> all, Random random) {
+    private static Membership growFromThreeVoters(List<ReplicaId> all, Random random) {
         Membership first = Membership.ofVoters(all.subList(0, 3));
-        return settle(first, all, Set.of(), random);
+        return applyAllSteps(first, all, Set.of(), random);
     }
 
     @Test
-    void theNumberOfVotersIsOddAndAtMostSeven() {
+    void voterCountIsOddAndAtMostSeven() {
         int[] expected = {3, 3, 5, 5, 7, 7, 7};
         for (int instances = 3; instances < 3 + expected.length; instances++) {
-            for (int seed = 0; seed < ORDERS; seed++) {
-                Membership members = grown(disks(instances), new Random(seed));
+            for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
+                Membership members =
+                        growFromThreeVoters(replicasWithDisks(instances), new Random(seed));
                 assertThat(members.voters()).hasSize(expected[instances - 3]);
                 assertThat(members.all()).hasSize(instances);
             }
@@ -82,57 +90,60 @@
     }
 
     @Test
-    void lostDisksLeaveTheNumberAsItWas() {
-        // Two of six instances come back with empty disks. While the old and the new disk of one
-        // both count, the number of voters is even for a moment: a learner that is promoted for
-        // that leaves six voters, and a cut into halves leaves neither side a quorum.
-        for (int seed = 0; seed < ORDERS; seed++) {
+    void lostDisksDoNotChangeVoterCount() {
+        // Guards against an even number of voters. Two of six instances return with empty disks.
+        // While both the old and the new replica of an instance are voters, the number is even for
+        // a short time. A learner that is promoted because of that would leave six voters, and a
+        // partition into halves would leave no side with a quorum.
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
-            Membership members = grown(disks(6), random);
-            List<ReplicaId> present = new ArrayList<>(disks(6));
-            present.set(0, disk("c1", 2));
-            present.set(1, disk("c2", 2));
-            Membership after = settle(members, present, Set.of(), random);
+            Membership members = growFromThreeVoters(replicasWithDisks(6), random);
+            List<ReplicaId> runningReplicas = new ArrayList<>(replicasWithDisks(6));
+            runningReplicas.set(0, replicaWithDisk("c1", 2));
+            runningReplicas.set(1, replicaWithDisk("c2", 2));
+            Membership after = applyAllSteps(members, runningReplicas, Set.of(), random);
             assertThat(after.voters()).hasSize(5);
-            assertThat(present).containsAll(after.all());
+            assertThat(runningReplicas).containsAll(after.all());
             assertThat(after.all()).hasSize(6);
         }
     }
 
     @Test
-    void aVoterThatIsGoneForGoodIsReplacedByTheOneLeftOver() {
+    void removedVoterIsReplacedBySpareLearner() {
         for (int instances : List.of(4, 6)) {
-            for (int seed = 0; seed < ORDERS; seed++) {
+            for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
                 Random random = new Random(seed);
-                Membership members = grown(disks(instances), random);
-                ReplicaId gone = members.voters().first();
-                List<ReplicaId> present = new ArrayList<>(disks(instances));
-                present.remove(gone);
-                Membership after = settle(members, present, Set.of(gone), random);
-                assertThat(after.voters()).hasSize(instances - 1).doesNotContain(gone);
+                Membership members = growFromThreeVoters(replicasWithDisks(instances), random);
+                ReplicaId lost = members.voters().first();
+                List<ReplicaId> runningReplicas = new ArrayList<>(replicasWithDisks(instances));
+                runningReplicas.remove(lost);
+                Membership after = applyAllSteps(members, runningReplicas, Set.of(lost), random);
+                assertThat(after.voters()).hasSize(instances - 1).doesNotContain(lost);
             }
         }
     }
 
     @Test
-    void threeVotersAreLeftHoweverManyAreSilent() {
-        // Nothing that is cut off may talk the core down to a size at which one loss stops it.
-        for (int seed = 0; seed < ORDERS; seed++) {
+    void silentVotersAreRemovedDownToThree() {
+        // Guards against removals by a partitioned leader that would leave fewer than three voters,
+        // so that one more loss stops the log.
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
             Random random = new Random(seed);
-            Membership members = grown(disks(5), random);
-            List<ReplicaId> present = disks(5).subList(0, 2);
-            Set<ReplicaId> overdue = new HashSet<>(disks(5).subList(2, 5));
-            assertThat(settle(members, present, overdue, random).voters()).hasSize(3);
+            Membership members = growFromThreeVoters(replicasWithDisks(5), random);
+            List<ReplicaId> runningReplicas = replicasWithDisks(5).subList(0, 2);
+            Set<ReplicaId> timedOut = new HashSet<>(replicasWithDisks(5).subList(2, 5));
+            assertThat(applyAllSteps(members, runningReplicas, timedOut, random).voters())
+                    .hasSize(3);
         }
     }
 
     @Test
-    void anInstanceWithoutDiskNeverVotes() {
-        List<ReplicaId> all = new ArrayList<>(disks(4));
-        all.add(noDisk("c5"));
-        all.add(noDisk("c6"));
-        for (int seed = 0; seed < ORDERS; seed++) {
-            Membership members = grown(all, new Random(seed));
+    void replicaWithoutDiskNeverVotes() {
+        List<ReplicaId> all = new ArrayList<>(replicasWithDisks(4));
+        all.add(replicaWithoutDisk("c5"));
+        all.add(replicaWithoutDisk("c6"));
+        for (int seed = 0; seed < RANDOM_ORDERS; seed++) {
+            Membership members = growFromThreeVoters(all, new Random(seed));
             assertThat(members.voters()).hasSize(3).allMatch(ReplicaId::isDurable);
             assertThat(members.learners()).hasSize(3);
         }
