--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ActiveCall.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ActiveRequest.java
@@ -11,8 +11,8 @@
 import org.laurelweir.quarantine.RequestKey;
 
 /** One caller's request from its arrival to its final answer, with the call under way. */
-final class ActiveCall {
-    private static final BackendRef NONE = new BackendRef("", 0);
+final class ActiveRequest {
+    private static final BackendRef NO_BACKEND = new BackendRef("", 0);
 
     final long mCaller;
     final RoutedRequest mRequest;
@@ -21,21 +21,21 @@
     final EventFramer mFramer = new EventFramer();
 
     /** Backend servers that were tried, the present one included. */
-    final Set<String> mTried = new HashSet<>();
+    final Set<String> mTriedServers = new HashSet<>();
 
     /** The call under way, or 0. */
     long mCall;
 
     /** The backend server of the present or the last call. */
-    BackendRef mBackend = NONE;
+    BackendRef mBackend = NO_BACKEND;
 
     /** When the present or the last call began. */
-    Instant mBegan = Instant.MIN;
+    Instant mCallStart = Instant.MIN;
 
-    Instant mHeard = Instant.MIN;
+    Instant mLastActivity = Instant.MIN;
 
     /** Backend servers that may have received the request. */
-    int mArrivals;
+    int mAttempts;
 
     /** Whether some backend server may have run the request. */
     boolean mMayHaveRun;
@@ -44,7 +44,7 @@
     boolean mMisdirected;
 
     /** Whether the present call's answer has begun. */
-    boolean mAnswered;
+    boolean mHeadReceived;
 
     /** Whether the caller has been sent the head of a stream. */
     boolean mHeadSent;
@@ -57,7 +57,7 @@
     ByteArrayOutputStream mBody = new ByteArrayOutputStream();
     private RequestKey mKey;
 
-    ActiveCall(long caller, RoutedRequest request, String service, Instant now) {
+    ActiveRequest(long caller, RoutedRequest request, String service, Instant now) {
         mCaller = caller;
         mRequest = request;
         mService = service;
@@ -77,7 +77,7 @@
     }
 
     /** Returns the id of the prompt's shared part, 0 without a prompt. */
-    long part() {
+    long sharedPartId() {
         Prompt prompt = mRequest.prompt();
         return prompt.isPresent() ? prompt.sharedPart().id() : 0;
     }
@@ -91,16 +91,16 @@
         return route().streamed() && mStatus / 100 == 2;
     }
 
-    void begin(long call, BackendRef backend, Instant now) {
+    void startCall(long call, BackendRef backend, Instant now) {
         mCall = call;
         mBackend = backend;
-        mBegan = now;
-        mTried.add(backend.id());
-        mHeard = now;
-        mAnswered = false;
+        mCallStart = now;
+        mTriedServers.add(backend.id());
+        mLastActivity = now;
+        mHeadReceived = false;
         mMisdirected = false;
         mStatus = 0;
         mBody.reset();
-        mFramer.takeRest();
+        mFramer.takeIncomplete();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
@@ -13,15 +13,15 @@
  */
 final class Attempts {
     /** Below this a further attempt can't bring an answer any more: a round trip and some work. */
-    private static final Duration LEAST_TIME_LEFT = Duration.ofMillis(40);
+    private static final Duration MIN_TIME_LEFT = Duration.ofMillis(40);
 
-    private final BackendSource mSource;
+    private final BackendSource mBackends;
     private final LoadEstimator mLoads;
     private final ServerChoice mChoice;
-    private final FetchSource mFetches;
-    private final FleetBudget mBudget;
-    private final Reports mReports;
-    private final Long2ObjectHashMap<ActiveCall> mByCall = new Long2ObjectHashMap<>();
+    private final FetchSource mFetchSource;
+    private final FleetRetryBudget mBudget;
+    private final RequestDecisions mDecisions;
+    private final Long2ObjectHashMap<ActiveRequest> mByCall = new Long2ObjectHashMap<>();
     private long mLastCall;
     private Instant mNow;
     private Consumer<? super DirectEffect> mEffects;
@@ -31,24 +31,24 @@
             LoadEstimator loads,
             ServerChoice choice,
             FetchSource fetches,
-            FleetBudget budget,
-            Reports reports) {
-        mSource = source;
+            FleetRetryBudget budget,
+            RequestDecisions reports) {
+        mBackends = source;
         mLoads = loads;
         mChoice = choice;
-        mFetches = fetches;
+        mFetchSource = fetches;
         mBudget = budget;
-        mReports = reports;
+        mDecisions = reports;
     }
 
     /** Begins a step of the reducer. */
-    void enter(Instant now, Consumer<? super DirectEffect> effects) {
+    void beginStep(Instant now, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
     /** Returns the request that a call is made for, or null where the call is over. */
-    ActiveCall byCall(long call) {
+    ActiveRequest byCall(long call) {
         return mByCall.get(call);
     }
 
@@ -57,30 +57,30 @@
      *
      * @return whether it was sent
      */
-    boolean next(ActiveCall r) {
-        boolean inTime = r.timeLeft(mNow).compareTo(LEAST_TIME_LEFT) >= 0;
-        if (!inTime || r.mArrivals >= r.route().maxAttempts()) {
+    boolean startNext(ActiveRequest r) {
+        boolean inTime = r.timeLeft(mNow).compareTo(MIN_TIME_LEFT) >= 0;
+        if (!inTime || r.mAttempts >= r.route().maxAttempts()) {
             return false;
         }
-        Optional<ServerChoice.Chosen> chosen = mChoice.choose(r, mNow);
+        Optional<ServerChoice.Choice> chosen = mChoice.choose(r, mNow);
         if (chosen.isEmpty()) {
             return false;
         }
-        Backend backend = mSource.backend(chosen.get().server().id());
-        if (backend == null || (r.mArrivals > 0 && !mBudget.spend(r.mService, mNow))) {
+        Backend backend = mBackends.backend(chosen.get().server().id());
+        if (backend == null || (r.mAttempts > 0 && !mBudget.trySpend(r.mService, mNow))) {
             return false;
         }
-        begin(r, backend, chosen.get());
+        start(r, backend, chosen.get());
         return true;
     }
 
-    private void begin(ActiveCall r, Backend backend, ServerChoice.Chosen chosen) {
-        r.begin(++mLastCall, backend.ref(), mNow);
-        r.mArrivals++;
+    private void start(ActiveRequest r, Backend backend, ServerChoice.Choice chosen) {
+        r.startCall(++mLastCall, backend.ref(), mNow);
+        r.mAttempts++;
         mByCall.put(r.mCall, r);
-        mLoads.began(backend.ref(), r.part());
-        String fetchFrom = mFetches.addressFor(r, backend.ref(), mNow);
-        mEffects.accept(mReports.chose(r, chosen, fetchFrom, mNow));
+        mLoads.onRequestSent(backend.ref(), r.sharedPartId());
+        String fetchFrom = mFetchSource.addressFor(r, backend.ref(), mNow);
+        mEffects.accept(mDecisions.serverChosen(r, chosen, fetchFrom, mNow));
         mEffects.accept(
                 new DirectEffect.BeginCall(
                         r.mCall,
@@ -98,33 +98,33 @@
      *
      * @return whether another one took it
      */
-    boolean moveOn(ActiveCall r) {
+    boolean switchServer(ActiveRequest r) {
         long call = r.mCall;
-        leave(r);
-        if (next(r)) {
+        end(r);
+        if (startNext(r)) {
             mEffects.accept(new DirectEffect.CancelCall(call));
             return true;
         }
         r.mCall = call;
         mByCall.put(call, r);
-        mLoads.began(r.mBackend, r.part());
+        mLoads.onRequestSent(r.mBackend, r.sharedPartId());
         return false;
     }
 
     /** The present call is over; events that still come from it belong to no request. */
-    void leave(ActiveCall r) {
+    void end(ActiveRequest r) {
         if (r.mCall != 0) {
             mByCall.remove(r.mCall);
-            mLoads.ended(r.mBackend, r.part());
+            mLoads.onRequestEnded(r.mBackend, r.sharedPartId());
             r.mCall = 0;
         }
     }
 
     /** Ends the present call, if there is one. */
-    void cancel(ActiveCall r) {
+    void cancel(ActiveRequest r) {
         if (r.mCall != 0) {
             mEffects.accept(new DirectEffect.CancelCall(r.mCall));
-            leave(r);
+            end(r);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
@@ -17,7 +17,7 @@
     }
 
     /** Returns whether a request that arrives must not be sent. */
-    boolean bars(ActiveCall r, Instant now) {
+    boolean shouldReject(ActiveRequest r, Instant now) {
         return !mCrashes.isEmpty()
                 && mCrashes.isQuarantined(r.key())
                 && !mCrashes.takeTrial(now, r.key());
@@ -29,24 +29,24 @@
      * @return whether the request may be sent to another one: not if some backend server had ended
      *     under it before, since it would then end the next one too
      */
-    boolean lost(ActiveCall r, BackendRef server, Instant now) {
+    boolean onConnectionLost(ActiveRequest r, BackendRef server, Instant now) {
         boolean suspect = isSuspect(r);
         mCrashes.onCrash(now, r.key(), r.mService, server);
         return !suspect;
     }
 
     /** Returns whether some backend server ended under a request that may have caused it. */
-    boolean isSuspect(ActiveCall r) {
+    boolean isSuspect(ActiveRequest r) {
         return !mCrashes.isEmpty() && mCrashes.isSuspect(r.key());
     }
 
     /** Notes that a backend server has begun to answer. */
-    void answered(ActiveCall r, Instant now) {
-        mCrashes.survived(now, r.mBackend, r.mBegan);
+    void onHeadReceived(ActiveRequest r, Instant now) {
+        mCrashes.onAnswer(now, r.mBackend, r.mCallStart);
     }
 
     /** Notes that a request has been served. */
-    void served(ActiveCall r, Instant now) {
+    void onServed(ActiveRequest r, Instant now) {
         if (!mCrashes.isEmpty()) {
             mCrashes.excuseAll(now, r.key());
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -23,20 +23,20 @@
 
     private static final Duration PRUNE_INTERVAL = Duration.ofSeconds(30);
 
-    private final BackendSource mSource;
+    private final BackendSource mBackends;
     private final ServerTable mServers = new ServerTable();
     private final LoadEstimator mLoads;
     private final ServerChoice mChoice;
     private final PartHolders mHolders = new PartHolders();
-    private final FleetBudget mBudget;
+    private final FleetRetryBudget mBudget;
     private final Attempts mAttempts;
-    private final Reports mReports;
-    private final ErrorAnswers mErrors;
-    private final Stalls mStalls = new Stalls();
-    private final CrashGuard mGuard;
-    private final SpoiledCalls mSpoiled;
+    private final RequestDecisions mDecisions;
+    private final ErrorAnswers mErrorAnswers;
+    private final StallDetector mStallDetector = new StallDetector();
+    private final CrashGuard mCrashGuard;
+    private final InvalidAnswerCalls mInvalidAnswers;
     private final SplittableRandom mRandom;
-    private final Long2ObjectHashMap<ActiveCall> mByCaller = new Long2ObjectHashMap<>();
+    private final Long2ObjectHashMap<ActiveRequest> mByCaller = new Long2ObjectHashMap<>();
     private Instant mNextScan = Instant.MIN;
     private Instant mNextPrune = Instant.MIN;
     private Instant mNow;
@@ -59,17 +59,17 @@
             CrashTable crashes,
             LoadEstimator loads,
             long seed) {
-        mSource = source;
+        mBackends = source;
         mLoads = loads;
-        mGuard = new CrashGuard(crashes);
+        mCrashGuard = new CrashGuard(crashes);
         mChoice = new ServerChoice(source, mServers, loads, seed);
-        mBudget = new FleetBudget(limits, routers);
+        mBudget = new FleetRetryBudget(limits, routers);
         mRandom = new SplittableRandom(seed + 1);
-        mReports = new Reports();
-        mSpoiled = new SpoiledCalls(loads, mGuard, mReports);
+        mDecisions = new RequestDecisions();
+        mInvalidAnswers = new InvalidAnswerCalls(loads, mCrashGuard, mDecisions);
         FetchSource fetches = new FetchSource(source, mServers, mHolders);
-        mAttempts = new Attempts(source, loads, mChoice, fetches, mBudget, mReports);
-        mErrors = new ErrorAnswers(mChoice, mAttempts, mReports, new Refusals(seed + 2));
+        mAttempts = new Attempts(source, loads, mChoice, fetches, mBudget, mDecisions);
+        mErrorAnswers = new ErrorAnswers(mChoice, mAttempts, mDecisions, new RetryDelays(seed + 2));
     }
 
     /** Returns whether no request is under way. */
@@ -81,9 +81,9 @@
     public void step(Instant now, DirectEvent event, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
-        mAttempts.enter(now, effects);
-        mErrors.enter(now, effects);
-        mSpoiled.enter(now, effects);
+        mAttempts.beginStep(now, effects);
+        mErrorAnswers.beginStep(now, effects);
+        mInvalidAnswers.beginStep(now, effects);
         if (event instanceof DirectEvent.Tick) {
             onTick();
         } else if (event instanceof DirectEvent.Arrived e) {
@@ -91,19 +91,19 @@
         } else if (event instanceof DirectEvent.CallerGone e) {
             withRequest(mByCaller.get(e.caller()), this::onCallerGone);
         } else if (event instanceof DirectEvent.HeadReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onAnswered(r, e));
+            withRequest(mAttempts.byCall(e.call()), r -> onHeadReceived(r, e));
         } else if (event instanceof DirectEvent.DataReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onReceived(r, e.bytes()));
+            withRequest(mAttempts.byCall(e.call()), r -> onDataReceived(r, e.bytes()));
         } else if (event instanceof DirectEvent.Finished e) {
-            mSpoiled.finished(e.call());
+            mInvalidAnswers.onFinished(e.call());
             withRequest(mAttempts.byCall(e.call()), this::onFinished);
         } else if (event instanceof DirectEvent.Failed e) {
-            mSpoiled.failed(e.call(), e.failure());
+            mInvalidAnswers.onFailed(e.call(), e.failure());
             withRequest(mAttempts.byCall(e.call()), r -> onFailed(r, e));
         }
     }
 
-    private static void withRequest(ActiveCall r, Consumer<ActiveCall> action) {
+    private static void withRequest(ActiveRequest r, Consumer<ActiveRequest> action) {
         if (r != null) {
             action.accept(r);
         }
@@ -115,13 +115,13 @@
 
     private void onArrived(DirectEvent.Arrived e) {
         String service = chooseService(e.request().route());
-        ActiveCall r = new ActiveCall(e.caller(), e.request(), service, mNow);
+        ActiveRequest r = new ActiveRequest(e.caller(), e.request(), service, mNow);
         mByCaller.put(e.caller(), r);
         mBudget.onRequest(service, mNow);
-        if (mGuard.bars(r, mNow)) {
-            end(r, mErrors::quarantined);
-        } else if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.refused(c, "no backend server has room"));
+        if (mCrashGuard.shouldReject(r, mNow)) {
+            end(r, mErrorAnswers::quarantined);
+        } else if (!mAttempts.startNext(r)) {
+            end(r, c -> mErrorAnswers.rejected(c, "no backend server has room"));
         }
     }
 
@@ -137,55 +137,55 @@
         return route.shares().get(route.shares().size() - 1).service();
     }
 
-    private void onAnswered(ActiveCall r, DirectEvent.HeadReceived e) {
-        r.mHeard = mNow;
-        e.facts().load().ifPresent(l -> loadTold(r.mBackend, l));
+    private void onHeadReceived(ActiveRequest r, DirectEvent.HeadReceived e) {
+        r.mLastActivity = mNow;
+        e.facts().load().ifPresent(l -> onReportedLoad(r.mBackend, l));
         if (e.facts().notRun()) {
             onNotRun(r, e);
             return;
         }
         if (!e.facts().genuine()) {
-            onSpoiled(r);
+            onInvalidAnswer(r);
             return;
         }
-        mGuard.answered(r, mNow);
-        r.mAnswered = true;
+        mCrashGuard.onHeadReceived(r, mNow);
+        r.mHeadReceived = true;
         r.mStatus = e.status();
         r.mHeaders = e.headers();
         if (isFailure(e.status())) {
             onFailureStatus(r);
         } else {
-            mServers.succeeded(r.mService, r.mBackend);
-            noteHolder(r);
+            mServers.onSuccess(r.mService, r.mBackend);
+            recordHolder(r);
             beginStream(r);
         }
     }
 
-    private void loadTold(BackendRef backend, AnswerMetadata.ReportedLoad load) {
-        mServers.slotsTold(backend, load.slots());
-        mLoads.heard(mNow, backend, load.running() + load.waiting());
+    private void onReportedLoad(BackendRef backend, AnswerMetadata.ReportedLoad load) {
+        mServers.onReportedSlots(backend, load.slots());
+        mLoads.onReportedLoad(mNow, backend, load.running() + load.waiting());
     }
 
     /**
      * The answer is nobody's. Its server may be about to end, of which the next one would know
      * nothing: only one more gets the request before that is told.
      */
-    private void onSpoiled(ActiveCall r) {
-        boolean harmless = !mSpoiled.isWatched(r) && !mGuard.isSuspect(r);
+    private void onInvalidAnswer(ActiveRequest r) {
+        boolean harmless = !mInvalidAnswers.isWatched(r) && !mCrashGuard.isSuspect(r);
         long call = r.mCall;
-        mAttempts.leave(r);
-        mSpoiled.watch(r, call);
-        serverFailed(r);
-        afterUnknown(r, harmless, "the answer belongs to another request, or to none");
+        mAttempts.end(r);
+        mInvalidAnswers.watch(r, call);
+        recordServerFailure(r);
+        onUnknownOutcome(r, harmless, "the answer belongs to another request, or to none");
     }
 
-    private void noteHolder(ActiveCall r) {
+    private void recordHolder(ActiveRequest r) {
         if (r.mRequest.prompt().isPresent()) {
-            mHolders.read(r.mRequest.prompt().sharedPart().id(), r.mBackend);
+            mHolders.recordHolder(r.mRequest.prompt().sharedPart().id(), r.mBackend);
         }
     }
 
-    private void beginStream(ActiveCall r) {
+    private void beginStream(ActiveRequest r) {
         if (!r.isStreaming() || r.mHeadSent) {
             return;
         }
@@ -203,35 +203,39 @@
      * The server ran the request and failed: another may do better where that is harmless. Where
      * nobody else takes it, the server's own answer is passed on after all.
      */
-    private void onFailureStatus(ActiveCall r) {
-        serverFailed(r);
+    private void onFailureStatus(ActiveRequest r) {
+        recordServerFailure(r);
         r.mMayHaveRun = true;
         if (r.route().isRepeatable()) {
-            mAttempts.moveOn(r);
+            mAttempts.switchServer(r);
         }
     }
 
-    private void serverFailed(ActiveCall r) {
-        mServers.failed(r.mService, r.mBackend, mChoice.size(r.mService), mNow);
+    private void recordServerFailure(ActiveRequest r) {
+        mServers.onFailure(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
     }
 
     /** The server says that it did not run the request and will not. */
-    private void onNotRun(ActiveCall r, DirectEvent.HeadReceived e) {
+    private void onNotRun(ActiveRequest r, DirectEvent.HeadReceived e) {
         if (e.facts().misdirected()) {
-            mServers.replaced(r.mBackend, mNow);
+            mServers.onReplaced(r.mBackend, mNow);
         } else {
-            mServers.full(r.mBackend, mNow);
+            mServers.onFull(r.mBackend, mNow);
         }
-        emit(mReports.said(r, "not_run_" + e.status(), mNow));
+        emit(mDecisions.ofReason(r, "not_run_" + e.status(), mNow));
         mAttempts.cancel(r);
         r.mMisdirected = e.facts().misdirected();
-        if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.gaveUp(c, "the backend servers did not take the request"));
+        if (!mAttempts.startNext(r)) {
+            end(
+                    r,
+                    c ->
+                            mErrorAnswers.noServerAccepts(
+                                    c, "the backend servers did not take the request"));
         }
     }
 
-    private void onReceived(ActiveCall r, byte[] bytes) {
-        r.mHeard = mNow;
+    private void onDataReceived(ActiveRequest r, byte[] bytes) {
+        r.mLastActivity = mNow;
         if (!r.isStreaming()) {
             r.mBody.writeBytes(bytes);
             return;
@@ -242,51 +246,52 @@
         }
     }
 
-    private void onFinished(ActiveCall r) {
-        mAttempts.leave(r);
+    private void onFinished(ActiveRequest r) {
+        mAttempts.end(r);
         if (r.isStreaming()) {
-            byte[] rest = r.mFramer.takeRest();
+            byte[] rest = r.mFramer.takeIncomplete();
             if (rest.length > 0) {
-                emitIfWanted(r, new DirectEffect.AnswerData(r.mCaller, rest));
+                emitUnlessDetached(r, new DirectEffect.AnswerData(r.mCaller, rest));
             }
-            emitIfWanted(r, new DirectEffect.AnswerEnd(r.mCaller));
+            emitUnlessDetached(r, new DirectEffect.AnswerEnd(r.mCaller));
         } else if (r.mHeadSent) {
-            end(r, c -> mErrors.failed(c, "the stream could not be resumed"));
+            end(r, c -> mErrorAnswers.failed(c, "the stream could not be resumed"));
             return;
         } else {
-            emitIfWanted(
+            emitUnlessDetached(
                     r,
                     new DirectEffect.AnswerWhole(
                             r.mCaller, r.mStatus, r.mHeaders, r.mBody.toByteArray()));
         }
-        emit(mReports.answered(r, mNow));
+        emit(mDecisions.answered(r, mNow));
         if (!isFailure(r.mStatus)) {
-            mGuard.served(r, mNow);
-            mSpoiled.served(r);
+            mCrashGuard.onServed(r, mNow);
+            mInvalidAnswers.onServed(r);
         }
         mByCaller.remove(r.mCaller);
     }
 
-    private void emitIfWanted(ActiveCall r, DirectEffect effect) {
+    private void emitUnlessDetached(ActiveRequest r, DirectEffect effect) {
         if (!r.mDetached) {
             emit(effect);
         }
     }
 
-    private void onFailed(ActiveCall r, DirectEvent.Failed e) {
-        mAttempts.leave(r);
+    private void onFailed(ActiveRequest r, DirectEvent.Failed e) {
+        mAttempts.end(r);
         if (e.failure() != DirectEvent.Failure.NOT_SENT) {
-            serverFailed(r);
+            recordServerFailure(r);
             boolean lost = e.failure() == DirectEvent.Failure.CONNECTION_LOST;
-            afterUnknown(r, !lost || mGuard.lost(r, r.mBackend, mNow), e.message());
+            onUnknownOutcome(
+                    r, !lost || mCrashGuard.onConnectionLost(r, r.mBackend, mNow), e.message());
             return;
         }
-        mServers.unreachable(r.mService, r.mBackend, mChoice.size(r.mService), mNow);
+        mServers.onUnreachable(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
         // It never arrived, so that it does not count as sent.
-        r.mArrivals--;
-        emit(mReports.said(r, "not_sent", mNow));
-        if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.gaveUp(c, e.message()));
+        r.mAttempts--;
+        emit(mDecisions.ofReason(r, "not_sent", mNow));
+        if (!mAttempts.startNext(r)) {
+            end(r, c -> mErrorAnswers.noServerAccepts(c, e.message()));
         }
     }
 
@@ -295,17 +300,17 @@
      *
      * @param harmless whether it is to the next server; to the caller it is by the route
      */
-    private void afterUnknown(ActiveCall r, boolean harmless, String message) {
+    private void onUnknownOutcome(ActiveRequest r, boolean harmless, String message) {
         r.mMayHaveRun = true;
-        emit(mReports.outcomeUnknown(r, message, mNow));
-        if (harmless && r.route().isRepeatable() && mAttempts.next(r)) {
+        emit(mDecisions.outcomeUnknown(r, message, mNow));
+        if (harmless && r.route().isRepeatable() && mAttempts.startNext(r)) {
             return;
         }
-        end(r, c -> mErrors.failed(c, message));
+        end(r, c -> mErrorAnswers.failed(c, message));
     }
 
     /** Ends a request whose caller gets an error. */
-    private void end(ActiveCall r, Consumer<ActiveCall> tell) {
+    private void end(ActiveRequest r, Consumer<ActiveRequest> tell) {
         tell.accept(r);
         mByCaller.remove(r.mCaller);
     }
@@ -314,8 +319,8 @@
      * Ends what nobody waits for. A plain call that may not be repeated is left to finish: stopped
      * half way, nobody would ever learn its outcome.
      */
-    private void onCallerGone(ActiveCall r) {
-        emit(mReports.said(r, "caller_gone", mNow));
+    private void onCallerGone(ActiveRequest r) {
+        emit(mDecisions.ofReason(r, "caller_gone", mNow));
         if (r.mCall != 0 && !r.route().streamed() && !r.route().idempotent()) {
             r.mDetached = true;
             return;
@@ -329,37 +334,37 @@
             return;
         }
         mNextScan = mNow.plus(SCAN_INTERVAL);
-        List<ActiveCall> all = new ArrayList<>(mByCaller.values());
-        all.forEach(this::check);
-        mSpoiled.check();
+        List<ActiveRequest> all = new ArrayList<>(mByCaller.values());
+        all.forEach(this::checkTimeouts);
+        mInvalidAnswers.cancelExpired();
         if (!mNow.isBefore(mNextPrune)) {
             mNextPrune = mNow.plus(PRUNE_INTERVAL);
-            mServers.prune(mSource);
+            mServers.prune(mBackends);
         }
     }
 
-    private void check(ActiveCall r) {
+    private void checkTimeouts(ActiveRequest r) {
         if (!mNow.isBefore(r.mDeadline)) {
             expire(r);
-        } else if (mStalls.isStalled(r, mNow) && !r.mDetached) {
+        } else if (mStallDetector.isStalled(r, mNow) && !r.mDetached) {
             onStalled(r);
         }
     }
 
-    private void expire(ActiveCall r) {
-        if (!r.mAnswered && r.mCall != 0) {
-            serverFailed(r);
+    private void expire(ActiveRequest r) {
+        if (!r.mHeadReceived && r.mCall != 0) {
+            recordServerFailure(r);
         }
-        end(r, mErrors::expired);
+        end(r, mErrorAnswers::expired);
     }
 
     /** Tries another server; where nobody else takes it, a late answer is better than none. */
-    private void onStalled(ActiveCall r) {
-        emit(mReports.stalled(r, mNow));
-        serverFailed(r);
+    private void onStalled(ActiveRequest r) {
+        emit(mDecisions.stalled(r, mNow));
+        recordServerFailure(r);
         r.mMayHaveRun = true;
-        if (!mAttempts.moveOn(r)) {
-            r.mHeard = mNow;
+        if (!mAttempts.switchServer(r)) {
+            r.mLastActivity = mNow;
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
@@ -25,17 +25,17 @@
      * control serves on, also on a small machine. One that waited longer in vain would have too
      * little time left for its second try.
      */
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(800);
+    private static final Duration MAX_WAIT = Duration.ofMillis(800);
 
     /** A caller that was kept waiting in vain has three quarters of its time left. */
-    private static final int PART_OF_TIME = 4;
+    private static final int TIME_DIVISOR = 4;
 
     /** Calls that wait at most; beyond it a router would begin with more than it can work off. */
-    private static final int MOST_WAITING = 256;
+    private static final int MAX_WAITING_CALLS = 256;
 
     private final Map<Long, Waiting<T>> mWaiting = new LinkedHashMap<>();
 
-    private record Waiting<T>(T call, Instant until) {}
+    private record Waiting<T>(T call, Instant expiry) {}
 
     /**
      * Keeps a call, if there is room.
@@ -47,11 +47,11 @@
      * @return whether it is kept; otherwise it has to be turned away
      */
     public boolean keep(Instant now, long caller, Duration time, T call) {
-        if (mWaiting.size() >= MOST_WAITING) {
+        if (mWaiting.size() >= MAX_WAITING_CALLS) {
             return false;
         }
-        Duration part = time.dividedBy(PART_OF_TIME);
-        Duration wait = part.compareTo(LONGEST_WAIT) < 0 ? part : LONGEST_WAIT;
+        Duration part = time.dividedBy(TIME_DIVISOR);
+        Duration wait = part.compareTo(MAX_WAIT) < 0 ? part : MAX_WAIT;
         mWaiting.put(caller, new Waiting<>(call, now.plus(wait)));
         return true;
     }
@@ -83,7 +83,7 @@
         Iterator<Waiting<T>> each = mWaiting.values().iterator();
         while (each.hasNext()) {
             Waiting<T> w = each.next();
-            if (!now.isBefore(w.until())) {
+            if (!now.isBefore(w.expiry())) {
                 each.remove();
                 overdue.add(w.call());
             }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EventFramer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EventFramer.java
@@ -9,29 +9,29 @@
  * with, and the caller would read a broken event.
  */
 final class EventFramer {
-    private static final byte[] NONE = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
     private static final String ID_FIELD = "id:";
 
-    private byte[] mRest = NONE;
+    private byte[] mIncomplete = EMPTY;
     private String mLastId = "";
-    private int mEvents;
+    private int mEventCount;
 
     /** Takes the next piece; returns the whole events that it completes, or an empty array. */
     byte[] add(byte[] piece) {
-        byte[] all = mRest.length == 0 ? piece : joined(mRest, piece);
+        byte[] all = mIncomplete.length == 0 ? piece : concat(mIncomplete, piece);
         int end = 0;
-        int from = Math.max(0, mRest.length - 3);
+        int from = Math.max(0, mIncomplete.length - 3);
         for (int i = from; i < all.length; i++) {
             if (endsEvent(all, i)) {
-                note(all, end, i + 1);
+                recordEvent(all, end, i + 1);
                 end = i + 1;
             }
         }
-        mRest = end == all.length ? NONE : Arrays.copyOfRange(all, end, all.length);
+        mIncomplete = end == all.length ? EMPTY : Arrays.copyOfRange(all, end, all.length);
         return end == all.length ? all : Arrays.copyOf(all, end);
     }
 
-    private static byte[] joined(byte[] a, byte[] b) {
+    private static byte[] concat(byte[] a, byte[] b) {
         byte[] all = Arrays.copyOf(a, a.length + b.length);
         System.arraycopy(b, 0, all, a.length, b.length);
         return all;
@@ -48,9 +48,9 @@
         return i >= 2 && all[i - 1] == '\r' && all[i - 2] == '\n';
     }
 
-    private void note(byte[] all, int start, int end) {
+    private void recordEvent(byte[] all, int start, int end) {
         String event = new String(all, start, end - start, StandardCharsets.UTF_8);
-        mEvents++;
+        mEventCount++;
         event.lines()
                 .filter(l -> l.startsWith(ID_FIELD))
                 .reduce((a, b) -> b)
@@ -63,14 +63,14 @@
     }
 
     /** Returns how many whole events have passed. */
-    int events() {
-        return mEvents;
+    int eventCount() {
+        return mEventCount;
     }
 
     /** Returns what follows the last whole event and forgets it. */
-    byte[] takeRest() {
-        byte[] rest = mRest;
-        mRest = NONE;
+    byte[] takeIncomplete() {
+        byte[] rest = mIncomplete;
+        mIncomplete = EMPTY;
         return rest;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
@@ -17,17 +17,17 @@
      * Shared tokens from which on a fetch pays. To set one up takes an engine about 3 ms, in which
      * it reads some 150 tokens; below twice that nothing is gained.
      */
-    private static final int LEAST_TOKENS = 300;
+    private static final int MIN_SHARED_TOKENS = 300;
 
     /** Servers that are asked by rank: the former home, and another one where that has failed. */
-    private static final int RANKED = 3;
+    private static final int MAX_RANKED_SERVERS = 3;
 
-    private final BackendSource mSource;
+    private final BackendSource mBackends;
     private final ServerTable mServers;
     private final PartHolders mHolders;
 
     FetchSource(BackendSource source, ServerTable servers, PartHolders holders) {
-        mSource = source;
+        mBackends = source;
         mServers = servers;
         mHolders = holders;
     }
@@ -38,18 +38,18 @@
      * @param r the request
      * @param chosen the server that will run it
      */
-    String addressFor(ActiveCall r, BackendRef chosen, Instant now) {
+    String addressFor(ActiveRequest r, BackendRef chosen, Instant now) {
         Prompt prompt = r.mRequest.prompt();
-        if (!prompt.isPresent() || prompt.sharedTokens() < LEAST_TOKENS) {
+        if (!prompt.isPresent() || prompt.sharedTokens() < MIN_SHARED_TOKENS) {
             return "";
         }
         PartHolders.Holders holders = mHolders.of(prompt.sharedPart().id());
-        if (holders.include(chosen)) {
+        if (holders.contains(chosen)) {
             return "";
         }
-        for (BackendRef holder : inOrder(r, holders)) {
-            if (!holder.id().equals(chosen.id()) && mayAnswer(r, holder, now)) {
-                return mSource.backend(holder.id()).address();
+        for (BackendRef holder : possibleHolders(r, holders)) {
+            if (!holder.id().equals(chosen.id()) && isUsable(r, holder, now)) {
+                return mBackends.backend(holder.id()).address();
             }
         }
         return "";
@@ -60,12 +60,13 @@
      * that it likely holds it even where this router has seen nobody read it. One that is leaving
      * counts: where it ranks first, the part is still there and nowhere else.
      */
-    private List<BackendRef> inOrder(ActiveCall r, PartHolders.Holders holders) {
-        List<BackendRef> order = new ArrayList<>(holders.known());
+    private List<BackendRef> possibleHolders(ActiveRequest r, PartHolders.Holders holders) {
+        List<BackendRef> order = new ArrayList<>(holders.servers());
         ChatKey key = r.mRequest.prompt().key();
-        mSource.view(r.mService)
+        mBackends
+                .view(r.mService)
                 .rankingWithDraining()
-                .top(key, RANKED)
+                .top(key, MAX_RANKED_SERVERS)
                 .forEach(c -> order.add(c.ref()));
         return order;
     }
@@ -74,10 +75,10 @@
      * A server that just failed, or that is not there any more, is not asked: a fetch from a dark
      * one would hold the request up.
      */
-    private boolean mayAnswer(ActiveCall r, BackendRef holder, Instant now) {
-        Backend known = mSource.backend(holder.id());
+    private boolean isUsable(ActiveRequest r, BackendRef holder, Instant now) {
+        Backend known = mBackends.backend(holder.id());
         return known != null
                 && known.ref().equals(holder)
-                && !mServers.isDoubtful(r.mService, holder, now);
+                && !mServers.isUnreliable(r.mService, holder, now);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FleetBudget.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FleetRetryBudget.java
@@ -14,9 +14,9 @@
  *
  * <p>Without it a failing service gets every request several times, just when it can take least.
  */
-final class FleetBudget {
+final class FleetRetryBudget {
     private final RetryLimits mLimits;
-    private final IntSupplier mRouters;
+    private final IntSupplier mRouterCount;
     private final Map<String, Window> mWindows = new HashMap<>();
 
     /**
@@ -25,9 +25,9 @@
      * @param limits what the fleet may repeat
      * @param routers how many routers serve, 0 if not known
      */
-    FleetBudget(RetryLimits limits, IntSupplier routers) {
+    FleetRetryBudget(RetryLimits limits, IntSupplier routers) {
         mLimits = limits;
-        mRouters = routers;
+        mRouterCount = routers;
     }
 
     /** Notes a request for a service. */
@@ -36,27 +36,27 @@
     }
 
     /** Takes one repetition out of the budget, if it holds one. */
-    boolean spend(String service, Instant now) {
+    boolean trySpend(String service, Instant now) {
         Window w = window(service, now);
-        int routers = Math.max(mRouters.getAsInt(), mLimits.minRouters());
+        int routers = Math.max(mRouterCount.getAsInt(), mLimits.minRouters());
         double reserve = mLimits.fleetReserve() / routers;
         double allowed = mLimits.share() * w.mRequests.size() + reserve;
-        if (w.mRepeats.size() + 1 > mLimits.usableShare() * allowed) {
+        if (w.mRetries.size() + 1 > mLimits.usableShare() * allowed) {
             return false;
         }
-        w.mRepeats.add(now);
+        w.mRetries.add(now);
         return true;
     }
 
     private Window window(String service, Instant now) {
         Window w = mWindows.computeIfAbsent(service, s -> new Window());
         Duration span = mLimits.window();
-        forget(w.mRequests, now.minus(span));
-        forget(w.mRepeats, now.minus(span));
+        removeBefore(w.mRequests, now.minus(span));
+        removeBefore(w.mRetries, now.minus(span));
         return w;
     }
 
-    private static void forget(ArrayDeque<Instant> times, Instant before) {
+    private static void removeBefore(ArrayDeque<Instant> times, Instant before) {
         while (!times.isEmpty() && times.peek().isBefore(before)) {
             times.remove();
         }
@@ -64,6 +64,6 @@
 
     private static final class Window {
         private final ArrayDeque<Instant> mRequests = new ArrayDeque<>();
-        private final ArrayDeque<Instant> mRepeats = new ArrayDeque<>();
+        private final ArrayDeque<Instant> mRetries = new ArrayDeque<>();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/SpoiledCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/InvalidAnswerCalls.java
@@ -13,88 +13,89 @@
  * request goes on without them; closed at once, their connections would not tell a server that ends
  * from one that lives.
  */
-final class SpoiledCalls {
+final class InvalidAnswerCalls {
     /**
      * Longer than a server that fails under a request takes to end. A server that nobody waits for
      * has to stop its work sooner than half a second after.
      */
-    private static final Duration WATCHED = Duration.ofMillis(300);
+    private static final Duration WATCH_TIME = Duration.ofMillis(300);
 
     private final LoadEstimator mLoads;
-    private final CrashGuard mGuard;
-    private final Reports mReports;
-    private final Long2ObjectHashMap<Spoiled> mCalls = new Long2ObjectHashMap<>();
+    private final CrashGuard mCrashGuard;
+    private final RequestDecisions mDecisions;
+    private final Long2ObjectHashMap<WatchedCall> mCalls = new Long2ObjectHashMap<>();
     private Instant mNow;
     private Consumer<? super DirectEffect> mEffects;
 
-    private record Spoiled(long call, ActiveCall request, BackendRef backend, Instant until) {}
+    private record WatchedCall(
+            long call, ActiveRequest request, BackendRef backend, Instant expiry) {}
 
-    SpoiledCalls(LoadEstimator loads, CrashGuard guard, Reports reports) {
+    InvalidAnswerCalls(LoadEstimator loads, CrashGuard guard, RequestDecisions reports) {
         mLoads = loads;
-        mGuard = guard;
-        mReports = reports;
+        mCrashGuard = guard;
+        mDecisions = reports;
     }
 
     /** Begins a step of the reducer. */
-    void enter(Instant now, Consumer<? super DirectEffect> effects) {
+    void beginStep(Instant now, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
     /** Watches a call that its request has left. */
-    void watch(ActiveCall r, long call) {
-        mLoads.began(r.mBackend, r.part());
-        mCalls.put(call, new Spoiled(call, r, r.mBackend, mNow.plus(WATCHED)));
+    void watch(ActiveRequest r, long call) {
+        mLoads.onRequestSent(r.mBackend, r.sharedPartId());
+        mCalls.put(call, new WatchedCall(call, r, r.mBackend, mNow.plus(WATCH_TIME)));
     }
 
     /** Returns whether a backend server that spoiled its answer to a request may yet end. */
-    boolean isWatched(ActiveCall r) {
+    boolean isWatched(ActiveRequest r) {
         return mCalls.values().stream().anyMatch(s -> s.request() == r);
     }
 
     /** The answer is whole: the server has not ended. */
-    void finished(long call) {
-        Spoiled s = mCalls.get(call);
+    void onFinished(long call) {
+        WatchedCall s = mCalls.get(call);
         if (s != null) {
-            close(s);
+            cancel(s);
         }
     }
 
     /** The call has ended without a whole answer. */
-    void failed(long call, DirectEvent.Failure failure) {
-        Spoiled s = mCalls.get(call);
+    void onFailed(long call, DirectEvent.Failure failure) {
+        WatchedCall s = mCalls.get(call);
         if (s == null) {
             return;
         }
-        forget(s);
+        remove(s);
         if (failure == DirectEvent.Failure.CONNECTION_LOST) {
-            mEffects.accept(mReports.endedAfterBadHead(s.request(), s.backend(), mNow));
-            mGuard.lost(s.request(), s.backend(), mNow);
+            mEffects.accept(mDecisions.crashedAfterInvalidHead(s.request(), s.backend(), mNow));
+            mCrashGuard.onConnectionLost(s.request(), s.backend(), mNow);
         }
     }
 
     /** The request was served elsewhere: it ends no server, and its other calls are of no use. */
-    void served(ActiveCall r) {
-        List<Spoiled> own = mCalls.values().stream().filter(s -> s.request() == r).toList();
-        own.forEach(this::close);
+    void onServed(ActiveRequest r) {
+        List<WatchedCall> own = mCalls.values().stream().filter(s -> s.request() == r).toList();
+        own.forEach(this::cancel);
     }
 
     /** Closes the connections of servers that have not ended in time. */
-    void check() {
+    void cancelExpired() {
         if (!mCalls.isEmpty()) {
-            List<Spoiled> due =
-                    mCalls.values().stream().filter(s -> !mNow.isBefore(s.until())).toList();
-            due.forEach(this::close);
+            List<WatchedCall> due =
+                    mCalls.values().stream().filter(s -> !mNow.isBefore(s.expiry())).toList();
+            due.forEach(this::cancel);
         }
     }
 
-    private void close(Spoiled s) {
-        forget(s);
+    private void cancel(WatchedCall s) {
+        remove(s);
         mEffects.accept(new DirectEffect.CancelCall(s.call()));
     }
 
-    private void forget(Spoiled s) {
+    private void remove(WatchedCall s) {
         mCalls.remove(s.call());
-        mLoads.ended(s.backend(), s.request().part());
+        mLoads.onRequestEnded(s.backend(), s.request().sharedPartId());
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/PartHolders.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/PartHolders.java
@@ -21,13 +21,13 @@
      * Parts that are remembered, the ones used last; at about 200 bytes each, under 1 MB. More than
      * the engines behind a router hold of long parts.
      */
-    private static final int MOST_PARTS = 4096;
+    private static final int MAX_PARTS = 4096;
 
     private final Map<Long, Holders> mByPart =
             new LinkedHashMap<>(16, 0.75f, true) {
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<Long, Holders> eldest) {
-                    return size() > MOST_PARTS;
+                    return size() > MAX_PARTS;
                 }
             };
 
@@ -37,28 +37,28 @@
      * @param last the one that did so last
      * @param before another one that did so before, or null
      */
-    record Holders(BackendRef last, BackendRef before) {
+    record Holders(BackendRef latest, BackendRef previous) {
         static final Holders NONE = new Holders(null, null);
 
         Holders with(BackendRef backend) {
-            if (backend.equals(last)) {
+            if (backend.equals(latest)) {
                 return this;
             }
-            return new Holders(backend, last);
+            return new Holders(backend, latest);
         }
 
-        boolean include(BackendRef backend) {
-            return known().contains(backend);
+        boolean contains(BackendRef backend) {
+            return servers().contains(backend);
         }
 
         /** Returns them, the last one first. */
-        List<BackendRef> known() {
-            return Stream.of(last, before).filter(Objects::nonNull).toList();
+        List<BackendRef> servers() {
+            return Stream.of(latest, previous).filter(Objects::nonNull).toList();
         }
     }
 
     /** Notes that a backend server has begun to answer a prompt with a part, and so has read it. */
-    void read(long part, BackendRef backend) {
+    void recordHolder(long part, BackendRef backend) {
         mByPart.merge(part, new Holders(backend, null), (known, n) -> known.with(backend));
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
@@ -17,21 +17,21 @@
     private static final String ROUTED = "routed";
 
     /** Routes that are kept read; more are read anew, which costs as much as a request. */
-    private static final int MOST_READ = 8192;
+    private static final int MAX_CACHED_ROUTES = 8192;
 
     private final SettingsTree mTree;
-    private final boolean mOnlyRoutes;
+    private final boolean mAllServicesRouted;
 
     /** Routes that were asked for, by name, those of earlier trees among them. */
-    private final Map<String, Read> mRead;
+    private final Map<String, CachedRoute> mCache;
 
     /** A route as a node defines it. */
-    private record Read(SettingsNode node, Route route) {}
+    private record CachedRoute(SettingsNode node, Route route) {}
 
-    private RouteTable(SettingsTree tree, Map<String, Read> read) {
+    private RouteTable(SettingsTree tree, Map<String, CachedRoute> read) {
         mTree = tree;
-        mRead = read;
-        mOnlyRoutes = tree.services().stream().allMatch(s -> isRouted(tree, s));
+        mCache = read;
+        mAllServicesRouted = tree.services().stream().allMatch(s -> isRouted(tree, s));
     }
 
     /** Returns the table of a router that has no settings. */
@@ -45,7 +45,7 @@
      * wait until all of some thousand routes are read.
      */
     public RouteTable withTree(SettingsTree tree) {
-        return new RouteTable(tree, mRead);
+        return new RouteTable(tree, mCache);
     }
 
     /** Returns the tree whose routes these are. */
@@ -62,7 +62,7 @@
 
     /** Returns whether routes are the only way to any service. */
     public boolean allServicesRouted() {
-        return mOnlyRoutes;
+        return mAllServicesRouted;
     }
 
     /**
@@ -77,22 +77,22 @@
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
             Optional<SettingsNode> node = mTree.routeAt(name, path.substring(0, end + 1));
             if (node.isPresent()) {
-                return node.map(this::read);
+                return node.map(this::toRoute);
             }
         }
         return Optional.empty();
     }
 
-    private Route read(SettingsNode node) {
-        Read known = mRead.get(node.path().route());
+    private Route toRoute(SettingsNode node) {
+        CachedRoute known = mCache.get(node.path().route());
         if (known != null && known.node() == node) {
             return known.route();
         }
-        if (mRead.size() >= MOST_READ) {
-            mRead.clear();
+        if (mCache.size() >= MAX_CACHED_ROUTES) {
+            mCache.clear();
         }
         Route route = Route.of(node);
-        mRead.put(node.path().route(), new Read(node, route));
+        mCache.put(node.path().route(), new CachedRoute(node, route));
         return route;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
@@ -22,28 +22,28 @@
  */
 final class ServerChoice {
     /** Candidates by rank; the second takes over what the first can't carry. */
-    private static final int RANKED = 3;
+    private static final int MIN_RANKED_CANDIDATES = 3;
 
     /** Of a server's mean load, what requests about one part may make up. */
-    private static final double HOT_SHARE = 0.33;
+    private static final double MAX_PART_SHARE = 0.33;
 
     /** Requests about one part that its home takes in any case. */
-    private static final int LEAST_HOT = 2;
+    private static final int MIN_PART_REQUESTS = 2;
 
     /** Each further home has to read the part once. */
-    private static final int MOST_HOMES = 8;
+    private static final int MAX_HOMES = 8;
 
     /** Random candidates: two choices bring the fullest server close to the mean. */
-    private static final int RANDOM = 2;
+    private static final int RANDOM_CANDIDATES = 2;
 
-    private final BackendSource mSource;
+    private final BackendSource mBackends;
     private final ServerTable mServers;
     private final LoadEstimator mLoads;
     private final SplittableRandom mRandom;
-    private final Map<String, Roster> mRosters = new HashMap<>();
+    private final Map<String, ServingServers> mServing = new HashMap<>();
 
     ServerChoice(BackendSource source, ServerTable servers, LoadEstimator loads, long seed) {
-        mSource = source;
+        mBackends = source;
         mServers = servers;
         mLoads = loads;
         mRandom = new SplittableRandom(seed);
@@ -60,7 +60,7 @@
      *     was asked for
      * @param loadAgeMillis how long ago that load was told; NaN where none was told lately
      */
-    record Chosen(
+    record Choice(
             Candidate server,
             String reason,
             List<String> candidates,
@@ -69,61 +69,62 @@
             double loadAgeMillis) {}
 
     /** A candidate with what is believed of its load. */
-    private record Weighed(Candidate server, LoadEstimator.Belief belief) {
+    private record CandidateLoad(Candidate server, LoadEstimator.Estimate estimate) {
         double load() {
-            return belief.requests();
+            return estimate.requests();
         }
     }
 
     /** Returns how many backend servers of a service take new work. */
-    int size(String service) {
-        return roster(service).mServing.size();
+    int servingCount(String service) {
+        return serving(service).mServers.size();
     }
 
     /** Chooses a server that was not tried yet, or none. */
-    Optional<Chosen> choose(ActiveCall r, Instant now) {
-        List<Weighed> all =
-                candidates(r, now).values().stream().map(c -> weigh(r, c, now)).toList();
+    Optional<Choice> choose(ActiveRequest r, Instant now) {
+        List<CandidateLoad> all =
+                candidates(r, now).values().stream().map(c -> withLoad(r, c, now)).toList();
         if (!r.mRequest.prompt().isPresent()) {
             return leastLoaded(r, all, "least_loaded", Double.NaN, now);
         }
         SpillBound bound = new SpillBound(mean(r, all, now));
         return firstWithinBound(all, bound)
-                .or(() -> leastLoaded(r, all, "all_over_bound", bound.most(), now));
+                .or(() -> leastLoaded(r, all, "all_over_bound", bound.upper(), now));
     }
 
-    private Weighed weigh(ActiveCall r, Candidate c, Instant now) {
-        return new Weighed(c, mLoads.of(now, r.mService, c.ref()));
+    private CandidateLoad withLoad(ActiveRequest r, Candidate c, Instant now) {
+        return new CandidateLoad(c, mLoads.estimate(now, r.mService, c.ref()));
     }
 
     /** Without a mean of the whole service that of the candidates has to do. */
-    private double mean(ActiveCall r, List<Weighed> all, Instant now) {
+    private double mean(ActiveRequest r, List<CandidateLoad> all, Instant now) {
         double mean = mLoads.mean(now, r.mService);
         return Double.isNaN(mean)
-                ? all.stream().mapToDouble(Weighed::load).average().orElse(0)
+                ? all.stream().mapToDouble(CandidateLoad::load).average().orElse(0)
                 : mean;
     }
 
-    private Optional<Chosen> firstWithinBound(List<Weighed> all, SpillBound bound) {
+    private Optional<Choice> firstWithinBound(List<CandidateLoad> all, SpillBound bound) {
         return all.stream()
                 .filter(w -> hasRoom(w) && bound.admits(w.load(), mRandom.nextDouble()))
                 .findFirst()
-                .map(w -> chosen(w, w == all.get(0) ? "home" : "next", all, bound.most()));
+                .map(w -> choice(w, w == all.get(0) ? "home" : "next", all, bound.upper()));
     }
 
-    private Optional<Chosen> leastLoaded(
-            ActiveCall r, List<Weighed> all, String reason, double bound, Instant now) {
+    private Optional<Choice> leastLoaded(
+            ActiveRequest r, List<CandidateLoad> all, String reason, double bound, Instant now) {
         return all.stream()
-                .filter(w -> mayTake(r, w))
+                .filter(w -> canAccept(r, w))
                 .min(
-                        Comparator.comparing((Weighed w) -> avoids(r, w.server(), now))
-                                .thenComparingDouble(Weighed::load))
-                .map(w -> chosen(w, reason, all, bound));
+                        Comparator.comparing((CandidateLoad w) -> isAvoided(r, w.server(), now))
+                                .thenComparingDouble(CandidateLoad::load))
+                .map(w -> choice(w, reason, all, bound));
     }
 
-    private static Chosen chosen(Weighed w, String reason, List<Weighed> all, double bound) {
+    private static Choice choice(
+            CandidateLoad w, String reason, List<CandidateLoad> all, double bound) {
         List<String> ids = all.stream().map(o -> o.server().id()).toList();
-        return new Chosen(w.server(), reason, ids, w.load(), bound, w.belief().ageMillis());
+        return new Choice(w.server(), reason, ids, w.load(), bound, w.estimate().ageMillis());
     }
 
     /**
@@ -132,8 +133,8 @@
      * some of its requests seldom shows. Requests that can be repeated find out how the server
      * does.
      */
-    private boolean avoids(ActiveCall r, Candidate c, Instant now) {
-        return !r.route().isRepeatable() && mServers.isDoubtful(r.mService, c.ref(), now);
+    private boolean isAvoided(ActiveRequest r, Candidate c, Instant now) {
+        return !r.route().isRepeatable() && mServers.isUnreliable(r.mService, c.ref(), now);
     }
 
     /**
@@ -141,19 +142,19 @@
      * be over already. The server refuses at once what it can't take, and is then left alone for a
      * moment. A prompt would wait in the engine's queue instead.
      */
-    private boolean mayTake(ActiveCall r, Weighed w) {
+    private boolean canAccept(ActiveRequest r, CandidateLoad w) {
         return r.mRequest.prompt().isPresent()
                 ? hasRoom(w)
-                : isBelowSlots(w.server(), mLoads.own(w.server().ref()));
+                : isBelowSlots(w.server(), mLoads.ownRequests(w.server().ref()));
     }
 
     /**
      * A server with as many requests as slots would only queue one more. Only what is known of the
      * very server counts: the mean of the others is no reason to refuse.
      */
-    private boolean hasRoom(Weighed w) {
-        boolean known = !Double.isNaN(w.belief().ageMillis());
-        return isBelowSlots(w.server(), known ? w.load() : mLoads.own(w.server().ref()));
+    private boolean hasRoom(CandidateLoad w) {
+        boolean known = !Double.isNaN(w.estimate().ageMillis());
+        return isBelowSlots(w.server(), known ? w.load() : mLoads.ownRequests(w.server().ref()));
     }
 
     private boolean isBelowSlots(Candidate c, double load) {
@@ -166,19 +167,19 @@
         return told > 0 ? told : (int) c.weight();
     }
 
-    private Map<String, Candidate> candidates(ActiveCall r, Instant now) {
+    private Map<String, Candidate> candidates(ActiveRequest r, Instant now) {
         Map<String, Candidate> found = new LinkedHashMap<>();
-        ServiceView view = mSource.view(r.mService);
+        ServiceView view = mBackends.view(r.mService);
         if (r.mRequest.prompt().isPresent()) {
             ChatKey key = r.mRequest.prompt().key();
-            int homes = homes(r, now);
-            int ranked = Math.max(RANKED, homes);
+            int homes = homeCount(r, now);
+            int ranked = Math.max(MIN_RANKED_CANDIDATES, homes);
             List<Candidate> top =
-                    view.ranking().top(key, ranked + r.mTried.size()).stream()
-                            .filter(c -> isOpen(r, c, now))
+                    view.ranking().top(key, ranked + r.mTriedServers.size()).stream()
+                            .filter(c -> isEligible(r, c, now))
                             .limit(ranked)
                             .toList();
-            fromOneOf(top, homes).forEach(c -> found.put(c.id(), c));
+            startAtRandomHome(top, homes).forEach(c -> found.put(c.id(), c));
         }
         addRandom(r, now, found);
         return found;
@@ -188,18 +189,18 @@
      * Returns how many servers a prompt's shared part is at home on. One is enough for nearly all;
      * a part that many ask for would fill it before any of its load is known to the others.
      */
-    private int homes(ActiveCall r, Instant now) {
-        int requests = mLoads.aboutPart(now, r.part());
+    private int homeCount(ActiveRequest r, Instant now) {
+        int requests = mLoads.requestsForPart(now, r.sharedPartId());
         double mean = mLoads.mean(now, r.mService);
         if (requests == 0 || Double.isNaN(mean)) {
             return 1;
         }
-        double each = Math.max(LEAST_HOT, HOT_SHARE * mean);
-        return (int) Math.min(MOST_HOMES, Math.ceil(requests / each));
+        double each = Math.max(MIN_PART_REQUESTS, MAX_PART_SHARE * mean);
+        return (int) Math.min(MAX_HOMES, Math.ceil(requests / each));
     }
 
     /** Returns the candidates from one of the first on, those before it last. */
-    private List<Candidate> fromOneOf(List<Candidate> top, int homes) {
+    private List<Candidate> startAtRandomHome(List<Candidate> top, int homes) {
         if (homes <= 1 || top.size() <= 1) {
             return top;
         }
@@ -208,45 +209,46 @@
         return turned;
     }
 
-    private void addRandom(ActiveCall r, Instant now, Map<String, Candidate> found) {
-        List<Candidate> serving = roster(r.mService).mServing;
-        int wanted = found.size() + RANDOM;
+    private void addRandom(ActiveRequest r, Instant now, Map<String, Candidate> found) {
+        List<Candidate> serving = serving(r.mService).mServers;
+        int wanted = found.size() + RANDOM_CANDIDATES;
         int start = serving.isEmpty() ? 0 : mRandom.nextInt(serving.size());
         for (int i = 0; i < serving.size() && found.size() < wanted; i++) {
-            Candidate c = serving.get((start + i * step(serving.size())) % serving.size());
-            if (isOpen(r, c, now)) {
+            Candidate c = serving.get((start + i * stride(serving.size())) % serving.size());
+            if (isEligible(r, c, now)) {
                 found.putIfAbsent(c.id(), c);
             }
         }
     }
 
     /** A stride without a common divisor with the size visits every server once. */
-    private static int step(int size) {
+    private static int stride(int size) {
         return size % 7 == 0 ? 1 : 7;
     }
 
-    private boolean isOpen(ActiveCall r, Candidate c, Instant now) {
-        return !r.mTried.contains(c.id()) && !mServers.isPassedOver(r.mService, c.ref(), now);
+    private boolean isEligible(ActiveRequest r, Candidate c, Instant now) {
+        return !r.mTriedServers.contains(c.id())
+                && !mServers.isPassedOver(r.mService, c.ref(), now);
     }
 
-    private Roster roster(String service) {
-        ServiceView view = mSource.view(service);
-        Roster roster = mRosters.get(service);
+    private ServingServers serving(String service) {
+        ServiceView view = mBackends.view(service);
+        ServingServers roster = mServing.get(service);
         if (roster == null || roster.mVersion != view.version()) {
-            roster = new Roster(view);
-            mRosters.put(service, roster);
+            roster = new ServingServers(view);
+            mServing.put(service, roster);
         }
         return roster;
     }
 
     /** The servers of one version of a view that take new work. */
-    private static final class Roster {
+    private static final class ServingServers {
         private final long mVersion;
-        private final List<Candidate> mServing;
+        private final List<Candidate> mServers;
 
-        Roster(ServiceView view) {
+        ServingServers(ServiceView view) {
             mVersion = view.version();
-            mServing = view.candidates().stream().filter(c -> !c.draining()).toList();
+            mServers = view.candidates().stream().filter(c -> !c.draining()).toList();
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
@@ -16,7 +16,7 @@
  */
 final class ServerTable {
     /** Failures in a row that eject; one alone may be the request's own. */
-    private static final int FAILURES = 2;
+    private static final int FAILURES_TO_EJECT = 2;
 
     /** How long a first ejection lasts: about as long as a restart of a small server takes. */
     private static final Duration COOLDOWN = Duration.ofSeconds(1);
@@ -25,7 +25,7 @@
     private static final Duration MAX_COOLDOWN = Duration.ofSeconds(8);
 
     /** Half of a service may be ejected at once; beyond that the fault is likely not theirs. */
-    private static final double MAX_EJECTED = 0.5;
+    private static final double MAX_EJECTED_SHARE = 0.5;
 
     /** How long a server is passed over that said it was full: the time of a few short requests. */
     private static final Duration FULL_PAUSE = Duration.ofMillis(100);
@@ -37,40 +37,40 @@
      * How long one failure makes a server doubtful. Long enough for other requests to show whether
      * it still fails, short enough that a sound one is not left out for long where none does.
      */
-    private static final Duration DOUBT = Duration.ofSeconds(2);
+    private static final Duration RECENT_FAILURE_TIME = Duration.ofSeconds(2);
 
     private final Map<String, Server> mServers = new HashMap<>();
     private final Map<String, Outliers> mOutliers = new HashMap<>();
 
-    void slotsTold(BackendRef ref, int slots) {
+    void onReportedSlots(BackendRef ref, int slots) {
         server(ref).mSlots = slots;
     }
 
-    void full(BackendRef ref, Instant now) {
+    void onFull(BackendRef ref, Instant now) {
         server(ref).mPausedUntil = now.plus(FULL_PAUSE);
     }
 
-    void replaced(BackendRef ref, Instant now) {
+    void onReplaced(BackendRef ref, Instant now) {
         server(ref).mPausedUntil = now.plus(REPLACED_PAUSE);
     }
 
-    void succeeded(String service, BackendRef ref) {
+    void onSuccess(String service, BackendRef ref) {
         if (isLatest(ref)) {
             outliers(service).onSuccess(ref.id());
         }
     }
 
-    void failed(String service, BackendRef ref, int servers, Instant now) {
+    void onFailure(String service, BackendRef ref, int servers, Instant now) {
         if (isLatest(ref)) {
-            server(ref).mFailedAt = now;
+            server(ref).mLastFailure = now;
             outliers(service).onFailure(ref.id(), servers, now);
         }
     }
 
     /** A server that takes no connection at all is ejected at once. */
-    void unreachable(String service, BackendRef ref, int servers, Instant now) {
-        for (int i = 0; i < FAILURES; i++) {
-            failed(service, ref, servers, now);
+    void onUnreachable(String service, BackendRef ref, int servers, Instant now) {
+        for (int i = 0; i < FAILURES_TO_EJECT; i++) {
+            onFailure(service, ref, servers, now);
         }
     }
 
@@ -80,8 +80,8 @@
     }
 
     /** Returns whether the server is passed over, or has failed lately and not succeeded since. */
-    boolean isDoubtful(String service, BackendRef ref, Instant now) {
-        boolean failedLately = now.isBefore(server(ref).mFailedAt.plus(DOUBT));
+    boolean isUnreliable(String service, BackendRef ref, Instant now) {
+        boolean failedLately = now.isBefore(server(ref).mLastFailure.plus(RECENT_FAILURE_TIME));
         return isPassedOver(service, ref, now)
                 || (failedLately && outliers(service).hasFailed(ref.id()));
     }
@@ -95,11 +95,11 @@
     void prune(BackendSource source) {
         List<String> gone =
                 mServers.keySet().stream().filter(id -> source.backend(id) == null).toList();
-        gone.forEach(this::forget);
+        gone.forEach(this::remove);
     }
 
     /** What failed at a server counts against nobody once it is gone, and must not be kept. */
-    private void forget(String id) {
+    private void remove(String id) {
         mServers.remove(id);
         mOutliers.values().forEach(o -> o.onLeave(id));
     }
@@ -111,7 +111,7 @@
             return new Server(ref.incarnation());
         }
         if (known == null || known.mIncarnation < ref.incarnation()) {
-            forget(ref.id());
+            remove(ref.id());
             known = new Server(ref.incarnation());
             mServers.put(ref.id(), known);
         }
@@ -127,14 +127,18 @@
                 service,
                 s ->
                         new Outliers(
-                                new OutlierConfig(FAILURES, COOLDOWN, MAX_COOLDOWN, MAX_EJECTED)));
+                                new OutlierConfig(
+                                        FAILURES_TO_EJECT,
+                                        COOLDOWN,
+                                        MAX_COOLDOWN,
+                                        MAX_EJECTED_SHARE)));
     }
 
     private static final class Server {
         private final long mIncarnation;
         private int mSlots;
         private Instant mPausedUntil = Instant.EPOCH;
-        private Instant mFailedAt = Instant.EPOCH;
+        private Instant mLastFailure = Instant.EPOCH;
 
         Server(long incarnation) {
             mIncarnation = incarnation;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/SpillBound.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/SpillBound.java
@@ -10,16 +10,16 @@
      * Reading a shared part anew elsewhere costs an engine as much as some ten requests that only
      * generate, so that evenness is worth less than reuse up to here.
      */
-    private static final double MOST_FACTOR = 1.9;
+    private static final double UPPER_FACTOR = 1.9;
 
-    private static final double MOST_EXTRA = 2;
+    private static final double UPPER_EXTRA = 2;
 
-    private static final double LEAST_FACTOR = 1.2;
+    private static final double LOWER_FACTOR = 1.2;
 
-    private static final double LEAST_EXTRA = 1;
+    private static final double LOWER_EXTRA = 1;
 
-    private final double mLeast;
-    private final double mMost;
+    private final double mLower;
+    private final double mUpper;
 
     /**
      * Creates the bounds of a service.
@@ -27,13 +27,13 @@
      * @param mean requests that its backend servers have on the mean
      */
     SpillBound(double mean) {
-        mLeast = LEAST_FACTOR * mean + LEAST_EXTRA;
-        mMost = MOST_FACTOR * mean + MOST_EXTRA;
+        mLower = LOWER_FACTOR * mean + LOWER_EXTRA;
+        mUpper = UPPER_FACTOR * mean + UPPER_EXTRA;
     }
 
     /** Returns the load above which a backend server takes no more. */
-    double most() {
-        return mMost;
+    double upper() {
+        return mUpper;
     }
 
     /**
@@ -43,6 +43,6 @@
      * @param draw a random number from 0 to 1
      */
     boolean admits(double load, double draw) {
-        return load <= mMost - (mMost - mLeast) * draw;
+        return load <= mUpper - (mUpper - mLower) * draw;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Stalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/StallDetector.java
@@ -7,29 +7,29 @@
  * Tells when a server has been silent for so long that another one is likely to answer sooner. Only
  * for what may be repeated: the silent server is told to stop, and may have run the request.
  */
-final class Stalls {
+final class StallDetector {
     /** Multiples of the objective that a server gets for its first bytes. */
-    private static final int OBJECTIVES = 3;
+    private static final int OBJECTIVE_FACTOR = 3;
 
     /** Multiples of the longest prompt pause that a stream may make. */
-    private static final int PAUSES = 4;
+    private static final int PAUSE_FACTOR = 4;
 
     /** A silent server is given this long at least; shorter silences are ordinary. */
-    private static final Duration LEAST = Duration.ofMillis(300);
+    private static final Duration MIN_SILENCE = Duration.ofMillis(300);
 
-    boolean isStalled(ActiveCall r, Instant now) {
+    boolean isStalled(ActiveRequest r, Instant now) {
         if (r.mCall == 0 || !r.route().isRepeatable()) {
             return false;
         }
-        return now.isAfter(r.mHeard.plus(limit(r)));
+        return now.isAfter(r.mLastActivity.plus(limit(r)));
     }
 
-    private static Duration limit(ActiveCall r) {
+    private static Duration limit(ActiveRequest r) {
         Route route = r.route();
         Duration limit =
-                r.mAnswered && route.streamed()
-                        ? route.maxPause().multipliedBy(PAUSES)
-                        : route.objective().multipliedBy(OBJECTIVES);
-        return limit.compareTo(LEAST) > 0 ? limit : LEAST;
+                r.mHeadReceived && route.streamed()
+                        ? route.maxPause().multipliedBy(PAUSE_FACTOR)
+                        : route.objective().multipliedBy(OBJECTIVE_FACTOR);
+        return limit.compareTo(MIN_SILENCE) > 0 ? limit : MIN_SILENCE;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
@@ -24,7 +24,7 @@
     public static final LoadDigest NONE = new LoadDigest(0, List.of(), List.of(), List.of());
 
     /** Returns whether no busy backend server was left out. */
-    boolean namesAllBusy() {
+    boolean listsAllBusy() {
         return busy.size() < MAX_BUSY;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -16,18 +16,18 @@
  */
 public final class LoadEstimator {
     /** Told of a smaller share of all routers' requests, a router does not go by it. */
-    private static final double LEAST_ROUTERS = 0.5;
+    private static final double MIN_ROUTER_SHARE = 0.5;
 
     /** So many reports tell changes only; one that tells all makes good whatever was lost. */
-    private static final int REPORTS_UNTIL_WHOLE = 10;
+    private static final int REPORTS_UNTIL_FULL = 10;
 
-    private final Map<BackendRef, KnownLoad> mKnown = new HashMap<>();
-    private final OwnParts mParts = new OwnParts();
+    private final Map<BackendRef, ServerEstimate> mServers = new HashMap<>();
+    private final OwnPartCounts mParts = new OwnPartCounts();
     private Map<String, Double> mMeans = Map.of();
     private Map<Long, Integer> mHotParts = Map.of();
-    private Instant mMeansAt = Instant.MIN;
-    private Instant mReportedAt = Instant.MIN;
-    private int mUntilWhole;
+    private Instant mDigestTime = Instant.MIN;
+    private Instant mReportTime = Instant.MIN;
+    private int mReportsUntilFull;
 
     /**
      * What is believed of one backend server.
@@ -36,37 +36,37 @@
      * @param ageMillis how long ago that was told, in milliseconds; NaN where nothing was told
      *     lately
      */
-    public record Belief(double requests, double ageMillis) {}
+    public record Estimate(double requests, double ageMillis) {}
 
     /**
      * Notes that this router sends a request.
      *
      * @param part the shared part of its prompt, or 0
      */
-    public void began(BackendRef ref, long part) {
-        known(ref).begin();
+    public void onRequestSent(BackendRef ref, long part) {
+        server(ref).onRequestSent();
         if (part != 0) {
             mParts.add(part, 1);
         }
     }
 
     /** Notes that a request of this router is over. */
-    public void ended(BackendRef ref, long part) {
-        known(ref).end();
+    public void onRequestEnded(BackendRef ref, long part) {
+        server(ref).onRequestEnded();
         if (part != 0) {
             mParts.add(part, -1);
         }
     }
 
     /** Takes what a backend server told in an answer to this router. */
-    public void heard(Instant now, BackendRef ref, int requests) {
-        known(ref).heard(now, requests);
+    public void onReportedLoad(Instant now, BackendRef ref, int requests) {
+        server(ref).onReportedLoad(now, requests);
     }
 
     /** Returns the requests of this router alone that a backend server has. */
-    public int own(BackendRef ref) {
-        KnownLoad k = mKnown.get(ref);
-        return k == null ? 0 : k.own();
+    public int ownRequests(BackendRef ref) {
+        ServerEstimate k = mServers.get(ref);
+        return k == null ? 0 : k.ownRequests();
     }
 
     /** Returns the mean load of a service's backend servers; NaN where it is not known. */
@@ -76,37 +76,37 @@
 
     /** Returns whether control has told of loads lately. */
     public boolean hasRecentDigest(Instant now) {
-        return KnownLoad.isBelieved(now, mMeansAt);
+        return ServerEstimate.isRecent(now, mDigestTime);
     }
 
     /** Returns what is believed of a backend server of a service. */
-    public Belief of(Instant now, String service, BackendRef ref) {
-        KnownLoad k = mKnown.get(ref);
+    public Estimate estimate(Instant now, String service, BackendRef ref) {
+        ServerEstimate k = mServers.get(ref);
         double mean = mean(now, service);
         if (k == null) {
-            return new Belief(Double.isNaN(mean) ? 0 : mean, Double.NaN);
+            return new Estimate(Double.isNaN(mean) ? 0 : mean, Double.NaN);
         }
-        return new Belief(k.believed(now, mean), k.ageMillis(now));
+        return new Estimate(k.estimate(now, mean), k.ageMillis(now));
     }
 
     /** Returns how many requests of all routers are about a part, where there are several. */
-    public int aboutPart(Instant now, long part) {
+    public int requestsForPart(Instant now, long part) {
         return hasRecentDigest(now) ? mHotParts.getOrDefault(part, 0) : 0;
     }
 
     /** Returns what control has to be told of what this router has under way. */
     public LoadReport report(Instant now) {
-        mReportedAt = now;
-        boolean whole = mUntilWhole-- <= 0;
+        mReportTime = now;
+        boolean whole = mReportsUntilFull-- <= 0;
         if (whole) {
-            mUntilWhole = REPORTS_UNTIL_WHOLE;
+            mReportsUntilFull = REPORTS_UNTIL_FULL;
         }
-        mKnown.values().removeIf(k -> k.isForgotten(now));
+        mServers.values().removeIf(k -> k.isUnused(now));
         List<BackendLoad> servers = new ArrayList<>();
-        mKnown.forEach(
+        mServers.forEach(
                 (ref, k) -> {
                     if (k.report(whole)) {
-                        servers.add(new BackendLoad(ref, k.own()));
+                        servers.add(new BackendLoad(ref, k.ownRequests()));
                     }
                 });
         List<PartLoad> parts = mParts.report(whole);
@@ -115,7 +115,7 @@
 
     /** Control has not answered the last report, or another run of it than the one before has. */
     public void requestFullReport() {
-        mUntilWhole = 0;
+        mReportsUntilFull = 0;
     }
 
     /**
@@ -125,32 +125,33 @@
      * @param serviceOf finds a backend server's service, null where it is gone
      */
     public void onDigest(LoadDigest digest, int routers, Function<BackendRef, String> serviceOf) {
-        mKnown.values().forEach(KnownLoad::taken);
-        mParts.taken();
-        if (digest.means().isEmpty() || digest.routers() < LEAST_ROUTERS * routers) {
+        mServers.values().forEach(ServerEstimate::onReportAcknowledged);
+        mParts.onReportAcknowledged();
+        if (digest.means().isEmpty() || digest.routers() < MIN_ROUTER_SHARE * routers) {
             return;
         }
         // Routers that have just gone to another control instance are in it twice.
         double once = Math.min(1, (double) routers / digest.routers());
         mMeans = new HashMap<>();
         digest.means().forEach(m -> mMeans.put(m.service(), once * m.requests()));
-        mMeansAt = mReportedAt;
+        mDigestTime = mReportTime;
         mHotParts = new HashMap<>();
         digest.hot().forEach(l -> mHotParts.put(l.part(), l.requests()));
-        if (digest.namesAllBusy()) {
-            mKnown.forEach((ref, k) -> notNamed(k, serviceOf.apply(ref)));
+        if (digest.listsAllBusy()) {
+            mServers.forEach((ref, k) -> onNotListed(k, serviceOf.apply(ref)));
         }
-        digest.busy().forEach(l -> known(l.server()).told(mReportedAt, once * l.requests()));
+        digest.busy()
+                .forEach(l -> server(l.server()).onDigestLoad(mReportTime, once * l.requests()));
     }
 
-    private void notNamed(KnownLoad k, String service) {
+    private void onNotListed(ServerEstimate k, String service) {
         Double mean = mMeans.get(service);
         if (mean != null) {
-            k.notNamed(mReportedAt, mean);
+            k.onNotListed(mReportTime, mean);
         }
     }
 
-    private KnownLoad known(BackendRef ref) {
-        return mKnown.computeIfAbsent(ref, r -> new KnownLoad());
+    private ServerEstimate server(BackendRef ref) {
+        return mServers.computeIfAbsent(ref, r -> new ServerEstimate());
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -20,35 +20,35 @@
  */
 public final class LoadTable {
     /** A control instance that is silent this long has ended; a live one speaks each second. */
-    static final Duration PEER_COUNTS_FOR = Duration.ofMillis(1500);
+    static final Duration PEER_TIMEOUT = Duration.ofMillis(1500);
 
     /** What a peer told counts this long: it tells all again three times in that. */
-    static final Duration TOLD_COUNTS_FOR = Duration.ofMillis(3500);
+    static final Duration PEER_COUNT_TIMEOUT = Duration.ofMillis(3500);
 
-    private static final Duration TOLD_AGAIN_AFTER = Duration.ofSeconds(1);
+    private static final Duration FULL_UPDATE_INTERVAL = Duration.ofSeconds(1);
 
     /**
      * Intervals of exchanges after which a silent router has ended, or gone to another instance.
      */
-    private static final int SILENT_INTERVALS = 5;
+    private static final int ROUTER_TIMEOUT_INTERVALS = 5;
 
     /** Requests about a part from which on routers are told of it; its home takes fewer anyway. */
-    private static final int HOT_FROM = 3;
+    private static final int MIN_HOT_REQUESTS = 3;
 
     private final String mSelf;
-    private final Duration mRouterCountsFor;
+    private final Duration mRouterTimeout;
     private final Map<String, Instant> mRouters = new HashMap<>();
     private final Map<String, Peer> mPeers = new HashMap<>();
     private final SharedCounts<BackendRef> mServers = new SharedCounts<>();
     private final SharedCounts<Long> mParts = new SharedCounts<>();
-    private Instant mNextTellAll = Instant.MIN;
+    private Instant mNextFullUpdate = Instant.MIN;
 
     /**
      * A control instance that passes on what its routers have.
      *
      * @param routers how many report to it; 0 before it has told all that they have
      */
-    private record Peer(int routers, Instant heardAt) {}
+    private record Peer(int routers, Instant lastUpdate) {}
 
     /**
      * Creates an empty table.
@@ -58,7 +58,7 @@
      */
     public LoadTable(String self, Duration exchangeInterval) {
         mSelf = self;
-        mRouterCountsFor = exchangeInterval.multipliedBy(SILENT_INTERVALS);
+        mRouterTimeout = exchangeInterval.multipliedBy(ROUTER_TIMEOUT_INTERVALS);
     }
 
     /**
@@ -75,11 +75,11 @@
         Map<Long, Integer> parts = new HashMap<>();
         report.parts().forEach(l -> parts.put(l.part(), l.requests()));
         if (report.full()) {
-            mServers.put(router, servers);
-            mParts.put(router, parts);
+            mServers.replace(router, servers);
+            mParts.replace(router, parts);
         } else {
-            mServers.change(router, servers);
-            mParts.change(router, parts);
+            mServers.update(router, servers);
+            mParts.update(router, parts);
         }
     }
 
@@ -89,56 +89,58 @@
         boolean known =
                 told.sums().full() || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
         mPeers.put(peer, new Peer(known ? told.routers() : 0, now));
-        told.sums().servers().forEach(l -> mServers.putOfPeer(now, peer, l.server(), l.requests()));
-        told.sums().parts().forEach(l -> mParts.putOfPeer(now, peer, l.part(), l.requests()));
+        told.sums()
+                .servers()
+                .forEach(l -> mServers.putPeerCount(now, peer, l.server(), l.requests()));
+        told.sums().parts().forEach(l -> mParts.putPeerCount(now, peer, l.part(), l.requests()));
     }
 
     /** Returns, once, what peers are told; nothing while they know it. */
     public PeerLoads takePeerUpdate(Instant now) {
-        boolean tellsAll = !now.isBefore(mNextTellAll) && !mRouters.isEmpty();
+        boolean tellsAll = !now.isBefore(mNextFullUpdate) && !mRouters.isEmpty();
         if (tellsAll) {
-            mNextTellAll = now.plus(TOLD_AGAIN_AFTER);
-            mServers.tellAll();
-            mParts.tellAll();
-        } else if (mServers.isAllTold() && mParts.isAllTold()) {
+            mNextFullUpdate = now.plus(FULL_UPDATE_INTERVAL);
+            mServers.markAllPending();
+            mParts.markAllPending();
+        } else if (mServers.isNothingPending() && mParts.isNothingPending()) {
             return PeerLoads.NONE;
         }
         List<BackendLoad> servers = new ArrayList<>();
-        mServers.takeUntold((ref, n) -> servers.add(new BackendLoad(ref, n)));
+        mServers.takePending((ref, n) -> servers.add(new BackendLoad(ref, n)));
         List<PartLoad> parts = new ArrayList<>();
-        mParts.takeUntold((part, n) -> parts.add(new PartLoad(part, n)));
+        mParts.takePending((part, n) -> parts.add(new PartLoad(part, n)));
         return new PeerLoads(mSelf, mRouters.size(), new LoadReport(tellsAll, servers, parts));
     }
 
     /** Forgets who is silent. */
     public void expire(Instant now) {
-        silent(mRouters, now, at -> at, mRouterCountsFor).forEach(this::forgetRouter);
-        silent(mPeers, now, Peer::heardAt, PEER_COUNTS_FOR).forEach(this::forgetPeer);
-        mServers.forget(now, TOLD_COUNTS_FOR);
-        mParts.forget(now, TOLD_COUNTS_FOR);
+        timedOut(mRouters, now, at -> at, mRouterTimeout).forEach(this::removeRouter);
+        timedOut(mPeers, now, Peer::lastUpdate, PEER_TIMEOUT).forEach(this::removePeer);
+        mServers.expire(now, PEER_COUNT_TIMEOUT);
+        mParts.expire(now, PEER_COUNT_TIMEOUT);
     }
 
-    private static <S> List<String> silent(
+    private static <S> List<String> timedOut(
             Map<String, S> sources, Instant now, Function<S, Instant> heardAt, Duration after) {
         return sources.entrySet().stream()
-                .filter(e -> isOver(now, heardAt.apply(e.getValue()), after))
+                .filter(e -> hasElapsed(now, heardAt.apply(e.getValue()), after))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    private void forgetRouter(String router) {
+    private void removeRouter(String router) {
         mRouters.remove(router);
-        mServers.forgetSource(router);
-        mParts.forgetSource(router);
+        mServers.removeSource(router);
+        mParts.removeSource(router);
     }
 
-    private void forgetPeer(String peer) {
+    private void removePeer(String peer) {
         mPeers.remove(peer);
-        mServers.forgetPeer(peer);
-        mParts.forgetPeer(peer);
+        mServers.removePeer(peer);
+        mParts.removePeer(peer);
     }
 
-    private static boolean isOver(Instant now, Instant since, Duration time) {
+    private static boolean hasElapsed(Instant now, Instant since, Duration time) {
         return !now.isBefore(since.plus(time));
     }
 
@@ -180,7 +182,7 @@
         return new LoadDigest(
                 routers(),
                 means,
-                most(busy, Busy::excess, LoadDigest.MAX_BUSY).stream().map(Busy::load).toList(),
+                largest(busy, Busy::excess, LoadDigest.MAX_BUSY).stream().map(Busy::load).toList(),
                 hotParts());
     }
 
@@ -198,14 +200,14 @@
         List<PartLoad> hot = new ArrayList<>();
         mParts.forEach(
                 (part, n) -> {
-                    if (n >= HOT_FROM) {
+                    if (n >= MIN_HOT_REQUESTS) {
                         hot.add(new PartLoad(part, n));
                     }
                 });
-        return most(hot, PartLoad::requests, LoadDigest.MAX_HOT_PARTS);
+        return largest(hot, PartLoad::requests, LoadDigest.MAX_HOT_PARTS);
     }
 
-    private static <T> List<T> most(List<T> all, ToDoubleFunction<T> measure, int limit) {
+    private static <T> List<T> largest(List<T> all, ToDoubleFunction<T> measure, int limit) {
         if (all.size() <= limit) {
             return all;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/OwnParts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/OwnPartCounts.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 
 /** How many of a router's requests are about each shared part, and what control has taken of it. */
-final class OwnParts {
+final class OwnPartCounts {
     private final Map<Long, Integer> mRequests = new HashMap<>();
-    private final Map<Long, Integer> mTaken = new HashMap<>();
+    private final Map<Long, Integer> mAcknowledged = new HashMap<>();
     private Map<Long, Integer> mReported = Map.of();
 
     void add(long part, int change) {
@@ -26,8 +26,8 @@
         mReported = new HashMap<>(mRequests);
         Set<Long> told = new HashSet<>(mRequests.keySet());
         if (!whole) {
-            told.addAll(mTaken.keySet());
-            told.removeIf(part -> requests(part) == mTaken.getOrDefault(part, 0));
+            told.addAll(mAcknowledged.keySet());
+            told.removeIf(part -> requests(part) == mAcknowledged.getOrDefault(part, 0));
         }
         List<PartLoad> loads = new ArrayList<>();
         told.forEach(part -> loads.add(new PartLoad(part, requests(part))));
@@ -39,8 +39,8 @@
     }
 
     /** Control has taken the last report. */
-    void taken() {
-        mTaken.clear();
-        mTaken.putAll(mReported);
+    void onReportAcknowledged() {
+        mAcknowledged.clear();
+        mAcknowledged.putAll(mReported);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
@@ -17,75 +17,75 @@
  */
 final class SharedCounts<K> {
     private final Map<String, Map<K, Integer>> mSources = new HashMap<>();
-    private final Map<String, Map<K, Told>> mPeers = new HashMap<>();
-    private final Map<K, Integer> mOwn = new HashMap<>();
-    private final Map<K, Integer> mAll = new HashMap<>();
+    private final Map<String, Map<K, PeerCount>> mPeers = new HashMap<>();
+    private final Map<K, Integer> mLocalSums = new HashMap<>();
+    private final Map<K, Integer> mTotals = new HashMap<>();
 
     /** Of which peers lack the present number. */
-    private final Set<K> mUntold = new HashSet<>();
+    private final Set<K> mPending = new HashSet<>();
 
     /** What a peer told, and when. */
-    private record Told(int count, Instant at) {}
+    private record PeerCount(int count, Instant time) {}
 
     /** Takes all numbers of a source that reports here. */
-    void put(String source, Map<K, Integer> counts) {
+    void replace(String source, Map<K, Integer> counts) {
         Map<K, Integer> before = mSources.getOrDefault(source, Map.of());
-        before.forEach((key, n) -> addOwn(key, counts.getOrDefault(key, 0) - n));
-        counts.forEach((key, n) -> addOwn(key, before.containsKey(key) ? 0 : n));
+        before.forEach((key, n) -> addLocal(key, counts.getOrDefault(key, 0) - n));
+        counts.forEach((key, n) -> addLocal(key, before.containsKey(key) ? 0 : n));
         mSources.put(source, new HashMap<>(counts));
     }
 
     /** Takes the numbers of a source that have changed. */
-    void change(String source, Map<K, Integer> counts) {
+    void update(String source, Map<K, Integer> counts) {
         Map<K, Integer> known = mSources.computeIfAbsent(source, s -> new HashMap<>());
         counts.forEach(
                 (key, n) -> {
                     Integer before = n == 0 ? known.remove(key) : known.put(key, n);
-                    addOwn(key, n - (before == null ? 0 : before));
+                    addLocal(key, n - (before == null ? 0 : before));
                 });
     }
 
     /** Drops all that a source told. */
-    void forgetSource(String source) {
-        put(source, Map.of());
+    void removeSource(String source) {
+        replace(source, Map.of());
         mSources.remove(source);
     }
 
-    private void addOwn(K key, int change) {
+    private void addLocal(K key, int change) {
         if (change != 0) {
-            add(mOwn, key, change);
-            add(mAll, key, change);
-            mUntold.add(key);
+            add(mLocalSums, key, change);
+            add(mTotals, key, change);
+            mPending.add(key);
         }
     }
 
     /** Takes a peer's sum. */
-    void putOfPeer(Instant now, String peer, K key, int count) {
-        Map<K, Told> told = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
-        Told before = count == 0 ? told.remove(key) : told.put(key, new Told(count, now));
-        add(mAll, key, count - (before == null ? 0 : before.count()));
+    void putPeerCount(Instant now, String peer, K key, int count) {
+        Map<K, PeerCount> told = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
+        PeerCount before = count == 0 ? told.remove(key) : told.put(key, new PeerCount(count, now));
+        add(mTotals, key, count - (before == null ? 0 : before.count()));
     }
 
     /** Drops all that a peer told. */
-    void forgetPeer(String peer) {
-        Map<K, Told> told = mPeers.remove(peer);
+    void removePeer(String peer) {
+        Map<K, PeerCount> told = mPeers.remove(peer);
         if (told != null) {
-            told.forEach((key, t) -> add(mAll, key, -t.count()));
+            told.forEach((key, t) -> add(mTotals, key, -t.count()));
         }
     }
 
     /** Drops peers' sums that were not told again for a time. */
-    void forget(Instant now, Duration after) {
-        mPeers.values().forEach(told -> told.entrySet().removeIf(e -> isDropped(e, now, after)));
+    void expire(Instant now, Duration after) {
+        mPeers.values().forEach(told -> told.entrySet().removeIf(e -> expireCount(e, now, after)));
         mPeers.values().removeIf(Map::isEmpty);
     }
 
-    private boolean isDropped(Map.Entry<K, Told> e, Instant now, Duration after) {
-        Told told = e.getValue();
-        if (now.isBefore(told.at().plus(after))) {
+    private boolean expireCount(Map.Entry<K, PeerCount> e, Instant now, Duration after) {
+        PeerCount told = e.getValue();
+        if (now.isBefore(told.time().plus(after))) {
             return false;
         }
-        add(mAll, e.getKey(), -told.count());
+        add(mTotals, e.getKey(), -told.count());
         return true;
     }
 
@@ -96,31 +96,31 @@
     }
 
     /** Has peers told all sums again. */
-    void tellAll() {
-        mUntold.addAll(mOwn.keySet());
+    void markAllPending() {
+        mPending.addAll(mLocalSums.keySet());
     }
 
-    boolean isAllTold() {
-        return mUntold.isEmpty();
+    boolean isNothingPending() {
+        return mPending.isEmpty();
     }
 
     /** Gives, once, the sums over the sources here that peers lack. */
-    void takeUntold(BiConsumer<K, Integer> taker) {
-        mUntold.forEach(key -> taker.accept(key, mOwn.getOrDefault(key, 0)));
-        mUntold.clear();
+    void takePending(BiConsumer<K, Integer> taker) {
+        mPending.forEach(key -> taker.accept(key, mLocalSums.getOrDefault(key, 0)));
+        mPending.clear();
     }
 
     /** Returns the sum over all sources. */
     int get(K key) {
-        return mAll.getOrDefault(key, 0);
+        return mTotals.getOrDefault(key, 0);
     }
 
     /** Returns of how many there is any. */
     int size() {
-        return mAll.size();
+        return mTotals.size();
     }
 
     void forEach(BiConsumer<K, Integer> taker) {
-        mAll.forEach(taker);
+        mTotals.forEach(taker);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
@@ -11,32 +11,32 @@
 /** The ends of backend servers under one request, as one process knows them. */
 final class CrashEntry {
     /** Ends without an excuse from which on a request is kept away from backend servers. */
-    static final int QUARANTINED_FROM = 3;
+    static final int QUARANTINE_CRASHES = 3;
 
-    static final int MOST_CRASHES = 8;
+    static final int MAX_CRASHES = 8;
 
     /** Ends from which on nobody tries again by itself: three more than quarantine takes. */
-    private static final int TRIED_BELOW = QUARANTINED_FROM + 3;
+    private static final int MAX_TRIAL_CRASHES = QUARANTINE_CRASHES + 3;
 
     /** From the last end to the first trial; doubles with each. */
-    private static final Duration TRIAL_AFTER = Duration.ofMinutes(10);
+    private static final Duration FIRST_TRIAL_DELAY = Duration.ofMinutes(10);
 
     /** Chance ends of backend servers under one request are rarer than this. */
-    private static final Duration SUSPECTED_FOR = Duration.ofMinutes(10);
+    private static final Duration SUSPECT_RETENTION = Duration.ofMinutes(10);
 
     /** Long against the ends that it costs until the request is known again. */
-    private static final Duration QUARANTINED_FOR = Duration.ofDays(1);
+    private static final Duration QUARANTINE_RETENTION = Duration.ofDays(1);
 
     /**
      * A backend server takes longer to start again. One that does so under its name may be sent
      * requests as the run that ended, until routers are told, and its answers prove nothing.
      */
-    private static final Duration LEAST_RESTART = Duration.ofSeconds(1);
+    private static final Duration MIN_RESTART_TIME = Duration.ofSeconds(1);
 
     private final RequestKey mKey;
     private final String mService;
-    private final List<Known> mCrashes = new ArrayList<>();
-    private Instant mTried = Instant.MIN;
+    private final List<KnownCrash> mCrashes = new ArrayList<>();
+    private Instant mLastTrial = Instant.MIN;
 
     /** The table's version in which this entry changed last. */
     long mVersion;
@@ -56,25 +56,25 @@
     boolean add(Instant now, List<Crash> crashes) {
         boolean changed = false;
         for (Crash c : crashes) {
-            changed |= c.age().compareTo(QUARANTINED_FOR) < 0 && add(now, c);
+            changed |= c.age().compareTo(QUARANTINE_RETENTION) < 0 && add(now, c);
         }
         return changed;
     }
 
     private boolean add(Instant now, Crash c) {
-        for (Known k : mCrashes) {
+        for (KnownCrash k : mCrashes) {
             if (k.mServer.equals(c.server())) {
                 return k.merge(c);
             }
         }
-        if (mCrashes.size() >= MOST_CRASHES && !dropExcused()) {
+        if (mCrashes.size() >= MAX_CRASHES && !removeExcused()) {
             return false;
         }
-        mCrashes.add(new Known(c, now));
+        mCrashes.add(new KnownCrash(c, now));
         return true;
     }
 
-    private boolean dropExcused() {
+    private boolean removeExcused() {
         return mCrashes.stream()
                 .filter(k -> k.mExcused)
                 .findFirst()
@@ -95,9 +95,9 @@
         return excuse(k -> k.mServer.equals(server) && k.isDisprovedBy(asked));
     }
 
-    private boolean excuse(Predicate<Known> which) {
+    private boolean excuse(Predicate<KnownCrash> which) {
         boolean changed = false;
-        for (Known k : mCrashes) {
+        for (KnownCrash k : mCrashes) {
             if (!k.mExcused && which.test(k)) {
                 k.mExcused = true;
                 changed = true;
@@ -106,61 +106,61 @@
         return changed;
     }
 
-    int unexcused() {
+    int unexcusedCount() {
         return (int) mCrashes.stream().filter(k -> !k.mExcused).count();
     }
 
     boolean isQuarantined() {
-        return unexcused() >= QUARANTINED_FROM;
+        return unexcusedCount() >= QUARANTINE_CRASHES;
     }
 
     /** Returns whether the process may send the request once, and notes that it does. */
     boolean takeTrial(Instant now, String self) {
-        int ends = unexcused();
-        Known last = last();
-        boolean tried = ends >= QUARANTINED_FROM && ends < TRIED_BELOW;
+        int ends = unexcusedCount();
+        KnownCrash last = lastCrash();
+        boolean tried = ends >= QUARANTINE_CRASHES && ends < MAX_TRIAL_CRASHES;
         if (!tried || !last.mRouter.equals(self)) {
             return false;
         }
-        Instant latest = mTried.isAfter(last.mAt) ? mTried : last.mAt;
-        Duration wait = TRIAL_AFTER.multipliedBy(1L << (ends - QUARANTINED_FROM));
+        Instant latest = mLastTrial.isAfter(last.mTime) ? mLastTrial : last.mTime;
+        Duration wait = FIRST_TRIAL_DELAY.multipliedBy(1L << (ends - QUARANTINE_CRASHES));
         if (now.isBefore(latest.plus(wait))) {
             return false;
         }
-        mTried = now;
+        mLastTrial = now;
         return true;
     }
 
-    private Known last() {
-        return mCrashes.stream().max(Comparator.comparing(k -> k.mAt)).orElseThrow();
+    private KnownCrash lastCrash() {
+        return mCrashes.stream().max(Comparator.comparing(k -> k.mTime)).orElseThrow();
     }
 
-    Instant lastAt() {
-        return last().mAt;
+    Instant lastCrashTime() {
+        return lastCrash().mTime;
     }
 
-    boolean isOld(Instant now) {
-        Duration kept = isQuarantined() ? QUARANTINED_FOR : SUSPECTED_FOR;
-        return lastAt().plus(kept).isBefore(now);
+    boolean isExpired(Instant now) {
+        Duration kept = isQuarantined() ? QUARANTINE_RETENTION : SUSPECT_RETENTION;
+        return lastCrashTime().plus(kept).isBefore(now);
     }
 
     List<BackendRef> servers() {
         return mCrashes.stream().map(k -> k.mServer).toList();
     }
 
-    CrashRecord record(Instant now) {
-        return new CrashRecord(mKey, mService, mCrashes.stream().map(k -> k.crash(now)).toList());
+    CrashRecord toRecord(Instant now) {
+        return new CrashRecord(mKey, mService, mCrashes.stream().map(k -> k.toCrash(now)).toList());
     }
 
-    private static final class Known {
+    private static final class KnownCrash {
         private final BackendRef mServer;
-        private final Instant mAt;
+        private final Instant mTime;
         private String mRouter;
         private boolean mExcused;
 
-        Known(Crash c, Instant now) {
+        KnownCrash(Crash c, Instant now) {
             mServer = c.server();
-            mAt = now.minus(c.age());
+            mTime = now.minus(c.age());
             mRouter = c.router();
             mExcused = c.excused();
         }
@@ -176,11 +176,11 @@
 
         /** Returns whether an answer to what was asked then shows that there was no end. */
         boolean isDisprovedBy(Instant asked) {
-            return mAt.isBefore(asked) && asked.isBefore(mAt.plus(LEAST_RESTART));
+            return mTime.isBefore(asked) && asked.isBefore(mTime.plus(MIN_RESTART_TIME));
         }
 
-        Crash crash(Instant now) {
-            return new Crash(mServer, mRouter, Duration.between(mAt, now), mExcused);
+        Crash toCrash(Instant now) {
+            return new Crash(mServer, mRouter, Duration.between(mTime, now), mExcused);
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashRecord.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashRecord.java
@@ -16,7 +16,7 @@
     }
 
     /** Returns the names of the backend servers whose end the request may have caused. */
-    public List<String> unexcused() {
+    public List<String> unexcusedServers() {
         return crashes.stream().filter(c -> !c.excused()).map(c -> c.server().id()).toList();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -30,12 +30,12 @@
     /** Most records that one message tells; the rest follows with the next one. */
     public static final int MAX_RECORDS_PER_MESSAGE = 32;
 
-    static final int MOST_REQUESTS = 1024;
+    static final int MAX_REQUESTS = 1024;
 
     /** An account with more loses its own oldest, and can't push out those of others. */
-    static final int MOST_OF_ACCOUNT = 64;
+    static final int MAX_REQUESTS_PER_ACCOUNT = 64;
 
-    private static final Duration FORGET_INTERVAL = Duration.ofSeconds(1);
+    private static final Duration EXPIRE_INTERVAL = Duration.ofSeconds(1);
 
     private final String mSelf;
     private final QuarantineListener mListener;
@@ -43,10 +43,10 @@
     private final NavigableMap<Long, CrashEntry> mChanges = new TreeMap<>();
 
     /** Backend servers that are in some entry, so that answers of others cost nothing. */
-    private final Set<BackendRef> mEnded = new HashSet<>();
+    private final Set<BackendRef> mCrashedServers = new HashSet<>();
 
     private long mVersion;
-    private Instant mNextForget = Instant.MIN;
+    private Instant mNextExpire = Instant.MIN;
 
     /**
      * Creates an empty table.
@@ -68,7 +68,7 @@
     public List<CrashRecord> quarantined(Instant now) {
         return mEntries.values().stream()
                 .filter(CrashEntry::isQuarantined)
-                .map(e -> e.record(now))
+                .map(e -> e.toRecord(now))
                 .toList();
     }
 
@@ -93,12 +93,12 @@
     /** Returns whether some backend server ended under a request that may have caused it. */
     public boolean isSuspect(RequestKey key) {
         CrashEntry e = mEntries.get(key);
-        return e != null && e.unexcused() > 0;
+        return e != null && e.unexcusedCount() > 0;
     }
 
     /** Returns what is known of a request. */
     public Optional<CrashRecord> find(Instant now, RequestKey key) {
-        return Optional.ofNullable(mEntries.get(key)).map(e -> e.record(now));
+        return Optional.ofNullable(mEntries.get(key)).map(e -> e.toRecord(now));
     }
 
     /** Notes that a backend server ended while it had a request. */
@@ -116,7 +116,7 @@
         if (e != null) {
             boolean before = e.isQuarantined();
             if (e.excuseAll()) {
-                changed(now, e, before);
+                recordChange(now, e, before);
             }
         }
     }
@@ -127,14 +127,14 @@
      * @param server the run that answered
      * @param asked when it was sent the request that it answered
      */
-    public void survived(Instant now, BackendRef server, Instant asked) {
-        if (!mEnded.contains(server)) {
+    public void onAnswer(Instant now, BackendRef server, Instant asked) {
+        if (!mCrashedServers.contains(server)) {
             return;
         }
         for (CrashEntry e : mEntries.values()) {
             boolean before = e.isQuarantined();
             if (e.excuse(server, asked)) {
-                changed(now, e, before);
+                recordChange(now, e, before);
             }
         }
     }
@@ -163,35 +163,35 @@
             makeRoom(now, r.key().account());
             mEntries.put(r.key(), e);
         }
-        mEnded.addAll(e.servers());
-        changed(now, e, before);
+        mCrashedServers.addAll(e.servers());
+        recordChange(now, e, before);
         return true;
     }
 
-    private void changed(Instant now, CrashEntry e, boolean wasQuarantined) {
+    private void recordChange(Instant now, CrashEntry e, boolean wasQuarantined) {
         mChanges.remove(e.mVersion);
         e.mVersion = ++mVersion;
         mChanges.put(e.mVersion, e);
         if (wasQuarantined != e.isQuarantined()) {
-            mListener.changed(e.record(now), e.isQuarantined());
+            mListener.changed(e.toRecord(now), e.isQuarantined());
         }
     }
 
     private void makeRoom(Instant now, String account) {
         List<CrashEntry> own =
                 mEntries.values().stream().filter(e -> e.key().account().equals(account)).toList();
-        if (own.size() >= MOST_OF_ACCOUNT) {
-            removeLeastTelling(now, own);
-        } else if (mEntries.size() >= MOST_REQUESTS) {
-            removeLeastTelling(now, List.copyOf(mEntries.values()));
+        if (own.size() >= MAX_REQUESTS_PER_ACCOUNT) {
+            evictLeastSuspect(now, own);
+        } else if (mEntries.size() >= MAX_REQUESTS) {
+            evictLeastSuspect(now, List.copyOf(mEntries.values()));
         }
     }
 
-    private void removeLeastTelling(Instant now, List<CrashEntry> entries) {
+    private void evictLeastSuspect(Instant now, List<CrashEntry> entries) {
         entries.stream()
                 .min(
-                        Comparator.comparingInt(CrashEntry::unexcused)
-                                .thenComparing(CrashEntry::lastAt)
+                        Comparator.comparingInt(CrashEntry::unexcusedCount)
+                                .thenComparing(CrashEntry::lastCrashTime)
                                 .thenComparingLong(e -> e.mVersion))
                 .ifPresent(e -> remove(now, e));
     }
@@ -200,7 +200,7 @@
         mEntries.remove(e.key());
         mChanges.remove(e.mVersion);
         if (e.isQuarantined()) {
-            mListener.changed(e.record(now), false);
+            mListener.changed(e.toRecord(now), false);
         }
     }
 
@@ -220,7 +220,7 @@
         Iterator<CrashEntry> changed = mChanges.tailMap(version, false).values().iterator();
         while (changed.hasNext() && records.size() < MAX_RECORDS_PER_MESSAGE) {
             CrashEntry e = changed.next();
-            records.add(e.record(now));
+            records.add(e.toRecord(now));
             reached = e.mVersion;
         }
         return new CrashDelta(changed.hasNext() ? reached : mVersion, records);
@@ -228,13 +228,13 @@
 
     /** Forgets, once a second, requests under which no backend server has ended for long. */
     public void expire(Instant now) {
-        if (mEntries.isEmpty() || now.isBefore(mNextForget)) {
+        if (mEntries.isEmpty() || now.isBefore(mNextExpire)) {
             return;
         }
-        mNextForget = now.plus(FORGET_INTERVAL);
-        List<CrashEntry> old = mEntries.values().stream().filter(e -> e.isOld(now)).toList();
+        mNextExpire = now.plus(EXPIRE_INTERVAL);
+        List<CrashEntry> old = mEntries.values().stream().filter(e -> e.isExpired(now)).toList();
         old.forEach(e -> remove(now, e));
-        mEnded.clear();
-        mEntries.values().forEach(e -> mEnded.addAll(e.servers()));
+        mCrashedServers.clear();
+        mEntries.values().forEach(e -> mCrashedServers.addAll(e.servers()));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
@@ -38,7 +38,7 @@
 
     private Decision decision(Instant now, Note n) {
         CrashRecord r = n.record();
-        List<String> ended = r.unexcused();
+        List<String> ended = r.unexcusedServers();
         String fingerprint = r.key().fingerprintText();
         return Decision.builder(now, mProgram)
                 .account(r.key().account())
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
@@ -20,13 +20,13 @@
 import org.laurelweir.settings.RouteShare;
 
 /** Drives the routing without sidecars event by event, with one service of a few servers. */
-final class DirectDriver implements BackendSource {
+final class DirectRoutingDriver implements BackendSource {
     static final String SERVICE = "svc";
     static final AnswerMetadata GENUINE = new AnswerMetadata(false, false, true, Optional.empty());
     static final AnswerMetadata NOT_RUN = new AnswerMetadata(true, false, true, Optional.empty());
-    static final AnswerMetadata OTHER_SERVER =
+    static final AnswerMetadata MISDIRECTED =
             new AnswerMetadata(true, true, true, Optional.empty());
-    static final AnswerMetadata CROSSED = new AnswerMetadata(false, false, false, Optional.empty());
+    static final AnswerMetadata INVALID = new AnswerMetadata(false, false, false, Optional.empty());
     static final RetryLimits LIMITS = new RetryLimits(0.2, 64, Duration.ofSeconds(10), 1, 1);
 
     final List<DirectEffect> mEffects = new ArrayList<>();
@@ -38,11 +38,11 @@
     private Instant mNow = Instant.EPOCH;
     private long mVersion;
 
-    DirectDriver(int servers) {
+    DirectRoutingDriver(int servers) {
         this(servers, LIMITS, 1);
     }
 
-    DirectDriver(int servers, RetryLimits limits, long seed) {
+    DirectRoutingDriver(int servers, RetryLimits limits, long seed) {
         for (int i = 0; i < servers; i++) {
             join("s" + i);
         }
@@ -130,7 +130,7 @@
                         List.of(),
                         body.getBytes(StandardCharsets.UTF_8),
                         route.streamed());
-        give(
+        step(
                 new DirectEvent.Arrived(
                         caller,
                         new RoutedRequest(
@@ -143,17 +143,17 @@
                                 prompt)));
     }
 
-    void give(DirectEvent event) {
+    void step(DirectEvent event) {
         mRouting.step(mNow, event, mEffects::add);
     }
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         mNow = mNow.plus(time);
-        give(new DirectEvent.Tick());
+        step(new DirectEvent.Tick());
     }
 
     void answer(long call, int status, AnswerMetadata facts) {
-        give(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), facts));
+        step(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), facts));
     }
 
     boolean isIdle() {
@@ -172,11 +172,11 @@
         return all.get(all.size() - 1);
     }
 
-    DirectEffect.BeginCall call() {
+    DirectEffect.BeginCall lastCall() {
         return last(DirectEffect.BeginCall.class);
     }
 
-    int calls() {
+    int callCount() {
         return all(DirectEffect.BeginCall.class).size();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
@@ -24,21 +24,22 @@
  */
 class DirectRoutingPropertyTest {
     private static final int STEPS = 250;
-    private static final int MOST_ATTEMPTS = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final Map<Long, Route> mRoutes = new HashMap<>();
-    private final Set<Long> mGone = new HashSet<>();
+    private final Set<Long> mGoneCallers = new HashSet<>();
 
     /** Calls whose server may have run the request, by the caller. */
-    private final Map<Long, Set<Long>> mMayHaveRun = new HashMap<>();
+    private final Map<Long, Set<Long>> mPossibleRuns = new HashMap<>();
 
     @Property(tries = 400, seed = "81")
-    void promisesHoldInAnyOrder(@ForAll long seed) {
+    void guaranteesHoldForAnyOrderOfEvents(@ForAll long seed) {
         mRoutes.clear();
-        mGone.clear();
-        mMayHaveRun.clear();
+        mGoneCallers.clear();
+        mPossibleRuns.clear();
         SplittableRandom random = new SplittableRandom(seed);
-        DirectDriver driver = new DirectDriver(1 + random.nextInt(5), DirectDriver.LIMITS, seed);
+        DirectRoutingDriver driver =
+                new DirectRoutingDriver(1 + random.nextInt(5), DirectRoutingDriver.LIMITS, seed);
         List<BeginCall> open = new ArrayList<>();
         int seen = 0;
         for (int i = 0; i < STEPS; i++) {
@@ -50,67 +51,67 @@
             }
             seen = driver.mEffects.size();
         }
-        driver.pass(Duration.ofSeconds(2));
-        check(driver);
+        driver.advance(Duration.ofSeconds(2));
+        checkGuarantees(driver);
     }
 
-    private void step(DirectDriver driver, SplittableRandom random, List<BeginCall> open) {
+    private void step(DirectRoutingDriver driver, SplittableRandom random, List<BeginCall> open) {
         int what = random.nextInt(10);
         if (what < 3 || open.isEmpty()) {
             long caller = mRoutes.size() + 1;
-            Route route = DirectDriver.route(random.nextBoolean(), what == 1, what == 1);
+            Route route = DirectRoutingDriver.route(random.nextBoolean(), what == 1, what == 1);
             mRoutes.put(caller, route);
             driver.arrive(caller, route);
         } else if (what == 3) {
-            driver.pass(Duration.ofMillis(random.nextInt(200)));
+            driver.advance(Duration.ofMillis(random.nextInt(200)));
         } else if (what == 4) {
             long caller = 1 + random.nextInt(mRoutes.size());
-            mGone.add(caller);
-            driver.give(new DirectEvent.CallerGone(caller));
+            mGoneCallers.add(caller);
+            driver.step(new DirectEvent.CallerGone(caller));
         } else {
-            end(driver, open.remove(random.nextInt(open.size())), random);
+            endCall(driver, open.remove(random.nextInt(open.size())), random);
         }
     }
 
     /** One call ends in one of the ways in which calls end. */
-    private void end(DirectDriver driver, BeginCall b, SplittableRandom random) {
+    private void endCall(DirectRoutingDriver driver, BeginCall b, SplittableRandom random) {
         long caller = Long.parseLong(b.request().id().substring("id".length()));
         switch (random.nextInt(6)) {
             case 0 ->
-                    driver.give(
+                    driver.step(
                             new DirectEvent.Failed(
                                     b.call(), DirectEvent.Failure.NOT_SENT, "can't connect"));
-            case 1 -> driver.answer(b.call(), 503, DirectDriver.NOT_RUN);
+            case 1 -> driver.answer(b.call(), 503, DirectRoutingDriver.NOT_RUN);
             case 2 -> {
-                ran(caller, b.call());
-                driver.give(
+                recordPossibleRun(caller, b.call());
+                driver.step(
                         new DirectEvent.Failed(
                                 b.call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
             }
             case 3 -> {
-                ran(caller, b.call());
-                driver.answer(b.call(), 500, DirectDriver.GENUINE);
-                driver.give(new DirectEvent.Finished(b.call()));
+                recordPossibleRun(caller, b.call());
+                driver.answer(b.call(), 500, DirectRoutingDriver.GENUINE);
+                driver.step(new DirectEvent.Finished(b.call()));
             }
             case 4 -> {
-                ran(caller, b.call());
-                driver.answer(b.call(), 200, DirectDriver.CROSSED);
+                recordPossibleRun(caller, b.call());
+                driver.answer(b.call(), 200, DirectRoutingDriver.INVALID);
             }
             default -> {
-                ran(caller, b.call());
-                driver.answer(b.call(), 200, DirectDriver.GENUINE);
+                recordPossibleRun(caller, b.call());
+                driver.answer(b.call(), 200, DirectRoutingDriver.GENUINE);
                 byte[] event = "id: 1\n\n".getBytes(StandardCharsets.UTF_8);
-                driver.give(new DirectEvent.DataReceived(b.call(), event));
-                driver.give(new DirectEvent.Finished(b.call()));
+                driver.step(new DirectEvent.DataReceived(b.call(), event));
+                driver.step(new DirectEvent.Finished(b.call()));
             }
         }
     }
 
-    private void ran(long caller, long call) {
-        mMayHaveRun.computeIfAbsent(caller, c -> new HashSet<>()).add(call);
+    private void recordPossibleRun(long caller, long call) {
+        mPossibleRuns.computeIfAbsent(caller, c -> new HashSet<>()).add(call);
     }
 
-    private void check(DirectDriver driver) {
+    private void checkGuarantees(DirectRoutingDriver driver) {
         Map<Long, Integer> finals = new HashMap<>();
         for (DirectEffect e : driver.mEffects) {
             if (e instanceof AnswerWhole a) {
@@ -119,17 +120,17 @@
                 finals.merge(a.caller(), 1, Integer::sum);
             } else if (e instanceof AnswerError a) {
                 finals.merge(a.caller(), 1, Integer::sum);
-                boolean ran = mMayHaveRun.containsKey(a.caller());
+                boolean ran = mPossibleRuns.containsKey(a.caller());
                 assertThat(a.code().isNotRun() && ran).as("%s after a run", a).isFalse();
             }
         }
         mRoutes.forEach(
                 (caller, route) -> {
-                    int runs = mMayHaveRun.getOrDefault(caller, Set.of()).size();
-                    assertThat(runs).isLessThanOrEqualTo(route.isRepeatable() ? MOST_ATTEMPTS : 1);
+                    int runs = mPossibleRuns.getOrDefault(caller, Set.of()).size();
+                    assertThat(runs).isLessThanOrEqualTo(route.isRepeatable() ? MAX_ATTEMPTS : 1);
                     int answers = finals.getOrDefault(caller, 0);
                     assertThat(answers).isLessThanOrEqualTo(1);
-                    assertThat(answers == 1 || mGone.contains(caller)).isTrue();
+                    assertThat(answers == 1 || mGoneCallers.contains(caller)).isTrue();
                 });
         assertThat(driver.isIdle()).isTrue();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
@@ -1,11 +1,11 @@
 package org.laurelweir.direct;
 
 import static org.assertj.core.api.Assertions.assertThat;
-import static org.laurelweir.direct.DirectDriver.CROSSED;
-import static org.laurelweir.direct.DirectDriver.GENUINE;
-import static org.laurelweir.direct.DirectDriver.NOT_RUN;
-import static org.laurelweir.direct.DirectDriver.OTHER_SERVER;
-import static org.laurelweir.direct.DirectDriver.route;
+import static org.laurelweir.direct.DirectRoutingDriver.GENUINE;
+import static org.laurelweir.direct.DirectRoutingDriver.INVALID;
+import static org.laurelweir.direct.DirectRoutingDriver.MISDIRECTED;
+import static org.laurelweir.direct.DirectRoutingDriver.NOT_RUN;
+import static org.laurelweir.direct.DirectRoutingDriver.route;
 
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -24,34 +24,34 @@
 
 /** Single decisions about requests that are routed without sidecars, event by event. */
 class DirectRoutingTest {
-    private static final Route UNSAFE = route(false, false, false);
-    private static final Route ONCE = route(false, false, false, 1);
-    private static final Route SAFE = route(true, false, false);
+    private static final Route NON_IDEMPOTENT = route(false, false, false);
+    private static final Route SINGLE_ATTEMPT = route(false, false, false, 1);
+    private static final Route IDEMPOTENT = route(true, false, false);
     private static final Route STREAM = route(false, true, false);
     private static final Route RESUMABLE = route(false, true, true);
 
     /** Within which a short chat's first words are due. */
     private static final Duration SHORT_OBJECTIVE = Duration.ofMillis(400);
 
-    private final DirectDriver mDriver = new DirectDriver(4);
+    private final DirectRoutingDriver mDriver = new DirectRoutingDriver(4);
 
     private static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static AnswerMetadata telling(AnswerMetadata.ReportedLoad load) {
+    private static AnswerMetadata withLoad(AnswerMetadata.ReportedLoad load) {
         return new AnswerMetadata(false, false, true, Optional.of(load));
     }
 
     @Test
-    void passesOnAWholeAnswerUnchanged() {
-        mDriver.arrive(1, UNSAFE);
-        long call = mDriver.call().call();
+    void completeAnswerIsForwardedUnchanged() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        long call = mDriver.lastCall().call();
         mDriver.answer(call, 201, GENUINE);
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("ab")));
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("c")));
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("ab")));
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("c")));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
-        mDriver.give(new DirectEvent.Finished(call));
+        mDriver.step(new DirectEvent.Finished(call));
         AnswerWhole whole = mDriver.last(AnswerWhole.class);
         assertThat(whole.status()).isEqualTo(201);
         assertThat(whole.body()).isEqualTo(bytes("abc"));
@@ -59,17 +59,17 @@
     }
 
     @Test
-    void aRequestThatMayHaveRunIsNotSentAgain() {
+    void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun() {
         // The caller orders stores. The connection breaks after the request went out: the server
         // may
         // have taken the order, and a second server would take it again. The caller is told that
         // the
         // outcome is not known, not that the order was not taken.
-        mDriver.arrive(1, UNSAFE);
-        mDriver.give(
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        mDriver.step(
                 new DirectEvent.Failed(
-                        mDriver.call().call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
-        assertThat(mDriver.calls()).isEqualTo(1);
+                        mDriver.lastCall().call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
+        assertThat(mDriver.callCount()).isEqualTo(1);
         AnswerError error = mDriver.last(AnswerError.class);
         assertThat(error.code()).isEqualTo(ResultCode.BACKEND_FAILED);
         assertThat(error.code().isNotRun()).isFalse();
@@ -77,32 +77,32 @@
     }
 
     @Test
-    void aRequestThatWasNeverSentGoesElsewhere() {
-        mDriver.arrive(1, UNSAFE);
-        BeginCall first = mDriver.call();
-        mDriver.give(
+    void unsentRequestGoesToAnotherServer() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        BeginCall first = mDriver.lastCall();
+        mDriver.step(
                 new DirectEvent.Failed(
                         first.call(), DirectEvent.Failure.NOT_SENT, "can't connect"));
-        assertThat(mDriver.calls()).isEqualTo(2);
-        assertThat(mDriver.call().backend()).isNotEqualTo(first.backend());
+        assertThat(mDriver.callCount()).isEqualTo(2);
+        assertThat(mDriver.lastCall().backend()).isNotEqualTo(first.backend());
     }
 
     @Test
-    void aServersWordThatItDidNotRunTheRequestIsProof() {
-        mDriver.arrive(1, UNSAFE);
-        BeginCall first = mDriver.call();
+    void requestIsRetriedIfTheServerSaysItDidNotRunIt() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        BeginCall first = mDriver.lastCall();
         mDriver.answer(first.call(), 503, NOT_RUN);
-        assertThat(mDriver.call().backend()).isNotEqualTo(first.backend());
+        assertThat(mDriver.lastCall().backend()).isNotEqualTo(first.backend());
     }
 
     @Test
-    void isRefusedWithATimeToComeBackOnceAttemptsAreSpent() {
-        mDriver.arrive(1, UNSAFE);
+    void requestIsRejectedWithARetryDelayAfterTheLastAttempt() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
         for (int i = 0; i < 3; i++) {
             assertThat(mDriver.all(AnswerError.class)).isEmpty();
-            mDriver.answer(mDriver.call().call(), 503, NOT_RUN);
+            mDriver.answer(mDriver.lastCall().call(), 503, NOT_RUN);
         }
-        assertThat(mDriver.calls()).isEqualTo(3);
+        assertThat(mDriver.callCount()).isEqualTo(3);
         AnswerError error = mDriver.last(AnswerError.class);
         assertThat(error.code()).isEqualTo(ResultCode.OVERLOADED);
         assertThat(error.retryAfter()).isPositive().isLessThan(Duration.ofMillis(334));
@@ -110,116 +110,116 @@
     }
 
     @Test
-    void notRunIsNotSaidAfterAnAttemptOfUnknownOutcome() {
+    void notRunIsNotReportedAfterAnAttemptWithUnknownOutcome() {
         // The first server breaks off and may have run the request; the others say they did not.
         // That they did not run it says nothing of the first.
-        mDriver.arrive(1, SAFE);
-        mDriver.give(
+        mDriver.arrive(1, IDEMPOTENT);
+        mDriver.step(
                 new DirectEvent.Failed(
-                        mDriver.call().call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
-        mDriver.answer(mDriver.call().call(), 503, NOT_RUN);
-        mDriver.answer(mDriver.call().call(), 503, NOT_RUN);
+                        mDriver.lastCall().call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
+        mDriver.answer(mDriver.lastCall().call(), 503, NOT_RUN);
+        mDriver.answer(mDriver.lastCall().call(), 503, NOT_RUN);
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.BACKEND_FAILED);
     }
 
     @Test
-    void isRefusedAtOnceWhereNobodyServes() {
-        DirectDriver none = new DirectDriver(0);
-        none.arrive(1, UNSAFE);
+    void requestIsRejectedAtOnceWithoutServers() {
+        DirectRoutingDriver none = new DirectRoutingDriver(0);
+        none.arrive(1, NON_IDEMPOTENT);
         assertThat(none.last(AnswerError.class).code()).isEqualTo(ResultCode.NO_BACKEND_SERVER);
         assertThat(none.last(AnswerError.class).retryAfter()).isPositive();
     }
 
     @Test
-    void anIdempotentRequestIsSentAgainAfterAFailure() {
-        mDriver.arrive(1, SAFE);
-        BeginCall first = mDriver.call();
+    void idempotentRequestIsRetriedAfterAFailure() {
+        mDriver.arrive(1, IDEMPOTENT);
+        BeginCall first = mDriver.lastCall();
         mDriver.answer(first.call(), 500, GENUINE);
-        assertThat(mDriver.calls()).isEqualTo(2);
+        assertThat(mDriver.callCount()).isEqualTo(2);
         assertThat(mDriver.last(CancelCall.class).call()).isEqualTo(first.call());
     }
 
     @Test
-    void theLastServersFailureIsPassedOn() {
-        DirectDriver one = new DirectDriver(1);
-        one.arrive(1, SAFE);
-        long call = one.call().call();
+    void errorAnswerOfTheLastServerIsForwarded() {
+        DirectRoutingDriver one = new DirectRoutingDriver(1);
+        one.arrive(1, IDEMPOTENT);
+        long call = one.lastCall().call();
         one.answer(call, 500, GENUINE);
-        one.give(new DirectEvent.DataReceived(call, bytes("why")));
-        one.give(new DirectEvent.Finished(call));
+        one.step(new DirectEvent.DataReceived(call, bytes("why")));
+        one.step(new DirectEvent.Finished(call));
         assertThat(one.last(AnswerWhole.class).status()).isEqualTo(500);
         assertThat(one.last(AnswerWhole.class).body()).isEqualTo(bytes("why"));
     }
 
     @Test
-    void anAnswerToAnotherRequestReachesNobody() {
+    void answerToAnotherRequestIsDiscarded() {
         // A late second answer of an earlier request arrives where this one's is expected. Passed
         // on, one caller would read another's booking.
-        mDriver.arrive(1, UNSAFE);
-        long call = mDriver.call().call();
-        mDriver.answer(call, 200, CROSSED);
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("not yours")));
-        mDriver.give(new DirectEvent.Finished(call));
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        long call = mDriver.lastCall().call();
+        mDriver.answer(call, 200, INVALID);
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("not yours")));
+        mDriver.step(new DirectEvent.Finished(call));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.BACKEND_FAILED);
         assertThat(mDriver.last(CancelCall.class).call()).isEqualTo(call);
     }
 
     @Test
-    void anAddressWithAnotherServerIsPassedOver() {
-        mDriver.arrive(1, UNSAFE);
-        BackendRef replaced = mDriver.call().backend();
-        mDriver.answer(mDriver.call().call(), 421, OTHER_SERVER);
+    void addressOfAReplacedServerIsPassedOver() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        BackendRef replaced = mDriver.lastCall().backend();
+        mDriver.answer(mDriver.lastCall().call(), 421, MISDIRECTED);
         for (int i = 2; i < 60; i++) {
-            mDriver.arrive(i, UNSAFE);
-            assertThat(mDriver.call().backend()).isNotEqualTo(replaced);
+            mDriver.arrive(i, NON_IDEMPOTENT);
+            assertThat(mDriver.lastCall().backend()).isNotEqualTo(replaced);
         }
     }
 
     @Test
-    void aCallerOfOneAttemptComesBackAtOnceFromTheWrongServer() {
+    void retryDelayIsShortAfterAMisdirectedRequest() {
         // The route allows one attempt, and the server at the address is another one by now, which
         // refuses. Sixty others serve: a caller that is sent away for as long as from a full server
         // is late, although nobody is busy. From a full one it has to stay away longer.
-        mDriver.arrive(1, ONCE);
-        mDriver.answer(mDriver.call().call(), 421, OTHER_SERVER);
+        mDriver.arrive(1, SINGLE_ATTEMPT);
+        mDriver.answer(mDriver.lastCall().call(), 421, MISDIRECTED);
         AnswerError error = mDriver.last(AnswerError.class);
         assertThat(error.code().isNotRun()).isTrue();
         assertThat(error.retryAfter()).isPositive().isLessThan(SHORT_OBJECTIVE.dividedBy(8));
-        mDriver.arrive(2, ONCE);
-        mDriver.answer(mDriver.call().call(), 503, NOT_RUN);
+        mDriver.arrive(2, SINGLE_ATTEMPT);
+        mDriver.answer(mDriver.lastCall().call(), 503, NOT_RUN);
         Duration full = mDriver.last(AnswerError.class).retryAfter();
         assertThat(full).isGreaterThan(SHORT_OBJECTIVE.dividedBy(8));
     }
 
     @Test
-    void streamsArePassedOnInWholeEvents() {
+    void streamsAreForwardedInCompleteEvents() {
         mDriver.arrive(1, STREAM);
-        long call = mDriver.call().call();
+        long call = mDriver.lastCall().call();
         mDriver.answer(call, 200, GENUINE);
         assertThat(mDriver.last(AnswerHead.class).status()).isEqualTo(200);
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
         assertThat(mDriver.last(AnswerData.class).bytes()).isEqualTo(bytes("id: 1\ndata: a\n\n"));
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("ta: b\n\n")));
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("ta: b\n\n")));
         assertThat(mDriver.last(AnswerData.class).bytes()).isEqualTo(bytes("id: 2\ndata: b\n\n"));
-        mDriver.give(new DirectEvent.Finished(call));
+        mDriver.step(new DirectEvent.Finished(call));
         assertThat(mDriver.all(AnswerEnd.class)).hasSize(1);
     }
 
     @Test
-    void aResumableStreamGoesOnAfterTheLastWholeEvent() {
+    void resumableStreamContinuesAfterTheLastCompleteEvent() {
         // The server breaks off in the middle of event 2. The caller has event 1 whole; the next
         // server goes on after it, and nothing of the torn event is passed on.
         mDriver.arrive(1, RESUMABLE);
-        long call = mDriver.call().call();
+        long call = mDriver.lastCall().call();
         mDriver.answer(call, 200, GENUINE);
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
-        mDriver.give(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
-        BeginCall next = mDriver.call();
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("id: 1\ndata: a\n\nid: 2\nda")));
+        mDriver.step(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
+        BeginCall next = mDriver.lastCall();
         assertThat(next.resumeAfter()).isEqualTo("1");
         mDriver.answer(next.call(), 200, GENUINE);
-        mDriver.give(new DirectEvent.DataReceived(next.call(), bytes("id: 2\ndata: b\n\n")));
-        mDriver.give(new DirectEvent.Finished(next.call()));
+        mDriver.step(new DirectEvent.DataReceived(next.call(), bytes("id: 2\ndata: b\n\n")));
+        mDriver.step(new DirectEvent.Finished(next.call()));
         assertThat(mDriver.all(AnswerHead.class)).hasSize(1);
         assertThat(mDriver.all(AnswerData.class).stream().map(d -> new String(d.bytes())).toList())
                 .containsExactly("id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n");
@@ -227,89 +227,91 @@
     }
 
     @Test
-    void aStreamThatMayNotBeResumedIsCut() {
+    void nonResumableStreamIsCut() {
         mDriver.arrive(1, STREAM);
-        long call = mDriver.call().call();
+        long call = mDriver.lastCall().call();
         mDriver.answer(call, 200, GENUINE);
-        mDriver.give(new DirectEvent.DataReceived(call, bytes("id: 1\n\n")));
-        mDriver.give(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
-        assertThat(mDriver.calls()).isEqualTo(1);
+        mDriver.step(new DirectEvent.DataReceived(call, bytes("id: 1\n\n")));
+        mDriver.step(new DirectEvent.Failed(call, DirectEvent.Failure.CONNECTION_LOST, "reset"));
+        assertThat(mDriver.callCount()).isEqualTo(1);
         assertThat(mDriver.all(AnswerEnd.class)).isEmpty();
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.ANSWER_CUT);
     }
 
     @Test
-    void isAnsweredWhenItsTimeIsOver() {
-        mDriver.arrive(1, UNSAFE);
-        mDriver.pass(Duration.ofMillis(990));
+    void requestFailsAtItsDeadline() {
+        mDriver.arrive(1, NON_IDEMPOTENT);
+        mDriver.advance(Duration.ofMillis(990));
         assertThat(mDriver.all(AnswerError.class)).isEmpty();
-        mDriver.pass(Duration.ofMillis(10));
+        mDriver.advance(Duration.ofMillis(10));
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.DEADLINE_EXCEEDED);
         assertThat(mDriver.all(CancelCall.class)).hasSize(1);
         assertThat(mDriver.isIdle()).isTrue();
     }
 
     @Test
-    void aSilentServerIsLeftWhereThatIsHarmless() {
-        mDriver.arrive(1, SAFE);
-        mDriver.arrive(2, UNSAFE);
-        mDriver.pass(Duration.ofMillis(310));
-        assertThat(mDriver.calls()).isEqualTo(3);
-        assertThat(mDriver.call().request().id()).isEqualTo("id1");
-        assertThat(mDriver.call().timeLeft()).isEqualTo(Duration.ofMillis(690));
+    void onlyRepeatableRequestsLeaveAStalledServer() {
+        mDriver.arrive(1, IDEMPOTENT);
+        mDriver.arrive(2, NON_IDEMPOTENT);
+        mDriver.advance(Duration.ofMillis(310));
+        assertThat(mDriver.callCount()).isEqualTo(3);
+        assertThat(mDriver.lastCall().request().id()).isEqualTo("id1");
+        assertThat(mDriver.lastCall().timeLeft()).isEqualTo(Duration.ofMillis(690));
     }
 
     @Test
-    void aCallerThatLeftStopsWhatMayBeStopped() {
-        mDriver.arrive(1, SAFE);
-        mDriver.give(new DirectEvent.CallerGone(1));
+    void callerThatDisconnectsCancelsOnlyRepeatableCalls() {
+        mDriver.arrive(1, IDEMPOTENT);
+        mDriver.step(new DirectEvent.CallerGone(1));
         assertThat(mDriver.all(CancelCall.class)).hasSize(1);
         assertThat(mDriver.isIdle()).isTrue();
-        mDriver.arrive(2, UNSAFE);
-        long call = mDriver.call().call();
-        mDriver.give(new DirectEvent.CallerGone(2));
+        mDriver.arrive(2, NON_IDEMPOTENT);
+        long call = mDriver.lastCall().call();
+        mDriver.step(new DirectEvent.CallerGone(2));
         assertThat(mDriver.all(CancelCall.class)).hasSize(1);
         mDriver.answer(call, 200, GENUINE);
-        mDriver.give(new DirectEvent.Finished(call));
+        mDriver.step(new DirectEvent.Finished(call));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
         assertThat(mDriver.isIdle()).isTrue();
     }
 
     @Test
-    void repetitionsStopWhereTheFleetsBudgetEnds() {
+    void retriesStopAtTheFleetBudget() {
         // Every server fails every request. Ten routers may add three repetitions between them in a
         // window, so that this one may add none or one, however many requests fail.
         RetryLimits tight = new RetryLimits(0, 12, Duration.ofSeconds(10), 10, 1);
-        DirectDriver driver = new DirectDriver(4, tight, 3);
+        DirectRoutingDriver driver = new DirectRoutingDriver(4, tight, 3);
         for (int i = 1; i <= 20; i++) {
-            driver.arrive(i, SAFE);
-            driver.give(
+            driver.arrive(i, IDEMPOTENT);
+            driver.step(
                     new DirectEvent.Failed(
-                            driver.call().call(), DirectEvent.Failure.CONNECTION_LOST, "reset"));
+                            driver.lastCall().call(),
+                            DirectEvent.Failure.CONNECTION_LOST,
+                            "reset"));
         }
-        assertThat(driver.calls()).isEqualTo(21);
+        assertThat(driver.callCount()).isEqualTo(21);
     }
 
     @Test
-    void promptsThatShareAPartMeetAtOneServer() {
+    void promptsWithTheSameSharedPartGoToOneServer() {
         Prompt prompt =
                 new Prompt(
                         List.of(new Prompt.Part(7, 800), new Prompt.Part(8, 400), part(99)),
                         1210,
                         5);
         mDriver.arrive(1, STREAM, prompt);
-        BackendRef home = mDriver.call().backend();
+        BackendRef home = mDriver.lastCall().backend();
         for (int i = 2; i < 6; i++) {
-            long call = mDriver.call().call();
+            long call = mDriver.lastCall().call();
             mDriver.answer(call, 200, GENUINE);
-            mDriver.give(new DirectEvent.Finished(call));
+            mDriver.step(new DirectEvent.Finished(call));
             Prompt other =
                     new Prompt(
                             List.of(new Prompt.Part(7, 800), new Prompt.Part(8, 400), part(i)),
                             1210,
                             5);
             mDriver.arrive(i, STREAM, other);
-            assertThat(mDriver.call().backend()).isEqualTo(home);
+            assertThat(mDriver.lastCall().backend()).isEqualTo(home);
         }
     }
 
@@ -319,37 +321,37 @@
 
     // Callers of plain services were refused for seconds after each server had been full once.
     @Test
-    void aPlainRequestIsOfferedToAServerThatWasFullOnce() {
-        DirectDriver few = new DirectDriver(2);
-        AnswerMetadata full = telling(new AnswerMetadata.ReportedLoad(6, 1, 6));
+    void plainRequestIsSentToAServerThatReportedItselfFull() {
+        DirectRoutingDriver few = new DirectRoutingDriver(2);
+        AnswerMetadata full = withLoad(new AnswerMetadata.ReportedLoad(6, 1, 6));
         for (int caller = 1; caller <= 2; caller++) {
-            few.arrive(caller, SAFE);
-            few.answer(few.call().call(), 200, full);
-            few.give(new DirectEvent.Finished(few.call().call()));
+            few.arrive(caller, IDEMPOTENT);
+            few.answer(few.lastCall().call(), 200, full);
+            few.step(new DirectEvent.Finished(few.lastCall().call()));
         }
-        few.arrive(3, SAFE);
-        assertThat(few.calls()).isEqualTo(3);
+        few.arrive(3, IDEMPOTENT);
+        assertThat(few.callCount()).isEqualTo(3);
     }
 
     @Test
-    void aPlainRequestIsRefusedWhereThisRouterAloneFillsEveryServer() {
-        DirectDriver few = new DirectDriver(2);
-        AnswerMetadata told = telling(new AnswerMetadata.ReportedLoad(1, 0, 2));
-        few.arrive(1, SAFE);
-        few.arrive(2, SAFE);
+    void plainRequestIsRejectedIfThisRouterFillsEveryServer() {
+        DirectRoutingDriver few = new DirectRoutingDriver(2);
+        AnswerMetadata told = withLoad(new AnswerMetadata.ReportedLoad(1, 0, 2));
+        few.arrive(1, IDEMPOTENT);
+        few.arrive(2, IDEMPOTENT);
         for (BeginCall call : few.all(BeginCall.class)) {
             few.answer(call.call(), 200, told);
-            few.give(new DirectEvent.Finished(call.call()));
+            few.step(new DirectEvent.Finished(call.call()));
         }
         for (int caller = 3; caller <= 7; caller++) {
-            few.arrive(caller, SAFE);
+            few.arrive(caller, IDEMPOTENT);
         }
-        assertThat(few.calls()).isEqualTo(2 + 4);
+        assertThat(few.callCount()).isEqualTo(2 + 4);
         assertThat(few.last(AnswerError.class).code()).isEqualTo(ResultCode.OVERLOADED);
     }
 
     @Test
-    void aHotPartSpillsOver() {
+    void hotPromptPartSpillsOver() {
         Prompt prompt = new Prompt(List.of(new Prompt.Part(7, 800), part(1)), 810, 5);
         for (int i = 1; i <= 16; i++) {
             mDriver.arrive(i, STREAM, prompt);
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
@@ -11,20 +11,20 @@
  * of them when it listens again, some tenths of a second before it has settings.
  */
 class EarlyCallsTest {
-    private static final Instant START = Instant.EPOCH;
-    private static final Duration SHORT = Duration.ofMillis(1500);
-    private static final Duration LONG = Duration.ofSeconds(12);
+    private static final Instant NOW = Instant.EPOCH;
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(1500);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(12);
 
     private final EarlyCalls<String> mCalls = new EarlyCalls<>();
 
     private static Instant after(long millis) {
-        return START.plusMillis(millis);
+        return NOW.plusMillis(millis);
     }
 
     @Test
-    void callsAreServedInTheirOrderOnceTheyCanBe() {
+    void waitingCallsAreTakenInArrivalOrder() {
         for (int i = 0; i < 20; i++) {
-            assertThat(mCalls.keep(after(15 * i), i, SHORT, "call" + i)).isTrue();
+            assertThat(mCalls.keep(after(15 * i), i, SHORT_TIMEOUT, "call" + i)).isTrue();
         }
         assertThat(mCalls.takeExpired(after(300))).isEmpty();
         assertThat(mCalls.takeAll()).hasSize(20).startsWith("call0", "call1");
@@ -32,9 +32,9 @@
     }
 
     @Test
-    void aCallerIsTurnedAwayWhileItHasMostOfItsTime() {
-        mCalls.keep(START, 1, SHORT, "short");
-        mCalls.keep(START, 2, LONG, "long");
+    void callsExpireWithMostOfTheirTimeLeft() {
+        mCalls.keep(NOW, 1, SHORT_TIMEOUT, "short");
+        mCalls.keep(NOW, 2, LONG_TIMEOUT, "long");
         assertThat(mCalls.takeExpired(after(374))).isEmpty();
         assertThat(mCalls.takeExpired(after(375))).containsExactly("short");
         assertThat(mCalls.takeExpired(after(799))).isEmpty();
@@ -42,18 +42,18 @@
     }
 
     @Test
-    void aCallerThatLeftIsForgotten() {
-        mCalls.keep(START, 1, LONG, "a");
+    void callOfADisconnectedCallerIsRemoved() {
+        mCalls.keep(NOW, 1, LONG_TIMEOUT, "a");
         assertThat(mCalls.remove(1)).isTrue();
         assertThat(mCalls.remove(1)).isFalse();
         assertThat(mCalls.takeAll()).isEmpty();
     }
 
     @Test
-    void aCrowdIsNotKept() {
+    void numberOfWaitingCallsIsBounded() {
         int kept = 0;
         for (int i = 0; i < 1000; i++) {
-            kept += mCalls.keep(START, i, LONG, "x") ? 1 : 0;
+            kept += mCalls.keep(NOW, i, LONG_TIMEOUT, "x") ? 1 : 0;
         }
         assertThat(kept).isEqualTo(256);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EventFramerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EventFramerTest.java
@@ -16,7 +16,7 @@
             "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid:3\ndata: \n\n";
 
     @Property(tries = 300, seed = "82")
-    void theCutsOfThePiecesMakeNoDifference(@ForAll long seed) {
+    void chunkBoundariesDoNotMatter(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         byte[] all = STREAM.getBytes(StandardCharsets.UTF_8);
         EventFramer framer = new EventFramer();
@@ -29,16 +29,17 @@
         }
         assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(STREAM);
         assertThat(framer.lastId()).isEqualTo("3");
-        assertThat(framer.events()).isEqualTo(4);
-        assertThat(framer.takeRest()).isEmpty();
+        assertThat(framer.eventCount()).isEqualTo(4);
+        assertThat(framer.takeIncomplete()).isEmpty();
     }
 
     @Test
-    void whatFollowsTheLastWholeEventIsHeldBack() {
+    void incompleteEventIsHeldBack() {
         EventFramer framer = new EventFramer();
         byte[] whole = framer.add("id: 1\n\nid: 2\ndata".getBytes(StandardCharsets.UTF_8));
         assertThat(whole).isEqualTo("id: 1\n\n".getBytes(StandardCharsets.UTF_8));
         assertThat(framer.lastId()).isEqualTo("1");
-        assertThat(framer.takeRest()).isEqualTo("id: 2\ndata".getBytes(StandardCharsets.UTF_8));
+        assertThat(framer.takeIncomplete())
+                .isEqualTo("id: 2\ndata".getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theLongestPrefixOfTheHostWins() {
+    void longestPrefixOfTheHostWins() {
         assertThat(find("h", "/a/x")).isEqualTo("a");
         assertThat(find("h", "/a/b/x")).isEqualTo("ab");
         assertThat(find("h", "/a/b")).isEqualTo("a");
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aChangeLeavesTheOtherRoutesAsTheyWereRead() {
+    void unchangedRoutesStayCached() {
         // Many large changes in a row: each touches a few of some thousand routes. Read anew with
         // each change, they hold up the requests that come next, on every router.
         SettingsTree before =
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aPrefixIsWholePartsOfThePath() {
+    void prefixMatchesWholePathSegments() {
         assertThat(find("h", "/ab/x")).isEmpty();
         assertThat(find("h", "/a")).isEmpty();
         assertThat(find("j", "/a/x")).isEmpty();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void tellsWhetherThereIsAnyOtherWay() {
+    void knowsWhetherAllServicesAreRouted() {
         assertThat(mTable.allServicesRouted()).isTrue();
         SettingsTree mixed = SettingsTree.of(1, List.of(service("model")));
         assertThat(RouteTable.empty().withTree(mixed).allServicesRouted()).isFalse();
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/ServerTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/ServerTableTest.java
@@ -10,29 +10,29 @@
 class ServerTableTest {
     private static final Instant NOW = Instant.EPOCH;
     private static final String SERVICE = "svc";
-    private static final int SERVERS = 4;
-    private static final BackendRef FIRST = new BackendRef("w", 1000);
-    private static final BackendRef SECOND = new BackendRef("w", 2000);
+    private static final int SERVER_COUNT = 4;
+    private static final BackendRef FIRST_RUN = new BackendRef("w", 1000);
+    private static final BackendRef SECOND_RUN = new BackendRef("w", 2000);
 
     private final ServerTable mTable = new ServerTable();
 
     @Test
-    void aLaterStartHasNeitherTheSlotsNorTheFailuresOfTheRunBefore() {
+    void restartedServerStartsWithoutSlotsAndFailures() {
         // The server crashes under load and starts again under its name. With the old failures it
         // would get no request for seconds.
-        mTable.slotsTold(FIRST, 32);
-        mTable.unreachable(SERVICE, FIRST, SERVERS, NOW);
-        assertThat(mTable.isPassedOver(SERVICE, FIRST, NOW)).isTrue();
-        assertThat(mTable.isPassedOver(SERVICE, SECOND, NOW)).isFalse();
-        assertThat(mTable.slots(SECOND)).isZero();
+        mTable.onReportedSlots(FIRST_RUN, 32);
+        mTable.onUnreachable(SERVICE, FIRST_RUN, SERVER_COUNT, NOW);
+        assertThat(mTable.isPassedOver(SERVICE, FIRST_RUN, NOW)).isTrue();
+        assertThat(mTable.isPassedOver(SERVICE, SECOND_RUN, NOW)).isFalse();
+        assertThat(mTable.slots(SECOND_RUN)).isZero();
     }
 
     @Test
-    void whatTheRunBeforeStillDoesIsNotHeldAgainstTheLaterStart() {
-        mTable.slotsTold(SECOND, 16);
-        mTable.unreachable(SERVICE, FIRST, SERVERS, NOW);
-        mTable.slotsTold(FIRST, 32);
-        assertThat(mTable.slots(SECOND)).isEqualTo(16);
-        assertThat(mTable.isPassedOver(SERVICE, SECOND, NOW)).isFalse();
+    void lateEventsOfAnEarlierRunAreIgnored() {
+        mTable.onReportedSlots(SECOND_RUN, 16);
+        mTable.onUnreachable(SERVICE, FIRST_RUN, SERVER_COUNT, NOW);
+        mTable.onReportedSlots(FIRST_RUN, 32);
+        assertThat(mTable.slots(SECOND_RUN)).isEqualTo(16);
+        assertThat(mTable.isPassedOver(SERVICE, SECOND_RUN, NOW)).isFalse();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -27,14 +27,14 @@
 final class FleetEngines implements FleetBackends {
     static final String SERVICE = "engines";
 
-    private static final int ANNOUNCE_MILLIS = 1200;
+    private static final int ANNOUNCE_INTERVAL_MILLIS = 1200;
     private static final int SLOTS = 64;
 
     /** Also the requests that a router gives an engine whose slots it has not been told. */
     private static final int WEIGHT = 20;
 
-    private static final int MOST_TRANSIT_MILLIS = 3;
-    private static final double READ_TOKENS_A_MILLI = 44;
+    private static final int MAX_TRANSIT_MILLIS = 3;
+    private static final double PREFILL_TOKENS_PER_MILLI = 44;
 
     /** A part that another engine holds arrives this much faster than it is read. */
     private static final double FETCH_SPEEDUP = 6;
@@ -45,15 +45,15 @@
     private static final double BOUND_EXTRA = 3;
 
     /** Time for a token while nothing else runs, and what each other request adds to it. */
-    private static final double TOKEN_MILLIS = 4;
+    private static final double MILLIS_PER_TOKEN = 4;
 
-    private static final double TOKEN_MILLIS_BESIDE = 0.25;
+    private static final double MILLIS_PER_TOKEN_PER_REQUEST = 0.25;
 
     private final VirtualTime mTime;
     private final FleetControls mControls;
     private final Map<String, Engine> mByAddress = new HashMap<>();
     private final List<Arrival> mArrivals = new ArrayList<>();
-    private long mTokensRead;
+    private long mPrefilledTokens;
 
     /**
      * A request that reached an engine.
@@ -62,9 +62,9 @@
      * @param held requests that the engine had already
      * @param mean requests that an engine had on the mean
      */
-    record Arrival(long atMillis, int held, double mean) {
+    record Arrival(long atMillis, int requests, double mean) {
         boolean isOverBound() {
-            return held > BOUND_FACTOR * mean + BOUND_EXTRA;
+            return requests > BOUND_FACTOR * mean + BOUND_EXTRA;
         }
     }
 
@@ -76,7 +76,7 @@
             mByAddress.put(e.mAddress, e);
             announce(e);
         }
-        time.every(ANNOUNCE_MILLIS, () -> mByAddress.values().forEach(this::announce));
+        time.every(ANNOUNCE_INTERVAL_MILLIS, () -> mByAddress.values().forEach(this::announce));
     }
 
     /** One engine reads nothing for a while; what has begun goes on. */
@@ -91,8 +91,8 @@
     }
 
     /** Returns the tokens of shared parts that engines read or fetched so far. */
-    long tokensRead() {
-        return mTokensRead;
+    long prefilledTokens() {
+        return mPrefilledTokens;
     }
 
     private static String address(int number) {
@@ -115,92 +115,93 @@
 
     @Override
     public void call(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
-        transit(() -> arrive(mByAddress.get(call.address()), new Run(call, events)));
+        transit(() -> arrive(mByAddress.get(call.address()), new EngineCall(call, events)));
     }
 
     @Override
     public void cancel(long call, Consumer<DirectEvent> events) {
         for (Engine e : mByAddress.values()) {
-            e.mHeld.removeIf(r -> r.is(call, events));
-            e.mWaiting.removeIf(r -> r.is(call, events));
+            e.mRequests.removeIf(r -> r.matches(call, events));
+            e.mWaiting.removeIf(r -> r.matches(call, events));
         }
     }
 
     private void transit(Runnable arrival) {
-        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MAX_TRANSIT_MILLIS, arrival);
     }
 
-    private void arrive(Engine e, Run r) {
-        double mean = mByAddress.values().stream().mapToInt(Engine::held).average().orElse(0);
-        mArrivals.add(new Arrival(mTime.millis(), e.held(), mean));
-        e.mHeld.add(r);
+    private void arrive(Engine e, EngineCall r) {
+        double mean =
+                mByAddress.values().stream().mapToInt(Engine::requestCount).average().orElse(0);
+        mArrivals.add(new Arrival(mTime.millis(), e.requestCount(), mean));
+        e.mRequests.add(r);
         e.mWaiting.add(r);
-        if (!e.mReading) {
-            readNext(e);
+        if (!e.mPrefilling) {
+            prefillNext(e);
         }
     }
 
-    private void readNext(Engine e) {
-        Run r = e.mWaiting.poll();
-        e.mReading = r != null;
+    private void prefillNext(Engine e) {
+        EngineCall r = e.mWaiting.poll();
+        e.mPrefilling = r != null;
         if (r != null) {
             long start = Math.max(mTime.millis(), e.mStalledUntil);
-            mTime.after(start - mTime.millis() + readMillis(e, r), () -> begin(e, r));
+            mTime.after(start - mTime.millis() + prefillMillis(e, r), () -> startGenerating(e, r));
         }
     }
 
-    private long readMillis(Engine e, Run r) {
+    private long prefillMillis(Engine e, EngineCall r) {
         Prompt prompt = r.mCall.request().prompt();
         int shared = prompt.sharedTokens();
         double tokens = prompt.inputTokens() - shared;
-        if (e.mParts.add(prompt.sharedPart().id())) {
-            mTokensRead += shared;
+        if (e.mCachedParts.add(prompt.sharedPart().id())) {
+            mPrefilledTokens += shared;
             tokens += isFetched(r, prompt) ? shared / FETCH_SPEEDUP : shared;
         }
-        return Math.max(1, Math.round(tokens / READ_TOKENS_A_MILLI));
+        return Math.max(1, Math.round(tokens / PREFILL_TOKENS_PER_MILLI));
     }
 
-    private boolean isFetched(Run r, Prompt prompt) {
+    private boolean isFetched(EngineCall r, Prompt prompt) {
         Engine holder = mByAddress.get(r.mCall.fetchFrom());
-        return holder != null && holder.mParts.contains(prompt.sharedPart().id());
+        return holder != null && holder.mCachedParts.contains(prompt.sharedPart().id());
     }
 
-    private void begin(Engine e, Run r) {
-        readNext(e);
-        if (!e.mHeld.contains(r)) {
+    private void startGenerating(Engine e, EngineCall r) {
+        prefillNext(e);
+        if (!e.mRequests.contains(r)) {
             return;
         }
         AnswerMetadata.ReportedLoad load =
                 new AnswerMetadata.ReportedLoad(
-                        e.held() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
+                        e.requestCount() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
         AnswerMetadata facts = new AnswerMetadata(false, false, true, Optional.of(load));
-        r.tell(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), facts));
-        double token = TOKEN_MILLIS + TOKEN_MILLIS_BESIDE * e.held();
+        r.send(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), facts));
+        double token = MILLIS_PER_TOKEN + MILLIS_PER_TOKEN_PER_REQUEST * e.requestCount();
         mTime.after(
                 Math.round(token * r.mCall.request().prompt().outputTokens()), () -> finish(e, r));
     }
 
-    private void finish(Engine e, Run r) {
-        if (e.mHeld.remove(r)) {
-            r.tell(new DirectEvent.Finished(r.mCall.call()));
+    private void finish(Engine e, EngineCall r) {
+        if (e.mRequests.remove(r)) {
+            r.send(new DirectEvent.Finished(r.mCall.call()));
         }
     }
 
     /** A call of a router, which its events go back to. */
-    private final class Run {
+    private final class EngineCall {
         private final DirectEffect.BeginCall mCall;
         private final Consumer<DirectEvent> mEvents;
 
-        Run(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
+        EngineCall(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
             mCall = call;
             mEvents = events;
         }
 
-        boolean is(long call, Consumer<DirectEvent> events) {
+        boolean matches(long call, Consumer<DirectEvent> events) {
             return mCall.call() == call && mEvents == events;
         }
 
-        void tell(DirectEvent event) {
+        void send(DirectEvent event) {
             transit(() -> mEvents.accept(event));
         }
     }
@@ -208,10 +209,10 @@
     private static final class Engine {
         private final BackendRef mRef;
         private final String mAddress;
-        private final Set<Run> mHeld = new HashSet<>();
-        private final Deque<Run> mWaiting = new ArrayDeque<>();
-        private final Set<Long> mParts = new HashSet<>();
-        private boolean mReading;
+        private final Set<EngineCall> mRequests = new HashSet<>();
+        private final Deque<EngineCall> mWaiting = new ArrayDeque<>();
+        private final Set<Long> mCachedParts = new HashSet<>();
+        private boolean mPrefilling;
         private long mStalledUntil;
         private int mAnnouncements;
 
@@ -220,8 +221,8 @@
             mAddress = address;
         }
 
-        int held() {
-            return mHeld.size();
+        int requestCount() {
+            return mRequests.size();
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/BoundCheck.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadBoundCheck.java
@@ -6,20 +6,20 @@
 import org.laurelweir.load.FleetEngines.Arrival;
 
 /** Counts requests that reach engines over the bound, in each window of some seconds. */
-final class BoundCheck {
+final class LoadBoundCheck {
     private static final int WINDOW_MILLIS = 5000;
 
     /** More than this share of a window's requests, and this many at least, break the promise. */
-    private static final double MOST_SHARE = 0.03;
+    private static final double MAX_SHARE = 0.03;
 
-    private static final int LEAST_COUNT = 20;
+    private static final int MIN_COUNT = 20;
 
     private final Deque<Arrival> mWindow = new ArrayDeque<>();
-    private int mOver;
-    private int mMost;
-    private boolean mBroken;
+    private int mOverBound;
+    private int mMaxOverBound;
+    private boolean mViolated;
 
-    BoundCheck(List<Arrival> arrivals) {
+    LoadBoundCheck(List<Arrival> arrivals) {
         arrivals.forEach(this::add);
     }
 
@@ -29,26 +29,26 @@
         }
         mWindow.add(a);
         count(a, 1);
-        mMost = Math.max(mMost, mOver);
-        mBroken |= mOver >= LEAST_COUNT && mOver > MOST_SHARE * mWindow.size();
+        mMaxOverBound = Math.max(mMaxOverBound, mOverBound);
+        mViolated |= mOverBound >= MIN_COUNT && mOverBound > MAX_SHARE * mWindow.size();
     }
 
     private void count(Arrival a, int by) {
-        mOver += a.isOverBound() ? by : 0;
+        mOverBound += a.isOverBound() ? by : 0;
     }
 
     /** Returns whether any window has too many. */
-    boolean isBroken() {
-        return mBroken;
+    boolean isViolated() {
+        return mViolated;
     }
 
     /** Returns the largest number in a window. */
-    int most() {
-        return mMost;
+    int maxOverBound() {
+        return mMaxOverBound;
     }
 
     @Override
     public String toString() {
-        return mMost + " requests to engines over the bound in a window";
+        return mMaxOverBound + " requests to engines over the bound in a window";
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
@@ -10,31 +10,31 @@
     private static final int ENGINES = 37;
     private static final int FEW_ROUTERS = 9;
     private static final int MANY_ROUTERS = 35;
-    private static final double REQUESTS_A_SECOND = 200;
+    private static final double REQUESTS_PER_SECOND = 200;
     private static final double HOT_SHARE = 0.4;
     private static final int WARM_UP_MILLIS = 3000;
     private static final int RUN_MILLIS = 8000;
-    private static final int STALL_EVERY_MILLIS = 700;
+    private static final int STALL_INTERVAL_MILLIS = 700;
     private static final int STALL_MILLIS = 2500;
 
     private static LoadedFleet fleet(long seed, int routers) {
         LoadedFleet fleet = new LoadedFleet(seed, routers, ENGINES);
-        fleet.load(REQUESTS_A_SECOND);
+        fleet.startLoad(REQUESTS_PER_SECOND);
         fleet.mTime.advance(WARM_UP_MILLIS);
         return fleet;
     }
 
     private static void assertBoundHolds(LoadedFleet fleet) {
-        BoundCheck check = new BoundCheck(fleet.mEngines.arrivals());
-        assertThat(check.isBroken()).as("%s", check).isFalse();
+        LoadBoundCheck check = new LoadBoundCheck(fleet.mEngines.arrivals());
+        assertThat(check.isViolated()).as("%s", check).isFalse();
     }
 
     // An engine that finished nothing got more and more: no router knew what others had there.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void anEngineThatFinishesNothingIsNotFilled(long seed) {
+    void stalledEngineIsNotOverloaded(long seed) {
         LoadedFleet fleet = fleet(seed, MANY_ROUTERS);
-        fleet.mTime.every(STALL_EVERY_MILLIS, () -> fleet.mEngines.stall(STALL_MILLIS));
+        fleet.mTime.every(STALL_INTERVAL_MILLIS, () -> fleet.mEngines.stall(STALL_MILLIS));
         fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
@@ -42,9 +42,9 @@
     // The engine that a part in demand is at home on got all requests about it.
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15})
-    void aPartInDemandDoesNotFillItsHome(long seed) {
+    void hotPartDoesNotOverloadItsHome(long seed) {
         LoadedFleet fleet = fleet(seed, MANY_ROUTERS);
-        fleet.heat(HOT_SHARE);
+        fleet.makeHot(HOT_SHARE);
         fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
@@ -52,9 +52,9 @@
     // Few routers believed what an engine had told them once for seconds.
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25})
-    void aPartInDemandDoesNotFillItsHomeWithFewRouters(long seed) {
+    void hotPartDoesNotOverloadItsHomeWithFewRouters(long seed) {
         LoadedFleet fleet = fleet(seed, FEW_ROUTERS);
-        fleet.heat(HOT_SHARE);
+        fleet.makeHot(HOT_SHARE);
         fleet.mTime.advance(RUN_MILLIS);
         assertBoundHolds(fleet);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -14,8 +14,8 @@
 class LoadTableTest {
     private static final Instant NOW = Instant.EPOCH;
     private static final Duration INTERVAL = Duration.ofMillis(300);
-    private static final Duration ROUTER_COUNTS_FOR = INTERVAL.multipliedBy(5);
-    private static final LoadReport NOTHING_NEW = changes();
+    private static final Duration ROUTER_TIMEOUT = INTERVAL.multipliedBy(5);
+    private static final LoadReport NO_CHANGES = incrementalReport();
     private static final BackendRef FIRST = ref(1);
     private static final BackendRef SECOND = ref(2);
 
@@ -30,15 +30,15 @@
         return new Backend(ref, "svc", "dc", "rg", "", state, 1, 1);
     }
 
-    private static LoadReport report(BackendLoad... servers) {
+    private static LoadReport fullReport(BackendLoad... servers) {
         return new LoadReport(true, List.of(servers), List.of());
     }
 
-    private static LoadReport changes(BackendLoad... servers) {
+    private static LoadReport incrementalReport(BackendLoad... servers) {
         return new LoadReport(false, List.of(servers), List.of());
     }
 
-    private static LoadReport about(long part, int requests) {
+    private static LoadReport reportOfPart(long part, int requests) {
         return new LoadReport(true, List.of(), List.of(new PartLoad(part, requests)));
     }
 
@@ -49,18 +49,18 @@
                         backend(SECOND, Backend.State.SERVING)));
     }
 
-    private void share(Instant now) {
+    private void sendPeerUpdate(Instant now) {
         mTable.onPeerLoads(now, mPeer.takePeerUpdate(now));
     }
 
     // Each router saw its own few requests only, and nobody their sum.
     @Test
-    void sumsUpOverRoutersAndPeers() {
-        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 2)));
-        mTable.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 1)));
+    void loadsAreSummedOverRoutersAndPeers() {
+        mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 2)));
+        mTable.onRouterReport(NOW, "r2", fullReport(new BackendLoad(FIRST, 1)));
         mPeer.onRouterReport(
-                NOW, "r3", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
-        share(NOW);
+                NOW, "r3", fullReport(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
+        sendPeerUpdate(NOW);
         LoadDigest digest = digest(mTable);
         assertThat(digest.routers()).isEqualTo(3);
         assertThat(digest.means()).containsExactly(new MeanLoad("svc", 4));
@@ -70,12 +70,12 @@
 
     // What a router had before was added to what it has now.
     @Test
-    void aReportTakesThePlaceOfTheOneBefore() {
+    void fullReportReplacesTheEarlierOne() {
         mPeer.onRouterReport(
-                NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
-        share(NOW);
-        mPeer.onRouterReport(NOW, "r1", report(new BackendLoad(SECOND, 3)));
-        share(NOW.plusMillis(100));
+                NOW, "r1", fullReport(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
+        sendPeerUpdate(NOW);
+        mPeer.onRouterReport(NOW, "r1", fullReport(new BackendLoad(SECOND, 3)));
+        sendPeerUpdate(NOW.plusMillis(100));
         assertThat(mPeer.requests()).isEqualTo(3);
         assertThat(mTable.requests()).isEqualTo(3);
         assertThat(digest(mTable).busy()).containsExactly(new BackendLoad(SECOND, 3));
@@ -83,62 +83,62 @@
 
     // A router told everything with each exchange, whatever had changed.
     @Test
-    void changesAreAddedToWhatIsKnown() {
+    void incrementalReportUpdatesTheListedServers() {
         mTable.onRouterReport(
-                NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
-        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
+                NOW, "r1", fullReport(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
+        mTable.onRouterReport(NOW, "r1", incrementalReport(new BackendLoad(FIRST, 6)));
         assertThat(mTable.requests()).isEqualTo(7);
-        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(SECOND, 0)));
+        mTable.onRouterReport(NOW, "r1", incrementalReport(new BackendLoad(SECOND, 0)));
         assertThat(mTable.requests()).isEqualTo(6);
     }
 
     // Changes of what was not known were taken for all that a router has.
     @Test
-    void changesOfARouterThatIsNotKnownAreNotTaken() {
-        mTable.onRouterReport(NOW, "r1", changes(new BackendLoad(FIRST, 6)));
+    void incrementalReportOfAnUnknownRouterIsIgnored() {
+        mTable.onRouterReport(NOW, "r1", incrementalReport(new BackendLoad(FIRST, 6)));
         assertThat(mTable.requests()).isZero();
         assertThat(mTable.routers()).isZero();
     }
 
     // A router's last requests counted for good after it had ended or gone to another instance.
     @Test
-    void whoIsSilentCountsForNothing() {
-        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 2)));
-        mPeer.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 4)));
-        share(NOW);
-        share(NOW.plusMillis(1000));
-        mTable.expire(NOW.plus(ROUTER_COUNTS_FOR));
+    void silentRoutersAndPeersExpire() {
+        mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 2)));
+        mPeer.onRouterReport(NOW, "r2", fullReport(new BackendLoad(FIRST, 4)));
+        sendPeerUpdate(NOW);
+        sendPeerUpdate(NOW.plusMillis(1000));
+        mTable.expire(NOW.plus(ROUTER_TIMEOUT));
         assertThat(mTable.requests()).isEqualTo(4);
         assertThat(mTable.routers()).isEqualTo(1);
-        mTable.expire(NOW.plusMillis(1000).plus(LoadTable.PEER_COUNTS_FOR));
+        mTable.expire(NOW.plusMillis(1000).plus(LoadTable.PEER_TIMEOUT));
         assertThat(mTable.requests()).isZero();
         assertThat(mTable.routers()).isZero();
     }
 
     // A lost message left two instances apart for good.
     @Test
-    void aLostMessageIsMadeGoodWithinASecond() {
-        mPeer.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 4)));
+    void lostUpdateIsRepairedWithinASecond() {
+        mPeer.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 4)));
         mPeer.takePeerUpdate(NOW);
-        share(NOW.plusMillis(100));
+        sendPeerUpdate(NOW.plusMillis(100));
         assertThat(mTable.requests()).isZero();
-        mPeer.onRouterReport(NOW.plusMillis(900), "r1", report(new BackendLoad(FIRST, 4)));
-        share(NOW.plusMillis(1000));
+        mPeer.onRouterReport(NOW.plusMillis(900), "r1", fullReport(new BackendLoad(FIRST, 4)));
+        sendPeerUpdate(NOW.plusMillis(1000));
         assertThat(mTable.requests()).isEqualTo(4);
     }
 
     // Where one message was lost, a server that had long been full counted as idle for a moment.
     @Test
-    void oneLostMessageHidesNothingMeanwhile() {
+    void singleLostUpdateDoesNotHideLoad() {
         for (int millis = 0; millis <= 10_000; millis += 20) {
             Instant now = NOW.plusMillis(millis);
-            mPeer.onRouterReport(now, "r1", report(new BackendLoad(FIRST, 24)));
+            mPeer.onRouterReport(now, "r1", fullReport(new BackendLoad(FIRST, 24)));
             PeerLoads told = mPeer.takePeerUpdate(now);
             boolean lost = millis / 1000 % 3 == 2;
             if (!told.isEmpty() && !lost) {
                 mTable.onPeerLoads(now, told);
             }
-            mTable.onPeerLoads(now, new PeerLoads("c1", 1, NOTHING_NEW));
+            mTable.onPeerLoads(now, new PeerLoads("c1", 1, NO_CHANGES));
             mTable.expire(now);
             assertThat(mTable.requests()).as("after %d ms", millis).isEqualTo(24);
         }
@@ -146,32 +146,32 @@
 
     // A few changes of a peer's sums were taken for all that its routers have.
     @Test
-    void aPeersRoutersCountOnceItHasToldEverything() {
+    void routersOfAPeerCountAfterItsFirstFullUpdate() {
         BackendLoad load = new BackendLoad(FIRST, 4);
-        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, changes(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, incrementalReport(load)));
         assertThat(digest(mTable).routers()).isZero();
-        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, report(load)));
-        mTable.onPeerLoads(NOW, new PeerLoads("c1", 21, changes(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 20, fullReport(load)));
+        mTable.onPeerLoads(NOW, new PeerLoads("c1", 21, incrementalReport(load)));
         assertThat(digest(mTable).routers()).isEqualTo(21);
     }
 
     // What a router had just reported was not in the answer, and was taken off the load again.
     @Test
-    void anAnswerHasThePresentNumbers() {
-        mTable.onRouterReport(NOW, "r1", report(new BackendLoad(FIRST, 12)));
+    void refreshedDigestHasCurrentLoads() {
+        mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 12)));
         LoadDigest before = digest(mTable);
-        mTable.onRouterReport(NOW, "r2", report(new BackendLoad(FIRST, 10)));
+        mTable.onRouterReport(NOW, "r2", fullReport(new BackendLoad(FIRST, 10)));
         assertThat(mTable.refreshed(before).busy()).containsExactly(new BackendLoad(FIRST, 22));
     }
 
     // Peers were told the same again and again.
     @Test
-    void peersAreToldWhatChanged() {
+    void peerUpdateListsChangesOnce() {
         mPeer.onRouterReport(
-                NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
+                NOW, "r1", fullReport(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         mPeer.takePeerUpdate(NOW);
         Instant next = NOW.plusMillis(100);
-        mPeer.onRouterReport(next, "r1", report(new BackendLoad(FIRST, 4)));
+        mPeer.onRouterReport(next, "r1", fullReport(new BackendLoad(FIRST, 4)));
         assertThat(mPeer.takePeerUpdate(next).sums().servers())
                 .containsExactly(new BackendLoad(SECOND, 0));
         assertThat(mPeer.takePeerUpdate(next).isEmpty()).isTrue();
@@ -179,9 +179,9 @@
 
     // One that leaves, and has few requests left, lowered the mean of those that stay.
     @Test
-    void onlyThoseThatTakeNewWorkCount() {
+    void drainingServersDoNotCount() {
         mTable.onRouterReport(
-                NOW, "r1", report(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
+                NOW, "r1", fullReport(new BackendLoad(FIRST, 4), new BackendLoad(SECOND, 1)));
         LoadDigest digest =
                 mTable.digest(
                         List.of(
@@ -193,10 +193,10 @@
 
     // At hundreds of backend servers an answer to a router grew with all of them.
     @Test
-    void aDigestNamesABoundedNumber() {
+    void digestIsBounded() {
         List<BackendLoad> loads =
                 IntStream.range(0, 1000).mapToObj(i -> new BackendLoad(ref(i), i)).toList();
-        mTable.onRouterReport(NOW, "r1", report(loads.toArray(new BackendLoad[0])));
+        mTable.onRouterReport(NOW, "r1", fullReport(loads.toArray(new BackendLoad[0])));
         LoadDigest digest =
                 mTable.digest(
                         loads.stream()
@@ -208,14 +208,14 @@
 
     // A part that every router saw once looked like any other.
     @Test
-    void aPartThatSeveralRoutersAskForIsHot() {
-        mTable.onRouterReport(NOW, "r1", about(7, 1));
-        mPeer.onRouterReport(NOW, "r2", about(7, 1));
-        share(NOW);
+    void partIsHotIfSeveralRoutersRequestIt() {
+        mTable.onRouterReport(NOW, "r1", reportOfPart(7, 1));
+        mPeer.onRouterReport(NOW, "r2", reportOfPart(7, 1));
+        sendPeerUpdate(NOW);
         assertThat(digest(mTable).hot()).isEmpty();
-        mTable.onRouterReport(NOW, "r3", about(7, 1));
+        mTable.onRouterReport(NOW, "r3", reportOfPart(7, 1));
         assertThat(digest(mTable).hot()).containsExactly(new PartLoad(7, 3));
-        mTable.expire(NOW.plus(ROUTER_COUNTS_FOR));
+        mTable.expire(NOW.plus(ROUTER_TIMEOUT));
         assertThat(digest(mTable).hot()).isEmpty();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
@@ -20,12 +20,12 @@
  */
 final class LoadedFleet {
     private static final int START_MILLIS = 2000;
-    private static final int CONTROLS = 5;
-    private static final int MOST_ARRIVING_TOGETHER = 5;
+    private static final int CONTROL_COUNT = 5;
+    private static final int MAX_BURST = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(12);
 
     /** Popularity of a kind's parts falls with this power of their rank. */
-    private static final double SKEW = 0.3;
+    private static final double POPULARITY_EXPONENT = 0.3;
 
     private static final List<Kind> KINDS =
             List.of(
@@ -54,7 +54,7 @@
     final FleetEngines mEngines;
     final List<FleetRouter> mRouters = new ArrayList<>();
     private double mHotShare;
-    private int mAsked;
+    private int mRequests;
 
     /**
      * A kind of request.
@@ -66,11 +66,12 @@
      * @param output tokens that are generated
      * @param weight its share of all requests
      */
-    private record Kind(int number, int parts, int shared, int own, int output, double weight) {}
+    private record Kind(
+            int number, int parts, int sharedTokens, int ownTokens, int maxTokens, double weight) {}
 
     LoadedFleet(long seed, int routers, int engines) {
         mTime = new VirtualTime(seed);
-        mControls = new FleetControls(mTime, CONTROLS);
+        mControls = new FleetControls(mTime, CONTROL_COUNT);
         mEngines = new FleetEngines(mTime, mControls, engines);
         for (int i = 0; i < routers; i++) {
             mRouters.add(new FleetRouter(mTime, mControls, mEngines, i));
@@ -79,17 +80,17 @@
     }
 
     /** Callers ask from now on, several at the same moment. */
-    void load(double requestsASecond) {
-        int together = random().nextInt(MOST_ARRIVING_TOGETHER) + 1;
+    void startLoad(double requestsASecond) {
+        int together = random().nextInt(MAX_BURST) + 1;
         for (int i = 0; i < together; i++) {
-            ask(kind());
+            submit(randomKind());
         }
         double pause = -Math.log(1 - random().nextDouble()) * 1000 * together / requestsASecond;
-        mTime.after(Math.round(pause), () -> load(requestsASecond));
+        mTime.after(Math.round(pause), () -> startLoad(requestsASecond));
     }
 
     /** From now on this share of the longest prompts is about one and the same part. */
-    void heat(double share) {
+    void makeHot(double share) {
         mHotShare = share;
     }
 
@@ -97,7 +98,7 @@
         return mTime.random();
     }
 
-    private Kind kind() {
+    private Kind randomKind() {
         double at = random().nextDouble();
         for (Kind k : KINDS) {
             at -= k.weight();
@@ -108,28 +109,28 @@
         return KINDS.get(0);
     }
 
-    private void ask(Kind k) {
-        int part = part(k);
+    private void submit(Kind k) {
+        int part = randomPart(k);
         Prompt prompt =
                 new Prompt(
                         List.of(
-                                new Prompt.Part(k.number() * 1000L + part, k.shared()),
-                                new Prompt.Part(1_000_000L + ++mAsked, k.own())),
-                        k.shared() + k.own(),
-                        k.output());
-        byte[] body = ("body " + mAsked).getBytes(StandardCharsets.UTF_8);
+                                new Prompt.Part(k.number() * 1000L + part, k.sharedTokens()),
+                                new Prompt.Part(1_000_000L + ++mRequests, k.ownTokens())),
+                        k.sharedTokens() + k.ownTokens(),
+                        k.maxTokens());
+        byte[] body = ("body " + mRequests).getBytes(StandardCharsets.UTF_8);
         AttemptRequest.Call call = new AttemptRequest.Call("POST", "/x/1", List.of(), body, true);
         RoutedRequest request =
-                new RoutedRequest("q" + mAsked, ROUTE, "acme", 5, TIMEOUT, call, prompt);
+                new RoutedRequest("q" + mRequests, ROUTE, "acme", 5, TIMEOUT, call, prompt);
         mRouters.get(random().nextInt(mRouters.size())).submit(request, code -> {});
     }
 
-    private int part(Kind k) {
+    private int randomPart(Kind k) {
         if (k.number() == 1 && random().nextDouble() < mHotShare) {
             return 0;
         }
         // The inverse of the sum of a power law, close enough for many parts.
-        double at = Math.pow(random().nextDouble(), 1 / (1 - SKEW));
+        double at = Math.pow(random().nextDouble(), 1 / (1 - POPULARITY_EXPONENT));
         return (int) (at * k.parts());
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -15,12 +15,12 @@
 /** What a process believes of requests under which backend servers ended. */
 class CrashTableTest {
     private static final RequestKey KEY = new RequestKey("acme", 7);
-    private static final Instant START = Instant.EPOCH;
-    private static final Duration FIRST_TRIAL = Duration.ofMinutes(10);
+    private static final Instant NOW = Instant.EPOCH;
+    private static final Duration FIRST_TRIAL_DELAY = Duration.ofMinutes(10);
 
-    private final List<Boolean> mChanges = new ArrayList<>();
-    private final CrashTable mTable = new CrashTable("r1", (r, on) -> mChanges.add(on));
-    private Instant mNow = START;
+    private final List<Boolean> mQuarantineChanges = new ArrayList<>();
+    private final CrashTable mTable = new CrashTable("r1", (r, on) -> mQuarantineChanges.add(on));
+    private Instant mNow = NOW;
 
     private static BackendRef server(int number) {
         return new BackendRef("s" + number, number);
@@ -40,12 +40,12 @@
         crash(3);
     }
 
-    private static void tell(Instant now, CrashTable from, CrashTable to) {
+    private static void sendAll(Instant now, CrashTable from, CrashTable to) {
         to.merge(now, from.since(now, 0).records());
     }
 
     @Test
-    void threeDifferentServersEndsAreTheCause() {
+    void crashesOfThreeServersQuarantineARequest() {
         crash(1);
         assertThat(mTable.isSuspect(KEY)).isTrue();
         crash(1);
@@ -56,50 +56,50 @@
         assertThat(mTable.isQuarantined(KEY)).isTrue();
         assertThat(mTable.isQuarantined(new RequestKey("other", 7))).isFalse();
         assertThat(mTable.isQuarantined(new RequestKey("acme", 8))).isFalse();
-        assertThat(mChanges).containsExactly(true);
+        assertThat(mQuarantineChanges).containsExactly(true);
     }
 
     // A request that is often cut off and often served was refused like one that ends servers.
     @Test
-    void aRequestThatIsServedBetweenItsEndsIsNotTheCause() {
+    void requestServedBetweenCrashesIsNotQuarantined() {
         for (int i = 1; i < 100; i++) {
             crash(i);
             crash(100 + i);
             mTable.excuseAll(mNow, KEY);
         }
         assertThat(mTable.isSuspect(KEY)).isFalse();
-        assertThat(mChanges).isEmpty();
+        assertThat(mQuarantineChanges).isEmpty();
     }
 
     // A connection that breaks looks like the end of its server, which lives on.
     @Test
-    void aServerThatAnswersAfterItsEndHadNotEnded() {
+    void answerAfterASupposedCrashExcusesIt() {
         quarantine();
-        mTable.survived(mNow.plusMillis(2), server(2), mNow.plusMillis(1));
+        mTable.onAnswer(mNow.plusMillis(2), server(2), mNow.plusMillis(1));
         assertThat(mTable.isQuarantined(KEY)).isFalse();
-        assertThat(mChanges).containsExactly(true, false);
+        assertThat(mQuarantineChanges).containsExactly(true, false);
     }
 
     @Test
-    void anAnswerThatWasAskedForBeforeTheEndSaysNothing() {
+    void answerToAnEarlierRequestExcusesNothing() {
         quarantine();
-        mTable.survived(mNow.plusMillis(2), server(2), mNow);
-        mTable.survived(mNow.plusMillis(2), new BackendRef("s2", 99), mNow.plusMillis(1));
+        mTable.onAnswer(mNow.plusMillis(2), server(2), mNow);
+        mTable.onAnswer(mNow.plusMillis(2), new BackendRef("s2", 99), mNow.plusMillis(1));
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
 
     // A server that came back under its name, sent requests as before, passed for one that lives.
     @Test
-    void aServerThatStartsAgainUnderItsNameIsNoProof() {
+    void answerOfARestartedServerExcusesNothing() {
         quarantine();
         Instant back = mNow.plusMillis(2500);
-        mTable.survived(back.plusMillis(50), server(2), back);
+        mTable.onAnswer(back.plusMillis(50), server(2), back);
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
 
     // A late message brought back an end that another process had excused.
     @Test
-    void anExcuseHoldsWhateverComesLater() {
+    void excusedCrashStaysExcused() {
         quarantine();
         List<CrashRecord> late = mTable.since(mNow, 0).records();
         mTable.excuseAll(mNow, KEY);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void tellsOnlyWhatIsNew() {
+    void deltaHasOnlyChangedRecords() {
         quarantine();
         long version = mTable.since(mNow, 0).version();
         assertThat(mTable.since(mNow, version).records()).isEmpty();
@@ -119,7 +119,7 @@
 
     // After a loss of many servers at once a message grew with all requests that they had.
     @Test
-    void tellsManyInMessagesOfBoundedSize() {
+    void deltaIsBounded() {
         for (int i = 0; i < 150; i++) {
             mTable.onCrash(mNow, new RequestKey("a" + i, i), "svc", server(1));
         }
@@ -139,9 +139,9 @@
 
     // One account's many requests pushed out what was known of another's.
     @Test
-    void anAccountCantPushOutAnothers() {
+    void accountCannotEvictRecordsOfAnother() {
         quarantine();
-        for (int i = 0; i < 5 * CrashTable.MOST_REQUESTS; i++) {
+        for (int i = 0; i < 5 * CrashTable.MAX_REQUESTS; i++) {
             mTable.onCrash(mNow, new RequestKey("flood", i), "svc", server(i));
         }
         assertThat(mTable.isQuarantined(KEY)).isTrue();
@@ -149,16 +149,16 @@
     }
 
     @Test
-    void manyAccountsPushOutTheLeastTelling() {
+    void leastSuspectRequestsAreEvictedFirst() {
         quarantine();
-        for (int i = 0; i < 2 * CrashTable.MOST_REQUESTS; i++) {
+        for (int i = 0; i < 2 * CrashTable.MAX_REQUESTS; i++) {
             mTable.onCrash(mNow, new RequestKey("a" + i, i), "svc", server(i));
         }
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
 
     @Test
-    void chanceEndsAreForgotten() {
+    void unrelatedCrashesExpire() {
         crash(1);
         crash(2);
         mNow = mNow.plus(Duration.ofMinutes(11));
@@ -169,7 +169,7 @@
     }
 
     @Test
-    void aQuarantinedRequestIsRememberedForADay() {
+    void quarantineLastsForADay() {
         quarantine();
         mNow = mNow.plus(Duration.ofHours(23));
         mTable.expire(mNow);
@@ -177,26 +177,26 @@
         mNow = mNow.plus(Duration.ofHours(2));
         mTable.expire(mNow);
         assertThat(mTable.isEmpty()).isTrue();
-        assertThat(mChanges).containsExactly(true, false);
+        assertThat(mQuarantineChanges).containsExactly(true, false);
     }
 
     // A mended server was never noticed, or each router tried on its own and ended one more.
     @Test
-    void onlyTheRouterThatSawTheLastEndTriesAgain() {
+    void onlyTheRouterThatSawTheLastCrashMakesTrials() {
         CrashTable second = table("r2");
         mTable.onCrash(mNow, KEY, "svc", server(1));
         mTable.onCrash(mNow, KEY, "svc", server(2));
-        tell(mNow, mTable, second);
+        sendAll(mNow, mTable, second);
         second.onCrash(mNow.plusMillis(5), KEY, "svc", server(3));
-        tell(mNow.plusMillis(9), second, mTable);
-        mNow = mNow.plus(FIRST_TRIAL).plusSeconds(1);
+        sendAll(mNow.plusMillis(9), second, mTable);
+        mNow = mNow.plus(FIRST_TRIAL_DELAY).plusSeconds(1);
         assertThat(mTable.takeTrial(mNow, KEY)).isFalse();
         assertThat(second.takeTrial(mNow, KEY)).isTrue();
         assertThat(second.takeTrial(mNow.plusSeconds(1), KEY)).isFalse();
     }
 
     @Test
-    void trialsComeLaterEachTimeAndEndAfterThree() {
+    void trialsStopAfterThree() {
         quarantine();
         int trials = 0;
         for (int minute = 0; minute < 12 * 60; minute++) {
@@ -211,38 +211,38 @@
     }
 
     @Test
-    void aTrialThatIsServedReleasesTheRequestEverywhere() {
+    void servedTrialReleasesTheRequestEverywhere() {
         quarantine();
         CrashTable second = table("r2");
-        tell(mNow, mTable, second);
-        mNow = mNow.plus(FIRST_TRIAL).plusSeconds(1);
+        sendAll(mNow, mTable, second);
+        mNow = mNow.plus(FIRST_TRIAL_DELAY).plusSeconds(1);
         assertThat(mTable.takeTrial(mNow, KEY)).isTrue();
         mTable.excuseAll(mNow, KEY);
-        tell(mNow, mTable, second);
+        sendAll(mNow, mTable, second);
         assertThat(second.isQuarantined(KEY)).isFalse();
     }
 
     // Processes that had the same messages in another order disagreed for good.
     @Property(tries = 300, seed = "3301")
-    void processesThatToldEachOtherEverythingAgree(@ForAll long seed) {
+    void processesThatExchangedEverythingAgree(@ForAll long seed) {
         Random random = new Random(seed);
         List<CrashTable> tables = List.of(table("r1"), table("r2"), table("c1"));
-        Instant now = START;
+        Instant now = NOW;
         for (int step = 0; step < 60; step++) {
             now = now.plusMillis(random.nextInt(500));
             CrashTable t = tables.get(random.nextInt(tables.size()));
             RequestKey key = new RequestKey("a", random.nextInt(3));
             switch (random.nextInt(6)) {
                 case 0 -> t.excuseAll(now, key);
-                case 1 -> t.survived(now, server(random.nextInt(5)), now);
-                case 2 -> tell(now, t, tables.get(random.nextInt(tables.size())));
+                case 1 -> t.onAnswer(now, server(random.nextInt(5)), now);
+                case 2 -> sendAll(now, t, tables.get(random.nextInt(tables.size())));
                 default -> t.onCrash(now, key, "svc", server(random.nextInt(5)));
             }
         }
         for (int round = 0; round < 2; round++) {
             for (CrashTable from : tables) {
                 for (CrashTable to : tables) {
-                    tell(now, from, to);
+                    sendAll(now, from, to);
                 }
             }
         }
