--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
@@ -27,22 +27,22 @@
     static final String CRASHING_BODY = "crash";
 
     /** A request whose answers can't be taken, of servers that live on. */
-    static final String SPOILED_BODY = "spoil";
+    static final String INVALID_ANSWER_BODY = "spoil";
 
-    private static final int ANNOUNCE_MILLIS = 1200;
+    private static final int ANNOUNCE_INTERVAL_MILLIS = 1200;
     private static final int DOWN_MILLIS = 2500;
-    private static final int LEAST_CRASH_MILLIS = 40;
-    private static final int MOST_CRASH_MILLIS = 200;
-    private static final int LEAST_RUN_MILLIS = 50;
-    private static final int MOST_RUN_MILLIS = 800;
-    private static final int MOST_TRANSIT_MILLIS = 3;
+    private static final int MIN_CRASH_MILLIS = 40;
+    private static final int MAX_CRASH_MILLIS = 200;
+    private static final int MIN_RUN_MILLIS = 50;
+    private static final int MAX_RUN_MILLIS = 800;
+    private static final int MAX_TRANSIT_MILLIS = 3;
     private static final AnswerMetadata GENUINE =
             new AnswerMetadata(false, false, true, Optional.empty());
 
-    private static final AnswerMetadata SPOILED =
+    private static final AnswerMetadata INVALID =
             new AnswerMetadata(false, false, false, Optional.empty());
 
-    private static final AnswerMetadata OTHER_SERVER =
+    private static final AnswerMetadata MISDIRECTED =
             new AnswerMetadata(true, true, true, Optional.empty());
 
     private final VirtualTime mTime;
@@ -51,9 +51,9 @@
     private final List<Long> mCrashes = new ArrayList<>();
     private final List<Long> mCrashingArrivals = new ArrayList<>();
     private int mStarts;
-    private boolean mMended;
-    private AnswerMetadata mCrashingFacts = GENUINE;
-    private int mSpoiledCuts;
+    private boolean mRepaired;
+    private AnswerMetadata mCrashingMetadata = GENUINE;
+    private int mInvalidAnswerCutPercent;
 
     FleetServers(VirtualTime time, FleetControls controls, int count) {
         mTime = time;
@@ -61,31 +61,31 @@
         for (int i = 0; i < count; i++) {
             start("10.0.0." + i + ":80");
         }
-        time.every(ANNOUNCE_MILLIS, () -> mByAddress.values().forEach(this::announce));
+        time.every(ANNOUNCE_INTERVAL_MILLIS, () -> mByAddress.values().forEach(this::announce));
     }
 
     /** From now on the crashing request is run like any other. */
-    void mend() {
-        mMended = true;
+    void repair() {
+        mRepaired = true;
     }
 
     /** From now on a server that ends has first sent the head of an answer that can't be taken. */
-    void spoilCrashingAnswers() {
-        mCrashingFacts = SPOILED;
+    void invalidateCrashingAnswers() {
+        mCrashingMetadata = INVALID;
     }
 
     /** From now on a share of the spoiled answers is cut by the servers, which live on. */
-    void cutSpoiledAnswers(int percent) {
-        mSpoiledCuts = percent;
+    void cutInvalidAnswers(int percent) {
+        mInvalidAnswerCutPercent = percent;
     }
 
     /** When servers ended under the crashing request, in milliseconds. */
-    List<Long> crashes() {
+    List<Long> crashTimes() {
         return mCrashes;
     }
 
     /** When the crashing request reached servers, in milliseconds. */
-    List<Long> crashingArrivals() {
+    List<Long> crashingArrivalTimes() {
         return mCrashingArrivals;
     }
 
@@ -93,7 +93,7 @@
     void crashOne() {
         List<Server> all = List.copyOf(mByAddress.values());
         if (!all.isEmpty()) {
-            end(all.get(mTime.random().nextInt(all.size())));
+            crash(all.get(mTime.random().nextInt(all.size())));
         }
     }
 
@@ -104,11 +104,11 @@
 
     @Override
     public void cancel(long call, Consumer<DirectEvent> events) {
-        mByAddress.values().forEach(s -> s.mRuns.remove(new RunId(events, call)));
+        mByAddress.values().forEach(s -> s.mCalls.remove(new CallId(events, call)));
     }
 
     private void transit(Runnable arrival) {
-        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MAX_TRANSIT_MILLIS, arrival);
     }
 
     private void start(String address) {
@@ -138,18 +138,18 @@
             DirectEvent refused = new DirectEvent.Failed(call.call(), failure, "refused");
             transit(() -> events.accept(refused));
         } else if (!s.mRef.equals(call.backend())) {
-            answer(call, 421, OTHER_SERVER, events);
+            answer(call, 421, MISDIRECTED, events);
         } else {
-            answer(call, 200, facts(call), events);
-            run(s, call, new RunId(events, call.call()));
+            answer(call, 200, metadata(call), events);
+            run(s, call, new CallId(events, call.call()));
         }
     }
 
-    private AnswerMetadata facts(DirectEffect.BeginCall call) {
-        if (isCrashing(call) && !mMended) {
-            return mCrashingFacts;
+    private AnswerMetadata metadata(DirectEffect.BeginCall call) {
+        if (isCrashing(call) && !mRepaired) {
+            return mCrashingMetadata;
         }
-        return hasBody(call, SPOILED_BODY) ? SPOILED : GENUINE;
+        return hasBody(call, INVALID_ANSWER_BODY) ? INVALID : GENUINE;
     }
 
     private void answer(
@@ -161,18 +161,19 @@
         transit(() -> events.accept(head));
     }
 
-    private void run(Server s, DirectEffect.BeginCall call, RunId id) {
-        s.mRuns.add(id);
+    private void run(Server s, DirectEffect.BeginCall call, CallId id) {
+        s.mCalls.add(id);
         boolean crashing = isCrashing(call);
         if (crashing) {
             mCrashingArrivals.add(mTime.millis());
         }
-        if (crashing && !mMended) {
-            mTime.afterRandomDelay(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> crash(s, id));
-        } else if (hasBody(call, SPOILED_BODY) && mTime.random().nextInt(100) < mSpoiledCuts) {
-            mTime.afterRandomDelay(LEAST_CRASH_MILLIS, MOST_CRASH_MILLIS, () -> cut(s, id));
+        if (crashing && !mRepaired) {
+            mTime.afterRandomDelay(MIN_CRASH_MILLIS, MAX_CRASH_MILLIS, () -> crashUnder(s, id));
+        } else if (hasBody(call, INVALID_ANSWER_BODY)
+                && mTime.random().nextInt(100) < mInvalidAnswerCutPercent) {
+            mTime.afterRandomDelay(MIN_CRASH_MILLIS, MAX_CRASH_MILLIS, () -> cutConnection(s, id));
         } else {
-            mTime.afterRandomDelay(LEAST_RUN_MILLIS, MOST_RUN_MILLIS, () -> finish(s, id));
+            mTime.afterRandomDelay(MIN_RUN_MILLIS, MAX_RUN_MILLIS, () -> finish(s, id));
         }
     }
 
@@ -184,51 +185,51 @@
         return new String(call.request().call().body(), StandardCharsets.UTF_8).equals(body);
     }
 
-    private void finish(Server s, RunId id) {
-        if (s.mRuns.remove(id)) {
+    private void finish(Server s, CallId id) {
+        if (s.mCalls.remove(id)) {
             transit(() -> id.events().accept(new DirectEvent.Finished(id.call())));
         }
     }
 
     /** The server ends the connection alone, and goes on with all else. */
-    private void cut(Server s, RunId id) {
-        if (s.mRuns.remove(id)) {
-            transit(() -> id.events().accept(lost(id)));
+    private void cutConnection(Server s, CallId id) {
+        if (s.mCalls.remove(id)) {
+            transit(() -> id.events().accept(connectionLost(id)));
         }
     }
 
-    private static DirectEvent lost(RunId id) {
+    private static DirectEvent connectionLost(CallId id) {
         DirectEvent.Failure failure = DirectEvent.Failure.CONNECTION_LOST;
         return new DirectEvent.Failed(id.call(), failure, "the connection ended");
     }
 
     /** One whose answer is spoiled is beyond saving, whether its router waits or not. */
-    private void crash(Server s, RunId id) {
-        boolean runs = s.mRuns.contains(id) || !mCrashingFacts.genuine();
+    private void crashUnder(Server s, CallId id) {
+        boolean runs = s.mCalls.contains(id) || !mCrashingMetadata.genuine();
         if (runs && mByAddress.get(s.mAddress) == s) {
             mCrashes.add(mTime.millis());
-            end(s);
+            crash(s);
         }
     }
 
-    private void end(Server s) {
+    private void crash(Server s) {
         if (mByAddress.remove(s.mAddress, s)) {
-            List<RunId> cut = List.copyOf(s.mRuns);
-            s.mRuns.clear();
-            for (RunId id : cut) {
-                transit(() -> id.events().accept(lost(id)));
+            List<CallId> cut = List.copyOf(s.mCalls);
+            s.mCalls.clear();
+            for (CallId id : cut) {
+                transit(() -> id.events().accept(connectionLost(id)));
             }
             mTime.after(DOWN_MILLIS, () -> start(s.mAddress));
         }
     }
 
     /** A call of a router, which its events go back to. */
-    private record RunId(Consumer<DirectEvent> events, long call) {}
+    private record CallId(Consumer<DirectEvent> events, long call) {}
 
     private static final class Server {
         private final BackendRef mRef;
         private final String mAddress;
-        private final Set<RunId> mRuns = new LinkedHashSet<>();
+        private final Set<CallId> mCalls = new LinkedHashSet<>();
         private int mAnnouncements;
 
         Server(BackendRef ref, String address) {
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
@@ -17,26 +17,26 @@
 
 /** Control instances, routers and backend servers in virtual time, and callers that ask them. */
 final class RoutedFleet {
-    static final int ROUTERS = 9;
-    static final int CONTROLS = 3;
+    static final int ROUTER_COUNT = 9;
+    static final int CONTROL_COUNT = 3;
     private static final String ACCOUNT = "acme";
-    private static final int SERVERS = 6;
+    private static final int SERVER_COUNT = 6;
     private static final int START_MILLIS = 2000;
-    private static final int LEAST_RETURN_MILLIS = 20;
-    private static final int MOST_RETURN_MILLIS = 200;
+    private static final int MIN_RETRY_MILLIS = 20;
+    private static final int MAX_RETRY_MILLIS = 200;
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
     final VirtualTime mTime;
     final FleetControls mControls;
     final FleetServers mServers;
     final List<FleetRouter> mRouters = new ArrayList<>();
-    private int mAsked;
+    private int mRequests;
 
     RoutedFleet(long seed) {
         mTime = new VirtualTime(seed);
-        mControls = new FleetControls(mTime, CONTROLS);
-        mServers = new FleetServers(mTime, mControls, SERVERS);
-        for (int i = 0; i < ROUTERS; i++) {
+        mControls = new FleetControls(mTime, CONTROL_COUNT);
+        mServers = new FleetServers(mTime, mControls, SERVER_COUNT);
+        for (int i = 0; i < ROUTER_COUNT; i++) {
             mRouters.add(new FleetRouter(mTime, mControls, mServers, i));
         }
         mTime.advance(START_MILLIS);
@@ -66,31 +66,37 @@
     }
 
     /** What a request is known by, whoever of the account sends it. */
-    static RequestKey keyOf(Route route, String body) {
+    static RequestKey requestKey(Route route, String body) {
         return RequestKey.of(ACCOUNT, call(route, body));
     }
 
     /** A caller asks any router. */
-    void ask(Route route, String body, Consumer<ResultCode> answer) {
+    void submit(Route route, String body, Consumer<ResultCode> answer) {
         RoutedRequest request =
                 new RoutedRequest(
-                        "q" + ++mAsked, route, ACCOUNT, 5, TIMEOUT, call(route, body), Prompt.NONE);
-        mRouters.get(mTime.random().nextInt(ROUTERS)).submit(request, answer);
+                        "q" + ++mRequests,
+                        route,
+                        ACCOUNT,
+                        5,
+                        TIMEOUT,
+                        call(route, body),
+                        Prompt.NONE);
+        mRouters.get(mTime.random().nextInt(ROUTER_COUNT)).submit(request, answer);
     }
 
     /** A caller asks with a body that nobody else sends, and comes again once if it fails. */
-    void askAlone(Route route, Consumer<ResultCode> answer) {
-        String body = "body " + mAsked;
-        ask(
+    void submitUnique(Route route, Consumer<ResultCode> answer) {
+        String body = "body " + mRequests;
+        submit(
                 route,
                 body,
                 code -> {
                     answer.accept(code);
                     if (code != ResultCode.OK) {
                         mTime.afterRandomDelay(
-                                LEAST_RETURN_MILLIS,
-                                MOST_RETURN_MILLIS,
-                                () -> ask(route, body, answer));
+                                MIN_RETRY_MILLIS,
+                                MAX_RETRY_MILLIS,
+                                () -> submit(route, body, answer));
                     }
                 });
     }
