--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ActiveRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ActiveRequest.java
@@ -10,7 +10,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.quarantine.RequestKey;
 
-/** One caller's request from its arrival to its final answer, with the call under way. */
+/** State of a caller's request from its arrival to its final answer, with the current call. */
 final class ActiveRequest {
     private static final BackendRef NO_BACKEND = new BackendRef("", 0);
 
@@ -20,36 +20,39 @@
     final Instant mDeadline;
     final EventFramer mFramer = new EventFramer();
 
-    /** Backend servers that were tried, the present one included. */
+    /** Ids of the backend servers that were called, including the current one. */
     final Set<String> mTriedServers = new HashSet<>();
 
-    /** The call under way, or 0. */
+    /** The current call to a backend server, or 0 if there is none. */
     long mCall;
 
-    /** The backend server of the present or the last call. */
+    /** The backend server of the current or, if there is none, of the last call. */
     BackendRef mBackend = NO_BACKEND;
 
-    /** When the present or the last call began. */
+    /** Start of the current or, if there is none, of the last call. */
     Instant mCallStart = Instant.MIN;
 
+    /** Start of the time of silence after which the call counts as stalled. */
     Instant mLastActivity = Instant.MIN;
 
-    /** Backend servers that may have received the request. */
-    int mAttempts;
+    /** Number of calls that may have reached a backend server. */
+    int mAttemptCount;
 
-    /** Whether some backend server may have run the request. */
+    /** Whether any backend server may have run the request. */
     boolean mMayHaveRun;
 
-    /** Whether the last call met another server than the one it was meant for. */
+    /**
+     * Whether the last call reached another server than intended, because its address was reused.
+     */
     boolean mMisdirected;
 
-    /** Whether the present call's answer has begun. */
+    /** Whether the head of the current call's answer has arrived. */
     boolean mHeadReceived;
 
-    /** Whether the caller has been sent the head of a stream. */
+    /** Whether the head of a streamed answer has been sent to the caller. */
     boolean mHeadSent;
 
-    /** Whether nobody waits for the answer any more. */
+    /** Whether the caller has disconnected while the call continues; its answer is dropped. */
     boolean mDetached;
 
     int mStatus;
@@ -68,7 +71,7 @@
         return mRequest.route();
     }
 
-    /** Returns what the request is known by when it comes again. */
+    /** Returns the key that identifies the request when a caller sends it again. */
     RequestKey key() {
         if (mKey == null) {
             mKey = RequestKey.of(mRequest.account(), mRequest.call());
@@ -76,7 +79,7 @@
         return mKey;
     }
 
-    /** Returns the id of the prompt's shared part, 0 without a prompt. */
+    /** Returns the id of the prompt's shared part, or 0 if the request has no prompt. */
     long sharedPartId() {
         Prompt prompt = mRequest.prompt();
         return prompt.isPresent() ? prompt.sharedPart().id() : 0;
@@ -86,11 +89,12 @@
         return Duration.between(now, mDeadline);
     }
 
-    /** Returns whether the present answer is passed on event by event. */
+    /** Returns whether the current answer is a successful stream, forwarded event by event. */
     boolean isStreaming() {
         return route().streamed() && mStatus / 100 == 2;
     }
 
+    /** Records the start of a call and resets the state of the previous answer. */
     void startCall(long call, BackendRef backend, Instant now) {
         mCall = call;
         mBackend = backend;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerMetadata.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/AnswerMetadata.java
@@ -3,21 +3,22 @@
 import java.util.Optional;
 
 /**
- * What the head of an answer says beyond its status.
+ * What the head of a backend server's answer says in addition to its status and headers.
  *
- * @param notRun whether the backend server says that it did not run the request
- * @param misdirected whether the one that answered is not the one that was meant
- * @param genuine whether the answer bears the marks of an answer to this very request
- * @param load what the backend server tells of its load
+ * @param notRun whether the backend server states that it did not run the request and will not
+ * @param misdirected whether another backend server than the intended one answered
+ * @param genuine whether the answer belongs to this request; a successful answer also has to carry
+ *     the seal of the backend server
+ * @param load the load that the backend server reports, if it does
  */
 public record AnswerMetadata(
         boolean notRun, boolean misdirected, boolean genuine, Optional<ReportedLoad> load) {
     /**
-     * A backend server's load as it answered.
+     * The load of a backend server at the time of the answer.
      *
-     * @param running requests that it runs, this one perhaps included
+     * @param running requests that it runs, possibly including the answered one
      * @param waiting requests in its queue
-     * @param slots requests that it runs at once
+     * @param slots maximum number of requests that it runs concurrently
      */
     public record ReportedLoad(int running, int waiting, int slots) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Attempts.java
@@ -9,10 +9,12 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * The calls to backend servers that are under way: chooses who gets the next one, and ends them.
+ * Starts, switches and cancels the calls to backend servers, and finds the request of each call.
+ *
+ * <p>Every call counts in the load estimates from its start to its end.
  */
 final class Attempts {
-    /** Below this a further attempt can't bring an answer any more: a round trip and some work. */
+    /** An attempt needs at least this long for a round trip and some work. */
     private static final Duration MIN_TIME_LEFT = Duration.ofMillis(40);
 
     private final BackendSource mBackends;
@@ -27,60 +29,61 @@
     private Consumer<? super DirectEffect> mEffects;
 
     Attempts(
-            BackendSource source,
+            BackendSource backends,
             LoadEstimator loads,
             ServerChoice choice,
-            FetchSource fetches,
+            FetchSource fetchSource,
             FleetRetryBudget budget,
-            RequestDecisions reports) {
-        mBackends = source;
+            RequestDecisions decisions) {
+        mBackends = backends;
         mLoads = loads;
         mChoice = choice;
-        mFetchSource = fetches;
+        mFetchSource = fetchSource;
         mBudget = budget;
-        mDecisions = reports;
+        mDecisions = decisions;
     }
 
-    /** Begins a step of the reducer. */
+    /** Sets the time and the receiver of effects for one step of the reducer. */
     void beginStep(Instant now, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
-    /** Returns the request that a call is made for, or null where the call is over. */
-    ActiveRequest byCall(long call) {
+    /** Returns the request of a call, or null if the call has ended. */
+    ActiveRequest requestOf(long call) {
         return mByCall.get(call);
     }
 
     /**
-     * Sends the request to a server that has not had it, if there is one and a repeat is due.
+     * Sends the request to a backend server that has not been tried yet.
      *
-     * @return whether it was sent
+     * @return whether it was sent; false if too little time or no attempt is left, if no server is
+     *     available, or if the retry budget is used up
      */
     boolean startNext(ActiveRequest r) {
-        boolean inTime = r.timeLeft(mNow).compareTo(MIN_TIME_LEFT) >= 0;
-        if (!inTime || r.mAttempts >= r.route().maxAttempts()) {
+        boolean hasTime = r.timeLeft(mNow).compareTo(MIN_TIME_LEFT) >= 0;
+        if (!hasTime || r.mAttemptCount >= r.route().maxAttempts()) {
             return false;
         }
-        Optional<ServerChoice.Choice> chosen = mChoice.choose(r, mNow);
-        if (chosen.isEmpty()) {
+        Optional<ServerChoice.Choice> choice = mChoice.choose(r, mNow);
+        if (choice.isEmpty()) {
             return false;
         }
-        Backend backend = mBackends.backend(chosen.get().server().id());
-        if (backend == null || (r.mAttempts > 0 && !mBudget.trySpend(r.mService, mNow))) {
+        Backend backend = mBackends.backend(choice.get().server().id());
+        if (backend == null || (r.mAttemptCount > 0 && !mBudget.trySpend(r.mService, mNow))) {
             return false;
         }
-        start(r, backend, chosen.get());
+        start(r, backend, choice.get());
         return true;
     }
 
-    private void start(ActiveRequest r, Backend backend, ServerChoice.Choice chosen) {
+    private void start(ActiveRequest r, Backend backend, ServerChoice.Choice choice) {
         r.startCall(++mLastCall, backend.ref(), mNow);
-        r.mAttempts++;
+        r.mAttemptCount++;
         mByCall.put(r.mCall, r);
         mLoads.onRequestSent(backend.ref(), r.sharedPartId());
         String fetchFrom = mFetchSource.addressFor(r, backend.ref(), mNow);
-        mEffects.accept(mDecisions.serverChosen(r, chosen, fetchFrom, mNow));
+        mEffects.accept(mDecisions.serverChosen(r, choice, fetchFrom, mNow));
         mEffects.accept(
                 new DirectEffect.BeginCall(
                         r.mCall,
@@ -93,10 +96,10 @@
     }
 
     /**
-     * Sends the request to another server and ends the present call; the call goes on where no
-     * other server takes the request.
+     * Sends the request to another server and cancels the current call. The current call continues
+     * if the request cannot be sent to another server.
      *
-     * @return whether another one took it
+     * @return whether the request was sent to another server
      */
     boolean switchServer(ActiveRequest r) {
         long call = r.mCall;
@@ -111,7 +114,7 @@
         return false;
     }
 
-    /** The present call is over; events that still come from it belong to no request. */
+    /** Ends the current call, if any, without an effect. Later events of the call are ignored. */
     void end(ActiveRequest r) {
         if (r.mCall != 0) {
             mByCall.remove(r.mCall);
@@ -120,7 +123,7 @@
         }
     }
 
-    /** Ends the present call, if there is one. */
+    /** Cancels the current call, if any. */
     void cancel(ActiveRequest r) {
         if (r.mCall != 0) {
             mEffects.accept(new DirectEffect.CancelCall(r.mCall));
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/BackendSource.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/BackendSource.java
@@ -3,11 +3,11 @@
 import org.laurelweir.membership.Backend;
 import org.laurelweir.placement.ServiceView;
 
-/** The backend servers as the router knows them. */
+/** Supplies the backend servers that the router knows from announcements. */
 public interface BackendSource {
-    /** Returns a service's backend servers. */
+    /** Returns the backend servers of a service; empty if the service is unknown. */
     ServiceView view(String service);
 
-    /** Returns a backend server as last announced, or null if it is not known. */
+    /** Returns the latest announcement of a backend server, or null if it is unknown. */
     Backend backend(String id);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/CrashGuard.java
@@ -5,9 +5,9 @@
 import org.laurelweir.quarantine.CrashTable;
 
 /**
- * Notes under which requests backend servers end, and keeps those that cause it away from them: not
- * remembered beyond its answer, such a request would end one server after the other for as long as
- * it comes, and cut the requests of everyone else there.
+ * Records which requests were running when a backend server crashed, and rejects the requests that
+ * cause crashes. The record outlives the request: otherwise a request that is sent again and again
+ * would crash one server after the other, and each crash would cut all other requests there.
  */
 final class CrashGuard {
     private final CrashTable mCrashes;
@@ -16,7 +16,10 @@
         mCrashes = crashes;
     }
 
-    /** Returns whether a request that arrives must not be sent. */
+    /**
+     * Returns whether an arriving request is quarantined and must be rejected. A quarantined
+     * request is accepted if a trial is due; that trial is then used up.
+     */
     boolean shouldReject(ActiveRequest r, Instant now) {
         return !mCrashes.isEmpty()
                 && mCrashes.isQuarantined(r.key())
@@ -24,10 +27,11 @@
     }
 
     /**
-     * Notes that a backend server's connection ended before its answer was whole.
+     * Records that a backend server closed the connection before its answer was complete, which
+     * counts as a crash.
      *
-     * @return whether the request may be sent to another one: not if some backend server had ended
-     *     under it before, since it would then end the next one too
+     * @return whether the request may be sent to another server; false if an earlier crash under
+     *     this request is not excused, because the request may crash the next server too
      */
     boolean onConnectionLost(ActiveRequest r, BackendRef server, Instant now) {
         boolean suspect = isSuspect(r);
@@ -35,17 +39,17 @@
         return !suspect;
     }
 
-    /** Returns whether some backend server ended under a request that may have caused it. */
+    /** Returns whether the request may have caused an earlier crash. */
     boolean isSuspect(ActiveRequest r) {
         return !mCrashes.isEmpty() && mCrashes.isSuspect(r.key());
     }
 
-    /** Notes that a backend server has begun to answer. */
+    /** Records that the current backend server answered, which may excuse a supposed crash. */
     void onHeadReceived(ActiveRequest r, Instant now) {
         mCrashes.onAnswer(now, r.mBackend, r.mCallStart);
     }
 
-    /** Notes that a request has been served. */
+    /** Records that a request was served successfully, which excuses its crashes. */
     void onServed(ActiveRequest r, Instant now) {
         if (!mCrashes.isEmpty()) {
             mCrashes.excuseAll(now, r.key());
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
@@ -7,16 +7,19 @@
 import org.laurelweir.lib.Decision;
 import org.laurelweir.lib.ResultCode;
 
-/** What the shell has to do for requests that are routed without sidecars. */
+/** An action that {@link DirectRouting} requests from the process. */
 public sealed interface DirectEffect {
     /**
-     * Call a backend server.
+     * Send a request to a backend server.
      *
-     * @param call names the call in events and effects
-     * @param backend the backend server; another one at the address must not run the request
-     * @param address where it listens
-     * @param timeLeft how long the backend server may work
-     * @param resumeAfter the id of the last event that the caller has, or empty to begin anew
+     * @param call the number of the call in events and effects
+     * @param backend the intended backend server; any other server at the address must not run the
+     *     request
+     * @param address the host and port that the backend server listens on
+     * @param request the request to send
+     * @param timeLeft time until the request's deadline
+     * @param resumeAfter the id of the last event that was sent to the caller, or empty for an
+     *     answer from the start
      * @param fetchFrom address of another backend server from which this one should fetch cached
      *     parts of the prompt, or empty for none
      */
@@ -30,30 +33,33 @@
             String fetchFrom)
             implements DirectEffect {}
 
-    /** End a call by closing its connection, which makes the backend server stop its work. */
+    /**
+     * Cancel a call by closing its connection, which makes the backend server abort the request.
+     */
     record CancelCall(long call) implements DirectEffect {}
 
-    /** Answer the caller with a whole answer of a backend server. */
+    /** Send the caller a complete answer of a backend server. */
     record AnswerWhole(long caller, int status, List<Header> headers, byte[] body)
             implements DirectEffect {}
 
-    /** Begin a streamed answer. */
+    /** Send the caller the head of a streamed answer. */
     record AnswerHead(long caller, int status, List<Header> headers) implements DirectEffect {}
 
-    /** Send the caller the next piece of a streamed answer. */
+    /** Send the caller the next data of a streamed answer. */
     record AnswerData(long caller, byte[] bytes) implements DirectEffect {}
 
-    /** The streamed answer is whole. */
+    /** End a streamed answer that is complete. */
     record AnswerEnd(long caller) implements DirectEffect {}
 
     /**
-     * Answer with an error; after the head was sent, the shell cuts the connection instead.
+     * Answer the caller with an error. If the head of a stream has been sent already, the process
+     * closes the connection instead.
      *
-     * @param retryAfter when to come back, or zero for no advice
+     * @param retryAfter the delay after which the caller should retry, or zero for no advice
      */
     record AnswerError(long caller, ResultCode code, String message, Duration retryAfter)
             implements DirectEffect {}
 
-    /** Log a decision and keep it for {@code explain}. */
+    /** Write a decision to the log and keep it for the {@code explain} command. */
     record LogDecision(Decision decision) implements DirectEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
@@ -3,41 +3,41 @@
 import java.util.List;
 import org.laurelweir.attempt.Header;
 
-/** What happens to requests that are routed without sidecars. Calls are numbered by the reducer. */
+/** An input of {@link DirectRouting}, which assigns the numbers of calls. */
 public sealed interface DirectEvent {
-    /** A caller's request has been read whole. */
+    /** A caller's request has been received completely. */
     record Arrived(long caller, RoutedRequest request) implements DirectEvent {}
 
-    /** The caller hung up. */
+    /** The caller closed its connection. */
     record CallerGone(long caller) implements DirectEvent {}
 
-    /** The head of a backend server's answer arrived. */
-    record HeadReceived(long call, int status, List<Header> headers, AnswerMetadata facts)
+    /** The head of a backend server's answer has arrived. */
+    record HeadReceived(long call, int status, List<Header> headers, AnswerMetadata metadata)
             implements DirectEvent {}
 
-    /** A piece of the answer's body arrived. */
+    /** A piece of the answer's body has arrived. */
     record DataReceived(long call, byte[] bytes) implements DirectEvent {}
 
-    /** The answer is whole, by the rules of HTTP. */
+    /** The answer is complete by the rules of HTTP. */
     record Finished(long call) implements DirectEvent {}
 
-    /** How far a call came that ended without a whole answer. */
+    /** How a call ended that has no complete answer. */
     enum Failure {
-        /** No byte of it reached the backend server. */
+        /** No byte of the request was sent to the backend server. */
         NOT_SENT,
-        /** The connection ended on the backend server's side while it had the request. */
+        /** The backend server closed the connection after it may have received the request. */
         CONNECTION_LOST,
-        /** It may have reached the backend server, and was ended on this side. */
+        /** This router aborted the call after the backend server may have received the request. */
         ABANDONED
     }
 
     /**
-     * The call ended without a whole answer.
+     * The call ended without a complete answer.
      *
-     * @param message why, for the log
+     * @param message the reason, for the log and the caller
      */
     record Failed(long call, Failure failure, String message) implements DirectEvent {}
 
-    /** Time has passed. */
+    /** Time has passed; sent regularly. */
     record Tick() implements DirectEvent {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -14,11 +14,14 @@
 import org.laurelweir.quarantine.CrashTable;
 
 /**
- * Decides for requests that are routed without sidecars: the router itself chooses the backend
- * server, follows its answer and repeats what may be repeated.
+ * Routes requests to backend servers that have no sidecar: the router chooses the backend server,
+ * forwards its answer, and retries the request where the route permits it.
  */
 public final class DirectRouting implements Reducer<DirectEvent, DirectEffect> {
-    /** How often requests in flight are looked at; what they are held to is ten times as long. */
+    /**
+     * Interval of the checks for deadlines and stalls. The times that are checked are ten times as
+     * long or longer.
+     */
     private static final Duration SCAN_INTERVAL = Duration.ofMillis(10);
 
     private static final Duration PRUNE_INTERVAL = Duration.ofSeconds(30);
@@ -43,36 +46,36 @@
     private Consumer<? super DirectEffect> mEffects;
 
     /**
-     * Creates the routing of a router that has just started.
+     * Creates the routing without any request.
      *
-     * @param source the backend servers as the router knows them
-     * @param routers how many routers serve, 0 if not known
-     * @param limits what the fleet may repeat
-     * @param crashes under which requests backend servers ended
-     * @param loads what is believed of the backend servers' load
-     * @param seed of random choices
+     * @param backends the backend servers that the router knows
+     * @param routerCount supplies the number of routers in the fleet, 0 if unknown
+     * @param limits limits of the retries of all routers
+     * @param crashes the crashes of backend servers and the requests that were running then
+     * @param loads the estimated loads of the backend servers
+     * @param seed seed of the random choices
      */
     public DirectRouting(
-            BackendSource source,
-            IntSupplier routers,
+            BackendSource backends,
+            IntSupplier routerCount,
             RetryLimits limits,
             CrashTable crashes,
             LoadEstimator loads,
             long seed) {
-        mBackends = source;
+        mBackends = backends;
         mLoads = loads;
         mCrashGuard = new CrashGuard(crashes);
-        mChoice = new ServerChoice(source, mServers, loads, seed);
-        mBudget = new FleetRetryBudget(limits, routers);
+        mChoice = new ServerChoice(backends, mServers, loads, seed);
+        mBudget = new FleetRetryBudget(limits, routerCount);
         mRandom = new SplittableRandom(seed + 1);
         mDecisions = new RequestDecisions();
         mInvalidAnswers = new InvalidAnswerCalls(loads, mCrashGuard, mDecisions);
-        FetchSource fetches = new FetchSource(source, mServers, mHolders);
-        mAttempts = new Attempts(source, loads, mChoice, fetches, mBudget, mDecisions);
+        FetchSource fetchSource = new FetchSource(backends, mServers, mHolders);
+        mAttempts = new Attempts(backends, loads, mChoice, fetchSource, mBudget, mDecisions);
         mErrorAnswers = new ErrorAnswers(mChoice, mAttempts, mDecisions, new RetryDelays(seed + 2));
     }
 
-    /** Returns whether no request is under way. */
+    /** Returns whether no request is in flight. */
     public boolean isIdle() {
         return mByCaller.isEmpty();
     }
@@ -91,15 +94,15 @@
         } else if (event instanceof DirectEvent.CallerGone e) {
             withRequest(mByCaller.get(e.caller()), this::onCallerGone);
         } else if (event instanceof DirectEvent.HeadReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onHeadReceived(r, e));
+            withRequest(mAttempts.requestOf(e.call()), r -> onHeadReceived(r, e));
         } else if (event instanceof DirectEvent.DataReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onDataReceived(r, e.bytes()));
+            withRequest(mAttempts.requestOf(e.call()), r -> onDataReceived(r, e.bytes()));
         } else if (event instanceof DirectEvent.Finished e) {
             mInvalidAnswers.onFinished(e.call());
-            withRequest(mAttempts.byCall(e.call()), this::onFinished);
+            withRequest(mAttempts.requestOf(e.call()), this::onFinished);
         } else if (event instanceof DirectEvent.Failed e) {
             mInvalidAnswers.onFailed(e.call(), e.failure());
-            withRequest(mAttempts.byCall(e.call()), r -> onFailed(r, e));
+            withRequest(mAttempts.requestOf(e.call()), r -> onFailed(r, e));
         }
     }
 
@@ -127,10 +130,10 @@
 
     private String chooseService(Route route) {
         double sum = route.shares().stream().mapToDouble(s -> s.weight()).sum();
-        double at = mRandom.nextDouble() * sum;
+        double remaining = mRandom.nextDouble() * sum;
         for (var share : route.shares()) {
-            at -= share.weight();
-            if (at < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
@@ -139,12 +142,12 @@
 
     private void onHeadReceived(ActiveRequest r, DirectEvent.HeadReceived e) {
         r.mLastActivity = mNow;
-        e.facts().load().ifPresent(l -> onReportedLoad(r.mBackend, l));
-        if (e.facts().notRun()) {
+        e.metadata().load().ifPresent(l -> onReportedLoad(r.mBackend, l));
+        if (e.metadata().notRun()) {
             onNotRun(r, e);
             return;
         }
-        if (!e.facts().genuine()) {
+        if (!e.metadata().genuine()) {
             onInvalidAnswer(r);
             return;
         }
@@ -167,16 +170,17 @@
     }
 
     /**
-     * The answer is nobody's. Its server may be about to end, of which the next one would know
-     * nothing: only one more gets the request before that is told.
+     * Handles an answer that does not belong to the request. Its server may be about to crash under
+     * the request. The call stays open to find out, and until then at most one more server gets the
+     * request.
      */
     private void onInvalidAnswer(ActiveRequest r) {
-        boolean harmless = !mInvalidAnswers.isWatched(r) && !mCrashGuard.isSuspect(r);
+        boolean mayRetry = !mInvalidAnswers.isWatched(r) && !mCrashGuard.isSuspect(r);
         long call = r.mCall;
         mAttempts.end(r);
         mInvalidAnswers.watch(r, call);
         recordServerFailure(r);
-        onUnknownOutcome(r, harmless, "the answer belongs to another request, or to none");
+        onUnknownOutcome(r, mayRetry, "the answer belongs to another request, or to none");
     }
 
     private void recordHolder(ActiveRequest r) {
@@ -200,8 +204,8 @@
     }
 
     /**
-     * The server ran the request and failed: another may do better where that is harmless. Where
-     * nobody else takes it, the server's own answer is passed on after all.
+     * Handles a 5xx answer: the server ran the request and failed. A repeatable request is sent to
+     * another server. If none accepts it, the 5xx answer is forwarded.
      */
     private void onFailureStatus(ActiveRequest r) {
         recordServerFailure(r);
@@ -215,22 +219,18 @@
         mServers.onFailure(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
     }
 
-    /** The server says that it did not run the request and will not. */
+    /** Handles the statement of a server that it did not run the request and will not. */
     private void onNotRun(ActiveRequest r, DirectEvent.HeadReceived e) {
-        if (e.facts().misdirected()) {
+        if (e.metadata().misdirected()) {
             mServers.onReplaced(r.mBackend, mNow);
         } else {
             mServers.onFull(r.mBackend, mNow);
         }
-        emit(mDecisions.ofReason(r, "not_run_" + e.status(), mNow));
+        emit(mDecisions.withReason(r, "not_run_" + e.status(), mNow));
         mAttempts.cancel(r);
-        r.mMisdirected = e.facts().misdirected();
+        r.mMisdirected = e.metadata().misdirected();
         if (!mAttempts.startNext(r)) {
-            end(
-                    r,
-                    c ->
-                            mErrorAnswers.noServerAccepts(
-                                    c, "the backend servers did not take the request"));
+            end(r, c -> mErrorAnswers.noServerAccepts(c, "no backend server accepted the request"));
         }
     }
 
@@ -249,9 +249,9 @@
     private void onFinished(ActiveRequest r) {
         mAttempts.end(r);
         if (r.isStreaming()) {
-            byte[] rest = r.mFramer.takeIncomplete();
-            if (rest.length > 0) {
-                emitUnlessDetached(r, new DirectEffect.AnswerData(r.mCaller, rest));
+            byte[] incomplete = r.mFramer.takeIncomplete();
+            if (incomplete.length > 0) {
+                emitUnlessDetached(r, new DirectEffect.AnswerData(r.mCaller, incomplete));
             }
             emitUnlessDetached(r, new DirectEffect.AnswerEnd(r.mCaller));
         } else if (r.mHeadSent) {
@@ -281,46 +281,49 @@
         mAttempts.end(r);
         if (e.failure() != DirectEvent.Failure.NOT_SENT) {
             recordServerFailure(r);
-            boolean lost = e.failure() == DirectEvent.Failure.CONNECTION_LOST;
+            boolean connectionLost = e.failure() == DirectEvent.Failure.CONNECTION_LOST;
             onUnknownOutcome(
-                    r, !lost || mCrashGuard.onConnectionLost(r, r.mBackend, mNow), e.message());
+                    r,
+                    !connectionLost || mCrashGuard.onConnectionLost(r, r.mBackend, mNow),
+                    e.message());
             return;
         }
         mServers.onUnreachable(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
-        // It never arrived, so that it does not count as sent.
-        r.mAttempts--;
-        emit(mDecisions.ofReason(r, "not_sent", mNow));
+        // The request never reached the server and does not count as an attempt.
+        r.mAttemptCount--;
+        emit(mDecisions.withReason(r, "not_sent", mNow));
         if (!mAttempts.startNext(r)) {
             end(r, c -> mErrorAnswers.noServerAccepts(c, e.message()));
         }
     }
 
     /**
-     * The server may have run the request: it is repeated only where that is harmless.
+     * Handles a call after which the server may have run the request. Only a repeatable request is
+     * sent to another server.
      *
-     * @param harmless whether it is to the next server; to the caller it is by the route
+     * @param mayRetry whether the crash guard permits a retry; the route has to permit it too
      */
-    private void onUnknownOutcome(ActiveRequest r, boolean harmless, String message) {
+    private void onUnknownOutcome(ActiveRequest r, boolean mayRetry, String message) {
         r.mMayHaveRun = true;
         emit(mDecisions.outcomeUnknown(r, message, mNow));
-        if (harmless && r.route().isRepeatable() && mAttempts.startNext(r)) {
+        if (mayRetry && r.route().isRepeatable() && mAttempts.startNext(r)) {
             return;
         }
         end(r, c -> mErrorAnswers.failed(c, message));
     }
 
-    /** Ends a request whose caller gets an error. */
-    private void end(ActiveRequest r, Consumer<ActiveRequest> tell) {
-        tell.accept(r);
+    /** Ends a request with an error answer. */
+    private void end(ActiveRequest r, Consumer<ActiveRequest> errorAnswer) {
+        errorAnswer.accept(r);
         mByCaller.remove(r.mCaller);
     }
 
     /**
-     * Ends what nobody waits for. A plain call that may not be repeated is left to finish: stopped
-     * half way, nobody would ever learn its outcome.
+     * Ends a request whose caller has disconnected. A non-idempotent call without a stream is left
+     * to finish: if it were cancelled half way, its outcome would stay unknown.
      */
     private void onCallerGone(ActiveRequest r) {
-        emit(mDecisions.ofReason(r, "caller_gone", mNow));
+        emit(mDecisions.withReason(r, "caller_gone", mNow));
         if (r.mCall != 0 && !r.route().streamed() && !r.route().idempotent()) {
             r.mDetached = true;
             return;
@@ -358,7 +361,7 @@
         end(r, mErrorAnswers::expired);
     }
 
-    /** Tries another server; where nobody else takes it, a late answer is better than none. */
+    /** Tries another server. If none accepts the request, the current call continues. */
     private void onStalled(ActiveRequest r) {
         emit(mDecisions.stalled(r, mNow));
         recordServerFailure(r);
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
@@ -9,28 +9,28 @@
 import java.util.Map;
 
 /**
- * Calls that reach a router before it has its first settings. A router that was killed alone gets
- * them some tenths of a second after it listens. A caller that is turned away until then has used
- * one of its few retries and comes back late; one that waits here is served by the same router as
- * soon as it can.
+ * Holds the calls that reach a router before it has its first settings. A restarted router receives
+ * its settings some tenths of a second after it starts to listen. A caller that is rejected in that
+ * time uses up one of its few retries and retries late. A call that waits here is served as soon as
+ * the settings arrive.
  *
- * <p>The wait is short against the time that callers have, so that one which can't be served after
- * all is still told in time to come back, and the number is bounded. Not thread-safe.
+ * <p>The wait is short compared to the caller's timeout: a call that cannot be served is rejected
+ * early enough for a retry. The number of waiting calls is bounded. Not thread-safe.
  *
- * @param <T> what is kept of a call
+ * @param <T> the type of the stored calls
  */
 public final class EarlyCalls<T> {
     /**
-     * How long a call waits at most: the time in which a router has its first settings where
-     * control serves on, also on a small machine. One that waited longer in vain would have too
-     * little time left for its second try.
+     * Maximum wait of a call. If control is available, a router has its first settings within this
+     * time, even on a small machine. A longer wait would leave the caller too little time for a
+     * retry.
      */
     private static final Duration MAX_WAIT = Duration.ofMillis(800);
 
-    /** A caller that was kept waiting in vain has three quarters of its time left. */
+    /** A call waits at most its timeout divided by this; the rest is left for a retry. */
     private static final int TIME_DIVISOR = 4;
 
-    /** Calls that wait at most; beyond it a router would begin with more than it can work off. */
+    /** Maximum number of waiting calls; a router could not serve more of them in time. */
     private static final int MAX_WAITING_CALLS = 256;
 
     private final Map<Long, Waiting<T>> mWaiting = new LinkedHashMap<>();
@@ -38,56 +38,56 @@
     private record Waiting<T>(T call, Instant expiry) {}
 
     /**
-     * Keeps a call, if there is room.
+     * Stores a call if the maximum number is not reached.
      *
-     * @param now when
-     * @param caller names the call
-     * @param time how long the caller waits for an answer
-     * @param call what to keep of it
-     * @return whether it is kept; otherwise it has to be turned away
+     * @param now the current time
+     * @param caller the caller's number, which identifies the call
+     * @param timeout how long the caller waits for an answer
+     * @param call the call to store
+     * @return whether the call is stored; otherwise it has to be rejected
      */
-    public boolean keep(Instant now, long caller, Duration time, T call) {
+    public boolean keep(Instant now, long caller, Duration timeout, T call) {
         if (mWaiting.size() >= MAX_WAITING_CALLS) {
             return false;
         }
-        Duration part = time.dividedBy(TIME_DIVISOR);
-        Duration wait = part.compareTo(MAX_WAIT) < 0 ? part : MAX_WAIT;
+        Duration fraction = timeout.dividedBy(TIME_DIVISOR);
+        Duration wait = fraction.compareTo(MAX_WAIT) < 0 ? fraction : MAX_WAIT;
         mWaiting.put(caller, new Waiting<>(call, now.plus(wait)));
         return true;
     }
 
     /**
-     * Forgets a call whose caller left.
+     * Removes the call of a caller that has disconnected.
      *
-     * @return whether it was kept
+     * @return whether the call was waiting
      */
     public boolean remove(long caller) {
         return mWaiting.remove(caller) != null;
     }
 
-    /** Returns whether no call waits. */
+    /** Returns whether no call is waiting. */
     public boolean isEmpty() {
         return mWaiting.isEmpty();
     }
 
-    /** Removes and returns all calls, in the order in which they came: they can be served now. */
+    /** Removes and returns all calls in the order of their arrival, to be served now. */
     public List<T> takeAll() {
         List<T> all = mWaiting.values().stream().map(Waiting::call).toList();
         mWaiting.clear();
         return all;
     }
 
-    /** Removes and returns the calls that have waited long enough and have to be turned away. */
+    /** Removes and returns the calls whose wait has expired and that have to be rejected. */
     public List<T> takeExpired(Instant now) {
-        List<T> overdue = new ArrayList<>();
-        Iterator<Waiting<T>> each = mWaiting.values().iterator();
-        while (each.hasNext()) {
-            Waiting<T> w = each.next();
+        List<T> expired = new ArrayList<>();
+        Iterator<Waiting<T>> waiting = mWaiting.values().iterator();
+        while (waiting.hasNext()) {
+            Waiting<T> w = waiting.next();
             if (!now.isBefore(w.expiry())) {
-                each.remove();
-                overdue.add(w.call());
+                waiting.remove();
+                expired.add(w.call());
             }
         }
-        return overdue;
+        return expired;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ErrorAnswers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ErrorAnswers.java
@@ -5,7 +5,10 @@
 import java.util.function.Consumer;
 import org.laurelweir.lib.ResultCode;
 
-/** Tells callers why they get no answer of a backend server, and whether their request has run. */
+/**
+ * Answers callers with errors. The result code says why there is no answer of a backend server, and
+ * whether the request may have run.
+ */
 final class ErrorAnswers {
     private final ServerChoice mChoice;
     private final Attempts mAttempts;
@@ -17,21 +20,23 @@
     ErrorAnswers(
             ServerChoice choice,
             Attempts attempts,
-            RequestDecisions reports,
-            RetryDelays refusals) {
+            RequestDecisions decisions,
+            RetryDelays retryDelays) {
         mChoice = choice;
         mAttempts = attempts;
-        mDecisions = reports;
-        mRetryDelays = refusals;
+        mDecisions = decisions;
+        mRetryDelays = retryDelays;
     }
 
-    /** Begins a step of the reducer. */
+    /** Sets the time and the receiver of effects for one step of the reducer. */
     void beginStep(Instant now, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
-    /** No further server takes the request: says "not run" only where that is proved. */
+    /**
+     * Answers that no further server accepts the request; says "not run" only if that is certain.
+     */
     void noServerAccepts(ActiveRequest r, String message) {
         if (r.mMayHaveRun || r.mHeadSent) {
             failed(r, message);
@@ -40,31 +45,31 @@
         }
     }
 
-    /** The request was not run, and the caller may come back. */
+    /** Answers that the request was not run and that the caller may retry. */
     void rejected(ActiveRequest r, String message) {
-        boolean none = mChoice.servingCount(r.mService) == 0;
-        ResultCode code = none ? ResultCode.NO_BACKEND_SERVER : ResultCode.OVERLOADED;
-        Duration back =
+        boolean noServer = mChoice.servingCount(r.mService) == 0;
+        ResultCode code = noServer ? ResultCode.NO_BACKEND_SERVER : ResultCode.OVERLOADED;
+        Duration retryAfter =
                 r.mMisdirected
                         ? mRetryDelays.afterMisdirection()
                         : mRetryDelays.afterOverload(r.timeLeft(mNow));
-        answer(r, code, message, back);
+        answer(r, code, message, retryAfter);
     }
 
-    /** The request is kept away from backend servers. */
+    /** Answers that the request is quarantined. */
     void quarantined(ActiveRequest r) {
         String message = "backend servers ended under this request: " + r.key().fingerprintText();
         answer(r, ResultCode.REQUEST_QUARANTINED, message, mRetryDelays.afterQuarantine());
     }
 
-    /** The request may have run, and its answer is lost. */
+    /** Answers that the request may have run and that its answer is lost. */
     void failed(ActiveRequest r, String message) {
         failed(r, r.mHeadSent ? ResultCode.ANSWER_CUT : ResultCode.BACKEND_FAILED, message);
     }
 
-    /** The time for the answer is over. */
+    /** Answers that the deadline has passed. */
     void expired(ActiveRequest r) {
-        failed(r, ResultCode.DEADLINE_EXCEEDED, "the time for the answer was over");
+        failed(r, ResultCode.DEADLINE_EXCEEDED, "the deadline for the answer has passed");
     }
 
     private void failed(ActiveRequest r, ResultCode code, String message) {
@@ -72,9 +77,9 @@
         answer(r, code, message, Duration.ZERO);
     }
 
-    private void answer(ActiveRequest r, ResultCode code, String message, Duration back) {
+    private void answer(ActiveRequest r, ResultCode code, String message, Duration retryAfter) {
         DirectEffect.AnswerError error =
-                new DirectEffect.AnswerError(r.mCaller, code, message, back);
+                new DirectEffect.AnswerError(r.mCaller, code, message, retryAfter);
         mEffects.accept(mDecisions.errorAnswered(r, error, mNow));
         if (!r.mDetached) {
             mEffects.accept(error);
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EventFramer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EventFramer.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 
 /**
- * Cuts a stream of events at the ends of whole events. A backend server that breaks off may do so
- * in the middle of an event; passed on, the torn piece would be joined to what another one goes on
- * with, and the caller would read a broken event.
+ * Splits a stream of server-sent events into complete events. If a backend server fails in the
+ * middle of an event, the incomplete event must not be forwarded: the stream may be resumed at
+ * another server, and the caller would read the two parts as one corrupt event.
  */
 final class EventFramer {
     private static final byte[] EMPTY = new byte[0];
@@ -16,9 +16,11 @@
     private String mLastId = "";
     private int mEventCount;
 
-    /** Takes the next piece; returns the whole events that it completes, or an empty array. */
-    byte[] add(byte[] piece) {
-        byte[] all = mIncomplete.length == 0 ? piece : concat(mIncomplete, piece);
+    /**
+     * Adds the next data of the stream; returns the events that it completes, or an empty array.
+     */
+    byte[] add(byte[] data) {
+        byte[] all = mIncomplete.length == 0 ? data : concat(mIncomplete, data);
         int end = 0;
         int from = Math.max(0, mIncomplete.length - 3);
         for (int i = from; i < all.length; i++) {
@@ -37,7 +39,7 @@
         return all;
     }
 
-    /** An empty line ends an event; lines end with a line feed, with or without a return before. */
+    /** An empty line ends an event; a line ends with LF or CR LF. */
     private static boolean endsEvent(byte[] all, int i) {
         if (all[i] != '\n' || i == 0) {
             return false;
@@ -57,20 +59,20 @@
                 .ifPresent(l -> mLastId = l.substring(ID_FIELD.length()).strip());
     }
 
-    /** Returns the id of the last whole event, or empty. */
+    /** Returns the last id in any complete event, or empty. */
     String lastId() {
         return mLastId;
     }
 
-    /** Returns how many whole events have passed. */
+    /** Returns the number of complete events so far. */
     int eventCount() {
         return mEventCount;
     }
 
-    /** Returns what follows the last whole event and forgets it. */
+    /** Removes and returns the data after the last complete event. */
     byte[] takeIncomplete() {
-        byte[] rest = mIncomplete;
+        byte[] incomplete = mIncomplete;
         mIncomplete = EMPTY;
-        return rest;
+        return incomplete;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FetchSource.java
@@ -8,35 +8,35 @@
 import org.laurelweir.placement.ChatKey;
 
 /**
- * Tells from which other backend server the one that was chosen should fetch the shared parts of a
- * prompt. Needed where a request goes past the server that holds them: when that one is full or
- * leaves, and when a server has joined and ranks first for parts that it has never read.
+ * Finds a backend server from which the chosen one should fetch the shared parts of a prompt. This
+ * is needed if the request is not sent to the server that holds the parts: if that server is full
+ * or draining, or if a new server ranks first for parts that it has never read.
  */
 final class FetchSource {
     /**
-     * Shared tokens from which on a fetch pays. To set one up takes an engine about 3 ms, in which
-     * it reads some 150 tokens; below twice that nothing is gained.
+     * Minimum length of the shared parts for a fetch. An engine needs about 3 ms to set up a fetch
+     * and reads some 150 tokens in that time; below twice as many a fetch saves nothing.
      */
     private static final int MIN_SHARED_TOKENS = 300;
 
-    /** Servers that are asked by rank: the former home, and another one where that has failed. */
+    /** Number of servers considered by rank: the former home, and others in case it has failed. */
     private static final int MAX_RANKED_SERVERS = 3;
 
     private final BackendSource mBackends;
     private final ServerTable mServers;
     private final PartHolders mHolders;
 
-    FetchSource(BackendSource source, ServerTable servers, PartHolders holders) {
-        mBackends = source;
+    FetchSource(BackendSource backends, ServerTable servers, PartHolders holders) {
+        mBackends = backends;
         mServers = servers;
         mHolders = holders;
     }
 
     /**
-     * Returns the address of a server to fetch from, or empty where there is nothing to fetch.
+     * Returns the address of a server to fetch from, or empty if nothing can or need be fetched.
      *
      * @param r the request
-     * @param chosen the server that will run it
+     * @param chosen the server that will run the request
      */
     String addressFor(ActiveRequest r, BackendRef chosen, Instant now) {
         Prompt prompt = r.mRequest.prompt();
@@ -56,24 +56,26 @@
     }
 
     /**
-     * Known holders come first. Other routers send prompts with this part to the first in rank, so
-     * that it likely holds it even where this router has seen nobody read it. One that is leaving
-     * counts: where it ranks first, the part is still there and nowhere else.
+     * Returns the servers that may hold the shared part, the most likely ones first. Servers that
+     * this router has sent the part to come before servers by rank. All routers send prompts with
+     * the part to the server that ranks first, so it likely holds the part even if this router has
+     * not sent it there. Draining servers are included: if one ranks first, it may be the only one
+     * that holds the part.
      */
     private List<BackendRef> possibleHolders(ActiveRequest r, PartHolders.Holders holders) {
-        List<BackendRef> order = new ArrayList<>(holders.servers());
+        List<BackendRef> possible = new ArrayList<>(holders.servers());
         ChatKey key = r.mRequest.prompt().key();
         mBackends
                 .view(r.mService)
                 .rankingWithDraining()
                 .top(key, MAX_RANKED_SERVERS)
-                .forEach(c -> order.add(c.ref()));
-        return order;
+                .forEach(c -> possible.add(c.ref()));
+        return possible;
     }
 
     /**
-     * A server that just failed, or that is not there any more, is not asked: a fetch from a dark
-     * one would hold the request up.
+     * Returns whether a server is known, has not been restarted since and has not failed recently.
+     * A fetch from an unreachable server would delay the request.
      */
     private boolean isUsable(ActiveRequest r, BackendRef holder, Instant now) {
         Backend known = mBackends.backend(holder.id());
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/FleetRetryBudget.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/FleetRetryBudget.java
@@ -8,11 +8,12 @@
 import java.util.function.IntSupplier;
 
 /**
- * Bounds how much load the retries of all routers add to a service, without a message between them:
- * each router may repeat a share of its own requests of the last window, and its part of what the
- * whole fleet may repeat beyond that.
+ * Bounds the load that the retries of all routers add to a service, without messages between the
+ * routers. In each time window a router may retry a share of its own requests, and in addition its
+ * part of a reserve for the whole fleet.
  *
- * <p>Without it a failing service gets every request several times, just when it can take least.
+ * <p>Without a budget a failing service receives every request several times, just when it has the
+ * least capacity.
  */
 final class FleetRetryBudget {
     private final RetryLimits mLimits;
@@ -20,22 +21,22 @@
     private final Map<String, Window> mWindows = new HashMap<>();
 
     /**
-     * Creates a budget.
+     * Creates a budget without any request.
      *
-     * @param limits what the fleet may repeat
-     * @param routers how many routers serve, 0 if not known
+     * @param limits limits of the retries of all routers
+     * @param routerCount supplies the number of routers in the fleet, 0 if unknown
      */
-    FleetRetryBudget(RetryLimits limits, IntSupplier routers) {
+    FleetRetryBudget(RetryLimits limits, IntSupplier routerCount) {
         mLimits = limits;
-        mRouterCount = routers;
+        mRouterCount = routerCount;
     }
 
-    /** Notes a request for a service. */
+    /** Records a request for a service. */
     void onRequest(String service, Instant now) {
         window(service, now).mRequests.add(now);
     }
 
-    /** Takes one repetition out of the budget, if it holds one. */
+    /** Uses up one retry of the budget; returns false if none is left. */
     boolean trySpend(String service, Instant now) {
         Window w = window(service, now);
         int routers = Math.max(mRouterCount.getAsInt(), mLimits.minRouters());
@@ -50,18 +51,19 @@
 
     private Window window(String service, Instant now) {
         Window w = mWindows.computeIfAbsent(service, s -> new Window());
-        Duration span = mLimits.window();
-        removeBefore(w.mRequests, now.minus(span));
-        removeBefore(w.mRetries, now.minus(span));
+        Duration length = mLimits.window();
+        removeBefore(w.mRequests, now.minus(length));
+        removeBefore(w.mRetries, now.minus(length));
         return w;
     }
 
-    private static void removeBefore(ArrayDeque<Instant> times, Instant before) {
-        while (!times.isEmpty() && times.peek().isBefore(before)) {
+    private static void removeBefore(ArrayDeque<Instant> times, Instant start) {
+        while (!times.isEmpty() && times.peek().isBefore(start)) {
             times.remove();
         }
     }
 
+    /** Times of the requests and retries of a service within the last window. */
     private static final class Window {
         private final ArrayDeque<Instant> mRequests = new ArrayDeque<>();
         private final ArrayDeque<Instant> mRetries = new ArrayDeque<>();
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/InvalidAnswerCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/InvalidAnswerCalls.java
@@ -9,14 +9,15 @@
 import org.laurelweir.load.LoadEstimator;
 
 /**
- * Calls whose answers can't be taken, until it shows what becomes of their backend servers. The
- * request goes on without them; closed at once, their connections would not tell a server that ends
- * from one that lives.
+ * Watches calls whose answers are invalid, to find out whether their backend servers crash. The
+ * request continues without these calls. Their connections stay open for a while: if they were
+ * closed at once, the router could not tell a crashed server from a live one.
  */
 final class InvalidAnswerCalls {
     /**
-     * Longer than a server that fails under a request takes to end. A server that nobody waits for
-     * has to stop its work sooner than half a second after.
+     * How long a call is watched. This is longer than a server takes to crash under a request, and
+     * short enough for the rule that a server has to abort a request within half a second after its
+     * caller has given up.
      */
     private static final Duration WATCH_TIME = Duration.ofMillis(300);
 
@@ -27,75 +28,76 @@
     private Instant mNow;
     private Consumer<? super DirectEffect> mEffects;
 
+    /** A call with its request and backend server, watched until it expires. */
     private record WatchedCall(
             long call, ActiveRequest request, BackendRef backend, Instant expiry) {}
 
-    InvalidAnswerCalls(LoadEstimator loads, CrashGuard guard, RequestDecisions reports) {
+    InvalidAnswerCalls(LoadEstimator loads, CrashGuard crashGuard, RequestDecisions decisions) {
         mLoads = loads;
-        mCrashGuard = guard;
-        mDecisions = reports;
+        mCrashGuard = crashGuard;
+        mDecisions = decisions;
     }
 
-    /** Begins a step of the reducer. */
+    /** Sets the time and the receiver of effects for one step of the reducer. */
     void beginStep(Instant now, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
     }
 
-    /** Watches a call that its request has left. */
+    /** Starts to watch a call that no longer belongs to its request. */
     void watch(ActiveRequest r, long call) {
         mLoads.onRequestSent(r.mBackend, r.sharedPartId());
         mCalls.put(call, new WatchedCall(call, r, r.mBackend, mNow.plus(WATCH_TIME)));
     }
 
-    /** Returns whether a backend server that spoiled its answer to a request may yet end. */
+    /** Returns whether any call of a request is watched. */
     boolean isWatched(ActiveRequest r) {
-        return mCalls.values().stream().anyMatch(s -> s.request() == r);
+        return mCalls.values().stream().anyMatch(w -> w.request() == r);
     }
 
-    /** The answer is whole: the server has not ended. */
+    /** Handles a complete answer: the server has not crashed. */
     void onFinished(long call) {
-        WatchedCall s = mCalls.get(call);
-        if (s != null) {
-            cancel(s);
+        WatchedCall w = mCalls.get(call);
+        if (w != null) {
+            cancel(w);
         }
     }
 
-    /** The call has ended without a whole answer. */
+    /** Handles a call without a complete answer; a lost connection counts as a crash. */
     void onFailed(long call, DirectEvent.Failure failure) {
-        WatchedCall s = mCalls.get(call);
-        if (s == null) {
+        WatchedCall w = mCalls.get(call);
+        if (w == null) {
             return;
         }
-        remove(s);
+        remove(w);
         if (failure == DirectEvent.Failure.CONNECTION_LOST) {
-            mEffects.accept(mDecisions.crashedAfterInvalidHead(s.request(), s.backend(), mNow));
-            mCrashGuard.onConnectionLost(s.request(), s.backend(), mNow);
+            mEffects.accept(mDecisions.crashedAfterInvalidHead(w.request(), w.backend(), mNow));
+            mCrashGuard.onConnectionLost(w.request(), w.backend(), mNow);
         }
     }
 
-    /** The request was served elsewhere: it ends no server, and its other calls are of no use. */
+    /** Cancels the calls of a request that another server served: it does not cause crashes. */
     void onServed(ActiveRequest r) {
-        List<WatchedCall> own = mCalls.values().stream().filter(s -> s.request() == r).toList();
-        own.forEach(this::cancel);
+        List<WatchedCall> calls = mCalls.values().stream().filter(w -> w.request() == r).toList();
+        calls.forEach(this::cancel);
     }
 
-    /** Closes the connections of servers that have not ended in time. */
+    /** Cancels the calls whose servers have not crashed within the watch time. */
     void cancelExpired() {
         if (!mCalls.isEmpty()) {
-            List<WatchedCall> due =
-                    mCalls.values().stream().filter(s -> !mNow.isBefore(s.expiry())).toList();
-            due.forEach(this::cancel);
+            List<WatchedCall> expired =
+                    mCalls.values().stream().filter(w -> !mNow.isBefore(w.expiry())).toList();
+            expired.forEach(this::cancel);
         }
     }
 
-    private void cancel(WatchedCall s) {
-        remove(s);
-        mEffects.accept(new DirectEffect.CancelCall(s.call()));
+    private void cancel(WatchedCall w) {
+        remove(w);
+        mEffects.accept(new DirectEffect.CancelCall(w.call()));
     }
 
-    private void remove(WatchedCall s) {
-        mCalls.remove(s.call());
-        mLoads.onRequestEnded(s.backend(), s.request().sharedPartId());
+    private void remove(WatchedCall w) {
+        mCalls.remove(w.call());
+        mLoads.onRequestEnded(w.backend(), w.request().sharedPartId());
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/PartHolders.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/PartHolders.java
@@ -8,18 +8,17 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * Which backend servers hold shared parts of prompts, as this router's own requests tell. A part
- * that another engine holds can be fetched from it within milliseconds; read anew, a long one
- * delays everything that runs beside it by some hundred.
+ * Records which backend servers hold shared parts of prompts, as far as this router's own requests
+ * show it. An engine can fetch a part from another engine within milliseconds; reading a long part
+ * again delays all its other requests by some hundred milliseconds.
  *
- * <p>What is noted may be out of date: engines drop what was used least lately and tell nobody. A
- * fetch from one that has dropped a part brings nothing, and the part is read as it would have
- * been.
+ * <p>The record may be out of date: engines evict the least recently used parts without notice. If
+ * a part has been evicted, the fetch fails and the engine reads the part as without a fetch.
  */
 final class PartHolders {
     /**
-     * Parts that are remembered, the ones used last; at about 200 bytes each, under 1 MB. More than
-     * the engines behind a router hold of long parts.
+     * Maximum number of recorded parts; the least recently used ones are evicted. At about 200
+     * bytes each they take less than 1 MB. The engines behind a router hold fewer long parts.
      */
     private static final int MAX_PARTS = 4096;
 
@@ -32,10 +31,10 @@
             };
 
     /**
-     * Those that ran requests with a part.
+     * The last two backend servers that ran requests with a part.
      *
-     * @param last the one that did so last
-     * @param before another one that did so before, or null
+     * @param latest the server of the latest request, or null if there is none
+     * @param previous another server, of an earlier request, or null if there is none
      */
     record Holders(BackendRef latest, BackendRef previous) {
         static final Holders NONE = new Holders(null, null);
@@ -51,18 +50,18 @@
             return servers().contains(backend);
         }
 
-        /** Returns them, the last one first. */
+        /** Returns the recorded servers, the latest one first. */
         List<BackendRef> servers() {
             return Stream.of(latest, previous).filter(Objects::nonNull).toList();
         }
     }
 
-    /** Notes that a backend server has begun to answer a prompt with a part, and so has read it. */
+    /** Records that a backend server began to answer a prompt with a part, and so has read it. */
     void recordHolder(long part, BackendRef backend) {
         mByPart.merge(part, new Holders(backend, null), (known, n) -> known.with(backend));
     }
 
-    /** Returns who is known to hold a part. */
+    /** Returns the backend servers that are recorded as holders of a part. */
     Holders of(long part) {
         return mByPart.getOrDefault(part, Holders.NONE);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RequestDecisions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RequestDecisions.java
@@ -5,14 +5,14 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.Decision;
 
-/** Makes the log's records of decisions about requests, each under the caller's own name of it. */
+/** Creates the decision log entries about requests, each under the request id of the caller. */
 final class RequestDecisions {
     private static final String PROGRAM = "router";
 
     DirectEffect.LogDecision serverChosen(
             ActiveRequest r, ServerChoice.Choice c, String fetchFrom, Instant now) {
-        String place = r.mAttempts > 1 ? "retry_" + c.reason() : c.reason();
-        String reason = fetchFrom.isEmpty() ? place : place + "_fetching from " + fetchFrom;
+        String placement = r.mAttemptCount > 1 ? "retry_" + c.reason() : c.reason();
+        String reason = fetchFrom.isEmpty() ? placement : placement + "_fetching from " + fetchFrom;
         return new DirectEffect.LogDecision(
                 builder(r, now)
                         .candidates(c.candidates())
@@ -22,29 +22,33 @@
                         .build());
     }
 
-    DirectEffect.LogDecision ofReason(ActiveRequest r, String reason, Instant now) {
+    DirectEffect.LogDecision withReason(ActiveRequest r, String reason, Instant now) {
         return decision(r, now, List.of(), r.mBackend.id(), reason);
     }
 
     /**
-     * Names what the call was, by which the same request is found under other servers' ends.
+     * Returns the entry of a call whose outcome is unknown. The fingerprint in it identifies the
+     * request in other servers' crashes too.
      *
-     * @param why what the router saw: a connection that ended, or an answer that it can't take
+     * @param why what the router observed: a lost connection, or an answer that it cannot accept
      */
     DirectEffect.LogDecision outcomeUnknown(ActiveRequest r, String why, Instant now) {
-        return ofReason(r, "outcome_unknown of " + r.key().fingerprintText() + ": " + why, now);
+        return withReason(r, "outcome_unknown of " + r.key().fingerprintText() + ": " + why, now);
     }
 
-    /** The server of a spoiled answer ended; the request may be at another one by now. */
+    /**
+     * Returns the entry of a server that crashed after the head of an invalid answer. The request
+     * may be at another server by now, so the server is given.
+     */
     DirectEffect.LogDecision crashedAfterInvalidHead(
             ActiveRequest r, BackendRef server, Instant now) {
         String reason = "ended_after_bad_head of " + r.key().fingerprintText();
         return decision(r, now, List.of(), server.id(), reason);
     }
 
-    /** The router waits no longer for this server; what becomes of it is not seen any more. */
+    /** Returns the entry of a stalled call, whose later outcome the router does not observe. */
     DirectEffect.LogDecision stalled(ActiveRequest r, Instant now) {
-        return ofReason(r, "stalled of " + r.key().fingerprintText(), now);
+        return withReason(r, "stalled of " + r.key().fingerprintText(), now);
     }
 
     DirectEffect.LogDecision answered(ActiveRequest r, Instant now) {
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RetryDelays.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RetryDelays.java
@@ -3,21 +3,21 @@
 import java.time.Duration;
 import java.util.SplittableRandom;
 
-/** Chooses when a refused caller should come back. */
+/** Chooses the delay after which a rejected caller should retry. */
 final class RetryDelays {
-    /** About the time in which servers work off what they hold. */
+    /** Minimum delay after overload, about the time in which servers finish their requests. */
     private static final long MIN_OVERLOAD_MILLIS = 150;
 
-    /** Spreads callers that were refused at the same moment, so that they do not return as one. */
+    /** Random addition, so that callers rejected at the same time do not retry at the same time. */
     private static final int OVERLOAD_JITTER_MILLIS = 350;
 
-    /** The longest wait of a caller for whom there is a server, spread as above. */
+    /** Maximum delay of a caller for which a server is available; chosen at random as well. */
     private static final int MAX_MISDIRECTED_MILLIS = 20;
 
-    /** A caller comes back only while it has time left to be served. */
+    /** The delay is at most the time left divided by this, so that a retry can still succeed. */
     private static final int TIME_LEFT_DIVISOR = 4;
 
-    /** Coming back sooner is of no use to the caller of a request that ends backend servers. */
+    /** An earlier retry of a quarantined request is useless: the quarantine lasts longer. */
     private static final Duration QUARANTINE_DELAY = Duration.ofMinutes(1);
 
     private final SplittableRandom mRandom;
@@ -27,23 +27,23 @@
     }
 
     /**
-     * Returns when a caller comes back whose request met another server than the one it was meant
-     * for. Nobody is busy: the router knows better now, and a caller that waits as for a busy
-     * server misses the time in which its answer is of use.
+     * Returns the delay after a request reached another server than intended. The servers are not
+     * overloaded and the router now avoids that address. A delay as after overload would make the
+     * answer too late to be useful.
      */
     Duration afterMisdirection() {
         return Duration.ofMillis(1 + mRandom.nextInt(MAX_MISDIRECTED_MILLIS));
     }
 
-    /** Returns when a caller comes back whose request is kept away from backend servers. */
+    /** Returns the delay after the rejection of a quarantined request. */
     Duration afterQuarantine() {
         return QUARANTINE_DELAY;
     }
 
-    /** Returns when a caller comes back for whom no server has room. */
+    /** Returns the delay after a request for which no server has room. */
     Duration afterOverload(Duration timeLeft) {
-        long wanted = MIN_OVERLOAD_MILLIS + mRandom.nextInt(OVERLOAD_JITTER_MILLIS);
-        long most = Math.max(1, timeLeft.toMillis() / TIME_LEFT_DIVISOR);
-        return Duration.ofMillis(Math.min(wanted, most));
+        long delay = MIN_OVERLOAD_MILLIS + mRandom.nextInt(OVERLOAD_JITTER_MILLIS);
+        long max = Math.max(1, timeLeft.toMillis() / TIME_LEFT_DIVISOR);
+        return Duration.ofMillis(Math.min(delay, max));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/Route.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/Route.java
@@ -8,21 +8,21 @@
 import org.laurelweir.settings.SettingsNode;
 
 /**
- * Which requests go to which services, and under which rules.
+ * Assigns the requests of a host and path prefix to services, and sets the rules for them.
  *
  * @param name the route's name
- * @param host the host whose requests it takes, in lower case
- * @param prefix the beginning of their paths; begins and ends with a slash
- * @param shares the services that get the requests
+ * @param host the host of the requests, in lower case
+ * @param prefix the path prefix of the requests; begins and ends with a slash
+ * @param shares the services that receive the requests, with their weights
  * @param idempotent whether a request may run more than once
- * @param streamed whether answers are streams of events
- * @param resumable whether a stream may go on at another backend server
- * @param isPublic whether requests need no key
- * @param maxAttempts most backend servers that one request is sent to
- * @param timeout longest time for the whole answer
- * @param objective time to the first piece of an answer that counts as prompt
- * @param maxPause longest pause between events of a prompt stream
- * @param priority higher goes first, 0 to 9
+ * @param streamed whether answers are streams of server-sent events
+ * @param resumable whether a stream may be resumed at another backend server
+ * @param isPublic whether requests need no API key
+ * @param maxAttempts maximum number of backend servers that one request is sent to
+ * @param timeout maximum time for the whole answer
+ * @param objective target time to the first data of an answer
+ * @param maxPause target for the longest pause between events of a stream
+ * @param priority requests with a higher priority go first, 0 to 9
  */
 public record Route(
         String name,
@@ -38,7 +38,9 @@
         Duration objective,
         Duration maxPause,
         int priority) {
-    /** Returns the route that a node of the settings tree defines. */
+    /**
+     * Returns the route that a node of the settings tree defines, with defaults for missing keys.
+     */
     static Route of(SettingsNode node) {
         return new Route(
                 node.path().route(),
@@ -62,8 +64,9 @@
     }
 
     /**
-     * Returns whether a request may reach a second backend server after a first one may have run
-     * it: as a whole, or from the event on at which a resumable stream stopped.
+     * Returns whether a request may be sent to a second backend server after a first one may have
+     * run it. A resumable stream then continues after the last event that was sent to the caller;
+     * other requests run again from the start.
      */
     public boolean isRepeatable() {
         return streamed ? resumable : idempotent;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RouteTable.java
@@ -10,45 +10,48 @@
 import org.laurelweir.settings.SettingsTree;
 
 /**
- * Finds the route of a request in time that depends on the path's length and not on the number of
- * routes. Thread-safe.
+ * Finds the route of a request. The time for it depends on the length of the path and not on the
+ * number of routes. Thread-safe.
  */
 public final class RouteTable {
     private static final String ROUTED = "routed";
 
-    /** Routes that are kept read; more are read anew, which costs as much as a request. */
+    /**
+     * Maximum number of cached routes; the cache is cleared when it is full. Reading a route again
+     * costs as much as a request.
+     */
     private static final int MAX_CACHED_ROUTES = 8192;
 
     private final SettingsTree mTree;
     private final boolean mAllServicesRouted;
 
-    /** Routes that were asked for, by name, those of earlier trees among them. */
+    /** Routes that were looked up, by name; may contain routes of earlier trees. */
     private final Map<String, CachedRoute> mCache;
 
-    /** A route as a node defines it. */
+    /** A route with the settings node that it was read from. */
     private record CachedRoute(SettingsNode node, Route route) {}
 
-    private RouteTable(SettingsTree tree, Map<String, CachedRoute> read) {
+    private RouteTable(SettingsTree tree, Map<String, CachedRoute> cache) {
         mTree = tree;
-        mCache = read;
+        mCache = cache;
         mAllServicesRouted = tree.services().stream().allMatch(s -> isRouted(tree, s));
     }
 
-    /** Returns the table of a router that has no settings. */
+    /** Returns a table without routes, for a router that has no settings yet. */
     public static RouteTable empty() {
         return new RouteTable(SettingsTree.EMPTY, new ConcurrentHashMap<>());
     }
 
     /**
-     * Returns the table of a later tree. Routes are read when they are first asked for, and kept
-     * while their nodes stay: the first request after a start, or after a change, would otherwise
-     * wait until all of some thousand routes are read.
+     * Returns the table of a newer settings tree. Routes are read on first use and stay cached as
+     * long as their nodes do not change. Otherwise the first request after a start or a change
+     * would wait until some thousand routes are read.
      */
     public RouteTable withTree(SettingsTree tree) {
         return new RouteTable(tree, mCache);
     }
 
-    /** Returns the tree whose routes these are. */
+    /** Returns the settings tree of this table. */
     public SettingsTree tree() {
         return mTree;
     }
@@ -60,16 +63,16 @@
                 .isPresent();
     }
 
-    /** Returns whether routes are the only way to any service. */
+    /** Returns whether all services are of the kind that is reached by routes only. */
     public boolean allServicesRouted() {
         return mAllServicesRouted;
     }
 
     /**
-     * Finds the route of a request: among those of its host, the one with the longest prefix that
-     * begins the path.
+     * Finds the route of a request: of the routes of its host, the one with the longest matching
+     * path prefix.
      *
-     * @param host the host as the caller wrote it, perhaps with a port
+     * @param host the host as the caller sent it, possibly with a port
      * @param path the path without its query
      */
     public Optional<Route> find(String host, String path) {
@@ -84,9 +87,9 @@
     }
 
     private Route toRoute(SettingsNode node) {
-        CachedRoute known = mCache.get(node.path().route());
-        if (known != null && known.node() == node) {
-            return known.route();
+        CachedRoute cached = mCache.get(node.path().route());
+        if (cached != null && cached.node() == node) {
+            return cached.route();
         }
         if (mCache.size() >= MAX_CACHED_ROUTES) {
             mCache.clear();
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/RoutedRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RoutedRequest.java
@@ -4,15 +4,15 @@
 import org.laurelweir.attempt.AttemptRequest;
 
 /**
- * A caller's request after the shell has found its route and its client account.
+ * A caller's request with its route and its client account.
  *
- * @param id the caller's own name of the request; the backend server is shown the same
- * @param route its route, as in force on arrival
- * @param account the client account, or empty where the route needs no key
- * @param priority higher goes first, 0 to 9
- * @param timeLeft until the caller gives up or the route's timeout, whichever is earlier
- * @param call the call to make
- * @param prompt what is known of its prompt
+ * @param id the request id of the caller, which is also sent to the backend server
+ * @param route the route as in force when the request arrived
+ * @param account the client account, or empty if the route needs no API key
+ * @param priority requests with a higher priority go first, 0 to 9
+ * @param timeLeft time until the caller's deadline or the route's timeout, whichever is earlier
+ * @param call the HTTP request to send to the backend server
+ * @param prompt the caller's description of the prompt, or {@link Prompt#NONE}
  */
 public record RoutedRequest(
         String id,
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerChoice.java
@@ -16,24 +16,25 @@
 import org.laurelweir.placement.ServiceView;
 
 /**
- * Chooses a backend server. Looks at a few candidates only, whatever the size of the service: those
- * that rank first for the prompt's shared part, which all routers agree on without a message, and
- * two at random, so that a hot part spills over and load evens out.
+ * Chooses the backend server for a request. It compares a few candidates only, whatever the size of
+ * the service: the servers that rank first for the prompt's shared part, on which all routers agree
+ * without messages, and two random ones. Requests with hot prompt parts spill over to the random
+ * candidates, which also balance the load.
  */
 final class ServerChoice {
-    /** Candidates by rank; the second takes over what the first can't carry. */
+    /** Minimum number of candidates by rank; the next one is used if the first has no room. */
     private static final int MIN_RANKED_CANDIDATES = 3;
 
-    /** Of a server's mean load, what requests about one part may make up. */
+    /** Maximum share of the mean load that the requests with one shared part may make up. */
     private static final double MAX_PART_SHARE = 0.33;
 
-    /** Requests about one part that its home takes in any case. */
+    /** Number of requests with one shared part that a single home always accepts. */
     private static final int MIN_PART_REQUESTS = 2;
 
-    /** Each further home has to read the part once. */
+    /** Maximum number of homes of a part; each further home has to read the part once. */
     private static final int MAX_HOMES = 8;
 
-    /** Random candidates: two choices bring the fullest server close to the mean. */
+    /** Number of random candidates; two bring the load of the fullest server close to the mean. */
     private static final int RANDOM_CANDIDATES = 2;
 
     private final BackendSource mBackends;
@@ -42,23 +43,22 @@
     private final SplittableRandom mRandom;
     private final Map<String, ServingServers> mServing = new HashMap<>();
 
-    ServerChoice(BackendSource source, ServerTable servers, LoadEstimator loads, long seed) {
-        mBackends = source;
+    ServerChoice(BackendSource backends, ServerTable servers, LoadEstimator loads, long seed) {
+        mBackends = backends;
         mServers = servers;
         mLoads = loads;
         mRandom = new SplittableRandom(seed);
     }
 
     /**
-     * What was chosen.
+     * A choice and the values that it is based on, for the decision log.
      *
-     * @param server the backend server
-     * @param reason why, one of a few fixed words
-     * @param candidates those that were weighed, best first
-     * @param load its load as known
-     * @param bound the load above which it would not have been chosen by its rank; NaN where none
-     *     was asked for
-     * @param loadAgeMillis how long ago that load was told; NaN where none was told lately
+     * @param server the chosen backend server
+     * @param reason the reason, one of a few fixed words
+     * @param candidates ids of the compared servers, best first
+     * @param load the estimated load of the chosen server, in requests
+     * @param bound the load above which a server is not chosen by its rank; NaN if no bound applies
+     * @param loadAgeMillis the age of the load in milliseconds; NaN if no recent load is known
      */
     record Choice(
             Candidate server,
@@ -68,19 +68,19 @@
             double bound,
             double loadAgeMillis) {}
 
-    /** A candidate with what is believed of its load. */
+    /** A candidate with the estimate of its load. */
     private record CandidateLoad(Candidate server, LoadEstimator.Estimate estimate) {
         double load() {
             return estimate.requests();
         }
     }
 
-    /** Returns how many backend servers of a service take new work. */
+    /** Returns the number of backend servers of a service that accept new requests. */
     int servingCount(String service) {
-        return serving(service).mServers.size();
+        return serving(service).mCandidates.size();
     }
 
-    /** Chooses a server that was not tried yet, or none. */
+    /** Chooses a server that has not been tried for the request, or none if no server has room. */
     Optional<Choice> choose(ActiveRequest r, Instant now) {
         List<CandidateLoad> all =
                 candidates(r, now).values().stream().map(c -> withLoad(r, c, now)).toList();
@@ -96,7 +96,7 @@
         return new CandidateLoad(c, mLoads.estimate(now, r.mService, c.ref()));
     }
 
-    /** Without a mean of the whole service that of the candidates has to do. */
+    /** Returns the mean load of the service or, if it is unknown, of the candidates. */
     private double mean(ActiveRequest r, List<CandidateLoad> all, Instant now) {
         double mean = mLoads.mean(now, r.mService);
         return Double.isNaN(mean)
@@ -106,55 +106,58 @@
 
     private Optional<Choice> firstWithinBound(List<CandidateLoad> all, SpillBound bound) {
         return all.stream()
-                .filter(w -> hasRoom(w) && bound.admits(w.load(), mRandom.nextDouble()))
+                .filter(c -> hasRoom(c) && bound.admits(c.load(), mRandom.nextDouble()))
                 .findFirst()
-                .map(w -> choice(w, w == all.get(0) ? "home" : "next", all, bound.upper()));
+                .map(c -> choice(c, c == all.get(0) ? "home" : "next", all, bound.upper()));
     }
 
     private Optional<Choice> leastLoaded(
             ActiveRequest r, List<CandidateLoad> all, String reason, double bound, Instant now) {
         return all.stream()
-                .filter(w -> canAccept(r, w))
+                .filter(c -> canAccept(r, c))
                 .min(
-                        Comparator.comparing((CandidateLoad w) -> isAvoided(r, w.server(), now))
+                        Comparator.comparing((CandidateLoad c) -> isAvoided(r, c.server(), now))
                                 .thenComparingDouble(CandidateLoad::load))
-                .map(w -> choice(w, reason, all, bound));
+                .map(c -> choice(c, reason, all, bound));
     }
 
     private static Choice choice(
-            CandidateLoad w, String reason, List<CandidateLoad> all, double bound) {
+            CandidateLoad c, String reason, List<CandidateLoad> all, double bound) {
         List<String> ids = all.stream().map(o -> o.server().id()).toList();
-        return new Choice(w.server(), reason, ids, w.load(), bound, w.estimate().ageMillis());
+        return new Choice(c.server(), reason, ids, c.load(), bound, c.estimate().ageMillis());
     }
 
     /**
-     * A request that can't be repeated is lost with a server that fails it, and goes to one that
-     * has not just failed. Ejection alone takes two failures in a row, which a server that fails
-     * some of its requests seldom shows. Requests that can be repeated find out how the server
-     * does.
+     * Returns whether a request should go to another candidate if there is one. A request that is
+     * not repeatable is lost if its server fails, so it avoids servers that failed recently.
+     * Ejection alone is not enough: it takes two consecutive failures, which are rare at a server
+     * that fails only some of its requests. Repeatable requests still go to such a server and show
+     * whether it has recovered.
      */
     private boolean isAvoided(ActiveRequest r, Candidate c, Instant now) {
         return !r.route().isRepeatable() && mServers.isUnreliable(r.mService, c.ref(), now);
     }
 
     /**
-     * A plain request is offered even to a server that is full by what is believed of it, which may
-     * be over already. The server refuses at once what it can't take, and is then left alone for a
-     * moment. A prompt would wait in the engine's queue instead.
+     * Returns whether a request may be sent to a server. A request without a prompt may be sent
+     * even if the server is full by its estimated load, because the estimate may be out of date. A
+     * full server rejects such a request at once and is then passed over for a moment. A request
+     * with a prompt would wait in the engine's queue instead.
      */
-    private boolean canAccept(ActiveRequest r, CandidateLoad w) {
+    private boolean canAccept(ActiveRequest r, CandidateLoad c) {
         return r.mRequest.prompt().isPresent()
-                ? hasRoom(w)
-                : isBelowSlots(w.server(), mLoads.ownRequests(w.server().ref()));
+                ? hasRoom(c)
+                : isBelowSlots(c.server(), mLoads.ownRequests(c.server().ref()));
     }
 
     /**
-     * A server with as many requests as slots would only queue one more. Only what is known of the
-     * very server counts: the mean of the others is no reason to refuse.
+     * Returns whether a server has a free slot; without one, it would only queue the request. The
+     * mean of the other servers is no reason to reject: if the load of this server is unknown, only
+     * this router's own requests count.
      */
-    private boolean hasRoom(CandidateLoad w) {
-        boolean known = !Double.isNaN(w.estimate().ageMillis());
-        return isBelowSlots(w.server(), known ? w.load() : mLoads.ownRequests(w.server().ref()));
+    private boolean hasRoom(CandidateLoad c) {
+        boolean isKnown = !Double.isNaN(c.estimate().ageMillis());
+        return isBelowSlots(c.server(), isKnown ? c.load() : mLoads.ownRequests(c.server().ref()));
     }
 
     private boolean isBelowSlots(Candidate c, double load) {
@@ -163,8 +166,8 @@
     }
 
     private int slots(Candidate c) {
-        int told = mServers.slots(c.ref());
-        return told > 0 ? told : (int) c.weight();
+        int reported = mServers.slots(c.ref());
+        return reported > 0 ? reported : (int) c.weight();
     }
 
     private Map<String, Candidate> candidates(ActiveRequest r, Instant now) {
@@ -186,8 +189,9 @@
     }
 
     /**
-     * Returns how many servers a prompt's shared part is at home on. One is enough for nearly all;
-     * a part that many ask for would fill it before any of its load is known to the others.
+     * Returns the number of homes of the prompt's shared part: the servers by rank that share its
+     * requests. One is enough for nearly all parts. The requests of a hot prompt part would
+     * overload a single home before the other routers learn of its load.
      */
     private int homeCount(ActiveRequest r, Instant now) {
         int requests = mLoads.requestsForPart(now, r.sharedPartId());
@@ -195,25 +199,25 @@
         if (requests == 0 || Double.isNaN(mean)) {
             return 1;
         }
-        double each = Math.max(MIN_PART_REQUESTS, MAX_PART_SHARE * mean);
-        return (int) Math.min(MAX_HOMES, Math.ceil(requests / each));
+        double perHome = Math.max(MIN_PART_REQUESTS, MAX_PART_SHARE * mean);
+        return (int) Math.min(MAX_HOMES, Math.ceil(requests / perHome));
     }
 
-    /** Returns the candidates from one of the first on, those before it last. */
+    /** Rotates the candidates so that they start at a random one of the homes. */
     private List<Candidate> startAtRandomHome(List<Candidate> top, int homes) {
         if (homes <= 1 || top.size() <= 1) {
             return top;
         }
-        List<Candidate> turned = new ArrayList<>(top);
-        Collections.rotate(turned, -mRandom.nextInt(Math.min(homes, top.size())));
-        return turned;
+        List<Candidate> rotated = new ArrayList<>(top);
+        Collections.rotate(rotated, -mRandom.nextInt(Math.min(homes, top.size())));
+        return rotated;
     }
 
     private void addRandom(ActiveRequest r, Instant now, Map<String, Candidate> found) {
-        List<Candidate> serving = serving(r.mService).mServers;
-        int wanted = found.size() + RANDOM_CANDIDATES;
+        List<Candidate> serving = serving(r.mService).mCandidates;
+        int maxSize = found.size() + RANDOM_CANDIDATES;
         int start = serving.isEmpty() ? 0 : mRandom.nextInt(serving.size());
-        for (int i = 0; i < serving.size() && found.size() < wanted; i++) {
+        for (int i = 0; i < serving.size() && found.size() < maxSize; i++) {
             Candidate c = serving.get((start + i * stride(serving.size())) % serving.size());
             if (isEligible(r, c, now)) {
                 found.putIfAbsent(c.id(), c);
@@ -221,7 +225,9 @@
         }
     }
 
-    /** A stride without a common divisor with the size visits every server once. */
+    /**
+     * Returns a stride that has no common divisor with the size, and so visits every server once.
+     */
     private static int stride(int size) {
         return size % 7 == 0 ? 1 : 7;
     }
@@ -233,22 +239,22 @@
 
     private ServingServers serving(String service) {
         ServiceView view = mBackends.view(service);
-        ServingServers roster = mServing.get(service);
-        if (roster == null || roster.mVersion != view.version()) {
-            roster = new ServingServers(view);
-            mServing.put(service, roster);
+        ServingServers servers = mServing.get(service);
+        if (servers == null || servers.mVersion != view.version()) {
+            servers = new ServingServers(view);
+            mServing.put(service, servers);
         }
-        return roster;
+        return servers;
     }
 
-    /** The servers of one version of a view that take new work. */
+    /** The servers that accept new requests, in one version of the view of a service. */
     private static final class ServingServers {
         private final long mVersion;
-        private final List<Candidate> mServers;
+        private final List<Candidate> mCandidates;
 
         ServingServers(ServiceView view) {
             mVersion = view.version();
-            mServers = view.candidates().stream().filter(c -> !c.draining()).toList();
+            mCandidates = view.candidates().stream().filter(c -> !c.draining()).toList();
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
@@ -10,56 +10,69 @@
 import org.laurelweir.placement.Outliers;
 
 /**
- * What this router knows of single backend servers from calling them, but for their load. Kept of
- * the latest start of each: a server that starts again under its name has no share in the failures
- * of its run before, and what an answer to that run says late is not its own.
+ * Records what this router's own calls show about each backend server, except for its load: slots,
+ * failures and pauses. Only the latest incarnation of a server is recorded. A restarted server does
+ * not inherit the failures of its earlier incarnation, and late answers of an earlier incarnation
+ * do not change the record.
  */
 final class ServerTable {
-    /** Failures in a row that eject; one alone may be the request's own. */
+    /** Number of consecutive failures that eject a server; the request may cause a single one. */
     private static final int FAILURES_TO_EJECT = 2;
 
-    /** How long a first ejection lasts: about as long as a restart of a small server takes. */
+    /** Duration of the first ejection, about the time in which a small server restarts. */
     private static final Duration COOLDOWN = Duration.ofSeconds(1);
 
-    /** The longest ejection; a server that has recovered should not wait longer to be tried. */
+    /** Maximum duration of an ejection, so that a recovered server is soon tried again. */
     private static final Duration MAX_COOLDOWN = Duration.ofSeconds(8);
 
-    /** Half of a service may be ejected at once; beyond that the fault is likely not theirs. */
+    /**
+     * Maximum share of a service that is ejected; if more servers fail, the cause lies elsewhere.
+     */
     private static final double MAX_EJECTED_SHARE = 0.5;
 
-    /** How long a server is passed over that said it was full: the time of a few short requests. */
+    /** How long a full server is passed over, about the time of a few short requests. */
     private static final Duration FULL_PAUSE = Duration.ofMillis(100);
 
-    /** How long an address is passed over at which another server answered. */
+    /** How long a server is passed over after another server answered at its address. */
     private static final Duration REPLACED_PAUSE = Duration.ofSeconds(10);
 
     /**
-     * How long one failure makes a server doubtful. Long enough for other requests to show whether
-     * it still fails, short enough that a sound one is not left out for long where none does.
+     * How long a server counts as unreliable after a failure. This is long enough for other
+     * requests to show whether it still fails, and short enough that a healthy server is not
+     * avoided for long if there are no such requests.
      */
     private static final Duration RECENT_FAILURE_TIME = Duration.ofSeconds(2);
 
     private final Map<String, Server> mServers = new HashMap<>();
     private final Map<String, Outliers> mOutliers = new HashMap<>();
 
+    /** Records the number of slots that a server reports. */
     void onReportedSlots(BackendRef ref, int slots) {
         server(ref).mSlots = slots;
     }
 
+    /** Passes over a server for a moment that rejected a request because it is full. */
     void onFull(BackendRef ref, Instant now) {
         server(ref).mPausedUntil = now.plus(FULL_PAUSE);
     }
 
+    /** Passes over a server at whose address another server answered. */
     void onReplaced(BackendRef ref, Instant now) {
         server(ref).mPausedUntil = now.plus(REPLACED_PAUSE);
     }
 
+    /** Records that a server answered a request of a service without a failure. */
     void onSuccess(String service, BackendRef ref) {
         if (isLatest(ref)) {
             outliers(service).onSuccess(ref.id());
         }
     }
 
+    /**
+     * Records a failure of a server.
+     *
+     * @param servers the number of servers of the service, which limits ejections
+     */
     void onFailure(String service, BackendRef ref, int servers, Instant now) {
         if (isLatest(ref)) {
             server(ref).mLastFailure = now;
@@ -67,44 +80,48 @@
         }
     }
 
-    /** A server that takes no connection at all is ejected at once. */
+    /** Ejects a server that accepts no connection, without waiting for further failures. */
     void onUnreachable(String service, BackendRef ref, int servers, Instant now) {
         for (int i = 0; i < FAILURES_TO_EJECT; i++) {
             onFailure(service, ref, servers, now);
         }
     }
 
+    /** Returns whether a server is ejected, or paused because it was full or replaced. */
     boolean isPassedOver(String service, BackendRef ref, Instant now) {
         Server s = server(ref);
         return now.isBefore(s.mPausedUntil) || outliers(service).isEjected(ref.id(), now);
     }
 
-    /** Returns whether the server is passed over, or has failed lately and not succeeded since. */
+    /** Returns whether a server is passed over, or failed recently without a success since. */
     boolean isUnreliable(String service, BackendRef ref, Instant now) {
-        boolean failedLately = now.isBefore(server(ref).mLastFailure.plus(RECENT_FAILURE_TIME));
+        boolean failedRecently = now.isBefore(server(ref).mLastFailure.plus(RECENT_FAILURE_TIME));
         return isPassedOver(service, ref, now)
-                || (failedLately && outliers(service).hasFailed(ref.id()));
+                || (failedRecently && outliers(service).hasFailed(ref.id()));
     }
 
-    /** Returns the slots that the server told, or 0. */
+    /** Returns the number of slots that a server reported, or 0 if it reported none. */
     int slots(BackendRef ref) {
         return server(ref).mSlots;
     }
 
-    /** Forgets servers that are not known any more. */
-    void prune(BackendSource source) {
-        List<String> gone =
-                mServers.keySet().stream().filter(id -> source.backend(id) == null).toList();
-        gone.forEach(this::remove);
+    /** Removes the records of servers that are no longer announced. */
+    void prune(BackendSource backends) {
+        List<String> departed =
+                mServers.keySet().stream().filter(id -> backends.backend(id) == null).toList();
+        departed.forEach(this::remove);
     }
 
-    /** What failed at a server counts against nobody once it is gone, and must not be kept. */
+    /** Removes a server with its failures, so that they do not count towards the share ejected. */
     private void remove(String id) {
         mServers.remove(id);
         mOutliers.values().forEach(o -> o.onLeave(id));
     }
 
-    /** Returns the record of a start; that of an earlier one than the latest is kept nowhere. */
+    /**
+     * Returns the record of an incarnation. A newer incarnation replaces the recorded one; for an
+     * older one, a temporary record is returned that is not stored.
+     */
     private Server server(BackendRef ref) {
         Server known = mServers.get(ref.id());
         if (known != null && known.mIncarnation > ref.incarnation()) {
@@ -134,6 +151,7 @@
                                         MAX_EJECTED_SHARE)));
     }
 
+    /** The record of one incarnation of a server. */
     private static final class Server {
         private final long mIncarnation;
         private int mSlots;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/StallDetector.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/StallDetector.java
@@ -4,19 +4,21 @@
 import java.time.Instant;
 
 /**
- * Tells when a server has been silent for so long that another one is likely to answer sooner. Only
- * for what may be repeated: the silent server is told to stop, and may have run the request.
+ * Detects calls whose server has been silent for so long that another server is likely to answer
+ * sooner. Only calls of repeatable requests count as stalled, because the silent server may have
+ * run the request before its call is cancelled.
  */
 final class StallDetector {
-    /** Multiples of the objective that a server gets for its first bytes. */
+    /** A server may take this multiple of the route's objective for its first data. */
     private static final int OBJECTIVE_FACTOR = 3;
 
-    /** Multiples of the longest prompt pause that a stream may make. */
+    /** A stream may pause for this multiple of the route's maximum pause. */
     private static final int PAUSE_FACTOR = 4;
 
-    /** A silent server is given this long at least; shorter silences are ordinary. */
+    /** Minimum silence of a stalled call; shorter silences are normal. */
     private static final Duration MIN_SILENCE = Duration.ofMillis(300);
 
+    /** Returns whether the current call of a request is stalled. */
     boolean isStalled(ActiveRequest r, Instant now) {
         if (r.mCall == 0 || !r.route().isRepeatable()) {
             return false;
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Routes to backend servers that have no sidecar: which one is called, when a request is sent
- * again, and what its caller is answered.
+ * Direct routing to backend servers that have no sidecar: the choice of the server, retries, and
+ * the answers to callers.
  */
 package org.laurelweir.direct;
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
@@ -15,7 +15,7 @@
 import org.laurelweir.direct.DirectEvent.Failure;
 import org.laurelweir.lib.ResultCode;
 
-/** How a router treats requests under which backend servers end. */
+/** Tests how a router handles requests under which backend servers crash. */
 class CrashGuardTest {
     private static final Route NON_IDEMPOTENT = route(false, false, false);
     private static final Route IDEMPOTENT = route(true, false, false);
@@ -46,7 +46,7 @@
         }
     }
 
-    // Each arrival of a request that ends servers was sent to a further one.
+    // Guards against sending a crashing request to one more server each time it arrives.
     @Test
     void requestIsQuarantinedAfterThreeCrashes() {
         crashThreeServers();
@@ -68,7 +68,7 @@
         assertThat(mDriver.last(AnswerWhole.class).caller()).isEqualTo(99);
     }
 
-    // The second attempt of a request that had just ended a server ended another one.
+    // Guards against retries that crash further servers after the request has crashed one.
     @Test
     void requestIsNotRetriedAfterASecondCrash() {
         arrive(IDEMPOTENT);
@@ -110,7 +110,7 @@
                 .containsOnly(ResultCode.BACKEND_FAILED);
     }
 
-    // A server that answers each time with a failure, or with garbage, was taken for one that ends.
+    // Guards against counting failed answers of a live server as crashes.
     @Test
     void errorAnswersAndAbandonedCallsAreNoCrashes() {
         for (int i = 0; i < 10; i++) {
@@ -124,7 +124,7 @@
         assertThat(mDriver.mCrashes.isEmpty()).isTrue();
     }
 
-    // A failure that a server told cleared what other servers' ends had shown.
+    // Guards against a failed answer that clears the crashes of other servers.
     @Test
     void errorAnswersDoNotExcuseEarlierCrashes() {
         arrive(NON_IDEMPOTENT);
@@ -141,7 +141,7 @@
                 .isEqualTo(ResultCode.REQUEST_QUARANTINED);
     }
 
-    // The log had the same words for a server that ended and for an answer that can't be taken.
+    // Guards against log entries that do not tell a lost connection from an invalid answer.
     @Test
     void decisionLogDistinguishesLostConnectionsFromInvalidAnswers() {
         arrive(NON_IDEMPOTENT);
@@ -155,7 +155,7 @@
                 .hasSize(2);
     }
 
-    // A server that was silent for too long left no line by which its request can be found again.
+    // Guards against stalled calls without a log entry that identifies the request.
     @Test
     void decisionLogNamesTheRequestOfAStalledCall() {
         arrive(IDEMPOTENT);
@@ -173,7 +173,7 @@
         mDriver.step(new DirectEvent.Failed(call, Failure.CONNECTION_LOST, "ended"));
     }
 
-    // The router closed the connection at the head, and never saw the end that followed.
+    // Guards against closing the connection at an invalid head, which hides a following crash.
     @Test
     void connectionLostAfterAnInvalidHeadCountsAsACrash() {
         for (int i = 0; i < 3; i++) {
@@ -190,7 +190,7 @@
                 .isEqualTo(ResultCode.REQUEST_QUARANTINED);
     }
 
-    // A request that had ended two servers after bad heads was sent to a third one at once.
+    // Guards against a third attempt while two servers with invalid answers may still crash.
     @Test
     void requestIsRetriedOnceWhileAnInvalidAnswerIsWatched() {
         arrive(IDEMPOTENT);
@@ -205,7 +205,7 @@
         assertThat(mDriver.callCount()).isEqualTo(3);
     }
 
-    // An end that came after the request had been served elsewhere was held against it for good.
+    // Guards against counting a connection lost after the request was served by another server.
     @Test
     void lostConnectionAfterTheRequestWasServedElsewhereIsIgnored() {
         arrive(IDEMPOTENT);
@@ -221,23 +221,23 @@
     void invalidAnswersOfLiveServersAreNoCrashes() {
         for (int i = 0; i < 10; i++) {
             arrive(IDEMPOTENT);
-            long whole = mDriver.lastCall().call();
-            sendInvalidAnswer(whole);
-            mDriver.step(new DirectEvent.Finished(whole));
-            loseConnection(whole);
+            long finished = mDriver.lastCall().call();
+            sendInvalidAnswer(finished);
+            mDriver.step(new DirectEvent.Finished(finished));
+            loseConnection(finished);
             long silent = mDriver.lastCall().call();
             sendInvalidAnswer(silent);
             mDriver.advance(Duration.ofMillis(350));
             loseConnection(silent);
             assertThat(mDriver.all(CancelCall.class))
                     .extracting(CancelCall::call)
-                    .contains(whole, silent);
+                    .contains(finished, silent);
             mDriver.advance(Duration.ofSeconds(3));
         }
         assertThat(mDriver.mCrashes.isEmpty()).isTrue();
     }
 
-    // Connections that live servers reset made a request look as if it had ended them.
+    // Guards against counting connections that live servers reset as crashes.
     @Test
     void connectionsResetByLiveServersAreExcused() {
         crashThreeServers();
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
@@ -19,7 +19,7 @@
 import org.laurelweir.quarantine.CrashTable;
 import org.laurelweir.settings.RouteShare;
 
-/** Drives the routing without sidecars event by event, with one service of a few servers. */
+/** Drives {@link DirectRouting} event by event, with one service of a few backend servers. */
 final class DirectRoutingDriver implements BackendSource {
     static final String SERVICE = "svc";
     static final AnswerMetadata GENUINE = new AnswerMetadata(false, false, true, Optional.empty());
@@ -53,7 +53,7 @@
         join(new BackendRef(id, 0));
     }
 
-    /** The server crashes and starts again under its name. */
+    /** Restarts a server after a crash: the same id with a higher incarnation. */
     void restart(String id) {
         join(new BackendRef(id, mBackends.get(id).ref().incarnation() + 1));
     }
@@ -65,7 +65,7 @@
         apply(new ViewChange.Join(new Candidate(ref, "dc", 6)));
     }
 
-    /** The server says that it leaves; it still answers. */
+    /** Makes a server drain; it still answers requests. */
     void drain(String id) {
         mBackends.computeIfPresent(id, (i, b) -> b.withState(Backend.State.DRAINING));
         apply(new ViewChange.Drain(id));
@@ -90,7 +90,10 @@
         return mBackends.get(id);
     }
 
-    /** A route of the given kind with three attempts, a second in all and 100 ms to be prompt. */
+    /**
+     * Returns a route with three attempts, a timeout of one second, and 100 ms as objective and as
+     * maximum pause.
+     */
     static Route route(boolean idempotent, boolean streamed, boolean resumable) {
         return route(idempotent, streamed, resumable, 3);
     }
@@ -116,12 +119,12 @@
         arrive(caller, route, Prompt.NONE);
     }
 
-    /** A request that differs from those of other callers. */
+    /** Sends a request with a body that differs from those of other callers. */
     void arrive(long caller, Route route, Prompt prompt) {
         arrive(caller, route, prompt, "body of " + caller);
     }
 
-    /** A request that comes again, from whichever caller, has the same body. */
+    /** Sends a request with the given body; requests with equal bodies have the same key. */
     void arrive(long caller, Route route, Prompt prompt, String body) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call(
@@ -152,8 +155,8 @@
         step(new DirectEvent.Tick());
     }
 
-    void answer(long call, int status, AnswerMetadata facts) {
-        step(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), facts));
+    void answer(long call, int status, AnswerMetadata metadata) {
+        step(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), metadata));
     }
 
     boolean isIdle() {
@@ -167,7 +170,8 @@
     <E extends DirectEffect> E last(Class<E> type) {
         List<E> all = all(type);
         if (all.isEmpty()) {
-            throw new AssertionError("no " + type.getSimpleName() + " in " + mEffects);
+            throw new AssertionError(
+                    "expected an effect " + type.getSimpleName() + " in " + mEffects);
         }
         return all.get(all.size() - 1);
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
@@ -19,8 +19,9 @@
 import org.laurelweir.direct.DirectEffect.BeginCall;
 
 /**
- * What must hold whatever backend servers and callers do, in any order: at most one run of what may
- * run once, "not run" only where nothing ran, one final answer each, no more attempts than allowed.
+ * Tests the guarantees that hold for any order of events of backend servers and callers: a request
+ * that is not repeatable runs at most once, "not run" is answered only if no server may have run
+ * the request, every request gets one final answer, and there are no more attempts than allowed.
  */
 class DirectRoutingPropertyTest {
     private static final int STEPS = 250;
@@ -29,7 +30,7 @@
     private final Map<Long, Route> mRoutes = new HashMap<>();
     private final Set<Long> mGoneCallers = new HashSet<>();
 
-    /** Calls whose server may have run the request, by the caller. */
+    /** By caller, the calls whose server may have run the request. */
     private final Map<Long, Set<Long>> mPossibleRuns = new HashMap<>();
 
     @Property(tries = 400, seed = "81")
@@ -40,13 +41,13 @@
         SplittableRandom random = new SplittableRandom(seed);
         DirectRoutingDriver driver =
                 new DirectRoutingDriver(1 + random.nextInt(5), DirectRoutingDriver.LIMITS, seed);
-        List<BeginCall> open = new ArrayList<>();
+        List<BeginCall> openCalls = new ArrayList<>();
         int seen = 0;
         for (int i = 0; i < STEPS; i++) {
-            step(driver, random, open);
+            step(driver, random, openCalls);
             for (DirectEffect e : driver.mEffects.subList(seen, driver.mEffects.size())) {
                 if (e instanceof BeginCall b) {
-                    open.add(b);
+                    openCalls.add(b);
                 }
             }
             seen = driver.mEffects.size();
@@ -55,25 +56,26 @@
         checkGuarantees(driver);
     }
 
-    private void step(DirectRoutingDriver driver, SplittableRandom random, List<BeginCall> open) {
-        int what = random.nextInt(10);
-        if (what < 3 || open.isEmpty()) {
+    private void step(
+            DirectRoutingDriver driver, SplittableRandom random, List<BeginCall> openCalls) {
+        int action = random.nextInt(10);
+        if (action < 3 || openCalls.isEmpty()) {
             long caller = mRoutes.size() + 1;
-            Route route = DirectRoutingDriver.route(random.nextBoolean(), what == 1, what == 1);
+            Route route = DirectRoutingDriver.route(random.nextBoolean(), action == 1, action == 1);
             mRoutes.put(caller, route);
             driver.arrive(caller, route);
-        } else if (what == 3) {
+        } else if (action == 3) {
             driver.advance(Duration.ofMillis(random.nextInt(200)));
-        } else if (what == 4) {
+        } else if (action == 4) {
             long caller = 1 + random.nextInt(mRoutes.size());
             mGoneCallers.add(caller);
             driver.step(new DirectEvent.CallerGone(caller));
         } else {
-            endCall(driver, open.remove(random.nextInt(open.size())), random);
+            endCall(driver, openCalls.remove(random.nextInt(openCalls.size())), random);
         }
     }
 
-    /** One call ends in one of the ways in which calls end. */
+    /** Ends a call in a random way. */
     private void endCall(DirectRoutingDriver driver, BeginCall b, SplittableRandom random) {
         long caller = Long.parseLong(b.request().id().substring("id".length()));
         switch (random.nextInt(6)) {
@@ -112,14 +114,14 @@
     }
 
     private void checkGuarantees(DirectRoutingDriver driver) {
-        Map<Long, Integer> finals = new HashMap<>();
+        Map<Long, Integer> finalAnswers = new HashMap<>();
         for (DirectEffect e : driver.mEffects) {
             if (e instanceof AnswerWhole a) {
-                finals.merge(a.caller(), 1, Integer::sum);
+                finalAnswers.merge(a.caller(), 1, Integer::sum);
             } else if (e instanceof AnswerEnd a) {
-                finals.merge(a.caller(), 1, Integer::sum);
+                finalAnswers.merge(a.caller(), 1, Integer::sum);
             } else if (e instanceof AnswerError a) {
-                finals.merge(a.caller(), 1, Integer::sum);
+                finalAnswers.merge(a.caller(), 1, Integer::sum);
                 boolean ran = mPossibleRuns.containsKey(a.caller());
                 assertThat(a.code().isNotRun() && ran).as("%s after a run", a).isFalse();
             }
@@ -128,7 +130,7 @@
                 (caller, route) -> {
                     int runs = mPossibleRuns.getOrDefault(caller, Set.of()).size();
                     assertThat(runs).isLessThanOrEqualTo(route.isRepeatable() ? MAX_ATTEMPTS : 1);
-                    int answers = finals.getOrDefault(caller, 0);
+                    int answers = finalAnswers.getOrDefault(caller, 0);
                     assertThat(answers).isLessThanOrEqualTo(1);
                     assertThat(answers == 1 || mGoneCallers.contains(caller)).isTrue();
                 });
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
@@ -22,7 +22,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 
-/** Single decisions about requests that are routed without sidecars, event by event. */
+/** Tests single decisions of {@link DirectRouting}, event by event. */
 class DirectRoutingTest {
     private static final Route NON_IDEMPOTENT = route(false, false, false);
     private static final Route SINGLE_ATTEMPT = route(false, false, false, 1);
@@ -30,7 +30,7 @@
     private static final Route STREAM = route(false, true, false);
     private static final Route RESUMABLE = route(false, true, true);
 
-    /** Within which a short chat's first words are due. */
+    /** Target time to the first token of a short chat. */
     private static final Duration SHORT_OBJECTIVE = Duration.ofMillis(400);
 
     private final DirectRoutingDriver mDriver = new DirectRoutingDriver(4);
@@ -52,19 +52,17 @@
         mDriver.step(new DirectEvent.DataReceived(call, bytes("c")));
         assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
         mDriver.step(new DirectEvent.Finished(call));
-        AnswerWhole whole = mDriver.last(AnswerWhole.class);
-        assertThat(whole.status()).isEqualTo(201);
-        assertThat(whole.body()).isEqualTo(bytes("abc"));
+        AnswerWhole answer = mDriver.last(AnswerWhole.class);
+        assertThat(answer.status()).isEqualTo(201);
+        assertThat(answer.body()).isEqualTo(bytes("abc"));
         assertThat(mDriver.isIdle()).isTrue();
     }
 
     @Test
     void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun() {
-        // The caller orders stores. The connection breaks after the request went out: the server
-        // may
-        // have taken the order, and a second server would take it again. The caller is told that
-        // the
-        // outcome is not known, not that the order was not taken.
+        // The connection is lost after the request was sent. The server may have run the request,
+        // and a second server would run it again. The caller must learn that the outcome is
+        // unknown, not that the request was not run.
         mDriver.arrive(1, NON_IDEMPOTENT);
         mDriver.step(
                 new DirectEvent.Failed(
@@ -111,8 +109,8 @@
 
     @Test
     void notRunIsNotReportedAfterAnAttemptWithUnknownOutcome() {
-        // The first server breaks off and may have run the request; the others say they did not.
-        // That they did not run it says nothing of the first.
+        // The first server closes the connection and may have run the request. The others state
+        // that they did not run it, which proves nothing about the first.
         mDriver.arrive(1, IDEMPOTENT);
         mDriver.step(
                 new DirectEvent.Failed(
@@ -124,10 +122,11 @@
 
     @Test
     void requestIsRejectedAtOnceWithoutServers() {
-        DirectRoutingDriver none = new DirectRoutingDriver(0);
-        none.arrive(1, NON_IDEMPOTENT);
-        assertThat(none.last(AnswerError.class).code()).isEqualTo(ResultCode.NO_BACKEND_SERVER);
-        assertThat(none.last(AnswerError.class).retryAfter()).isPositive();
+        DirectRoutingDriver noServers = new DirectRoutingDriver(0);
+        noServers.arrive(1, NON_IDEMPOTENT);
+        assertThat(noServers.last(AnswerError.class).code())
+                .isEqualTo(ResultCode.NO_BACKEND_SERVER);
+        assertThat(noServers.last(AnswerError.class).retryAfter()).isPositive();
     }
 
     @Test
@@ -141,20 +140,20 @@
 
     @Test
     void errorAnswerOfTheLastServerIsForwarded() {
-        DirectRoutingDriver one = new DirectRoutingDriver(1);
-        one.arrive(1, IDEMPOTENT);
-        long call = one.lastCall().call();
-        one.answer(call, 500, GENUINE);
-        one.step(new DirectEvent.DataReceived(call, bytes("why")));
-        one.step(new DirectEvent.Finished(call));
-        assertThat(one.last(AnswerWhole.class).status()).isEqualTo(500);
-        assertThat(one.last(AnswerWhole.class).body()).isEqualTo(bytes("why"));
+        DirectRoutingDriver oneServer = new DirectRoutingDriver(1);
+        oneServer.arrive(1, IDEMPOTENT);
+        long call = oneServer.lastCall().call();
+        oneServer.answer(call, 500, GENUINE);
+        oneServer.step(new DirectEvent.DataReceived(call, bytes("why")));
+        oneServer.step(new DirectEvent.Finished(call));
+        assertThat(oneServer.last(AnswerWhole.class).status()).isEqualTo(500);
+        assertThat(oneServer.last(AnswerWhole.class).body()).isEqualTo(bytes("why"));
     }
 
     @Test
     void answerToAnotherRequestIsDiscarded() {
-        // A late second answer of an earlier request arrives where this one's is expected. Passed
-        // on, one caller would read another's booking.
+        // A late second answer to an earlier request arrives in place of the answer to this
+        // request. If it were forwarded, a caller would read another caller's data.
         mDriver.arrive(1, NON_IDEMPOTENT);
         long call = mDriver.lastCall().call();
         mDriver.answer(call, 200, INVALID);
@@ -178,9 +177,9 @@
 
     @Test
     void retryDelayIsShortAfterAMisdirectedRequest() {
-        // The route allows one attempt, and the server at the address is another one by now, which
-        // refuses. Sixty others serve: a caller that is sent away for as long as from a full server
-        // is late, although nobody is busy. From a full one it has to stay away longer.
+        // The route allows one attempt, and another server at the address rejects the request.
+        // Other servers have room, so a retry delay as after overload would make the answer late
+        // for no reason. After a rejection by a full server the delay has to be longer.
         mDriver.arrive(1, SINGLE_ATTEMPT);
         mDriver.answer(mDriver.lastCall().call(), 421, MISDIRECTED);
         AnswerError error = mDriver.last(AnswerError.class);
@@ -208,8 +207,8 @@
 
     @Test
     void resumableStreamContinuesAfterTheLastCompleteEvent() {
-        // The server breaks off in the middle of event 2. The caller has event 1 whole; the next
-        // server goes on after it, and nothing of the torn event is passed on.
+        // The server fails in the middle of event 2. The caller has received event 1. The next
+        // server continues after event 1, and the incomplete event 2 is not forwarded.
         mDriver.arrive(1, RESUMABLE);
         long call = mDriver.lastCall().call();
         mDriver.answer(call, 200, GENUINE);
@@ -277,8 +276,8 @@
 
     @Test
     void retriesStopAtTheFleetBudget() {
-        // Every server fails every request. Ten routers may add three repetitions between them in a
-        // window, so that this one may add none or one, however many requests fail.
+        // Every call fails. The ten routers share a reserve of twelve retries in a time window, so
+        // this router may retry once, however many requests fail.
         RetryLimits tight = new RetryLimits(0, 12, Duration.ofSeconds(10), 10, 1);
         DirectRoutingDriver driver = new DirectRoutingDriver(4, tight, 3);
         for (int i = 1; i <= 20; i++) {
@@ -319,35 +318,35 @@
         return new Prompt.Part(id, 10);
     }
 
-    // Callers of plain services were refused for seconds after each server had been full once.
+    // Guards against rejecting plain requests for seconds after each server was full once.
     @Test
     void plainRequestIsSentToAServerThatReportedItselfFull() {
-        DirectRoutingDriver few = new DirectRoutingDriver(2);
+        DirectRoutingDriver twoServers = new DirectRoutingDriver(2);
         AnswerMetadata full = withLoad(new AnswerMetadata.ReportedLoad(6, 1, 6));
         for (int caller = 1; caller <= 2; caller++) {
-            few.arrive(caller, IDEMPOTENT);
-            few.answer(few.lastCall().call(), 200, full);
-            few.step(new DirectEvent.Finished(few.lastCall().call()));
+            twoServers.arrive(caller, IDEMPOTENT);
+            twoServers.answer(twoServers.lastCall().call(), 200, full);
+            twoServers.step(new DirectEvent.Finished(twoServers.lastCall().call()));
         }
-        few.arrive(3, IDEMPOTENT);
-        assertThat(few.callCount()).isEqualTo(3);
+        twoServers.arrive(3, IDEMPOTENT);
+        assertThat(twoServers.callCount()).isEqualTo(3);
     }
 
     @Test
     void plainRequestIsRejectedIfThisRouterFillsEveryServer() {
-        DirectRoutingDriver few = new DirectRoutingDriver(2);
-        AnswerMetadata told = withLoad(new AnswerMetadata.ReportedLoad(1, 0, 2));
-        few.arrive(1, IDEMPOTENT);
-        few.arrive(2, IDEMPOTENT);
-        for (BeginCall call : few.all(BeginCall.class)) {
-            few.answer(call.call(), 200, told);
-            few.step(new DirectEvent.Finished(call.call()));
+        DirectRoutingDriver twoServers = new DirectRoutingDriver(2);
+        AnswerMetadata lowLoad = withLoad(new AnswerMetadata.ReportedLoad(1, 0, 2));
+        twoServers.arrive(1, IDEMPOTENT);
+        twoServers.arrive(2, IDEMPOTENT);
+        for (BeginCall call : twoServers.all(BeginCall.class)) {
+            twoServers.answer(call.call(), 200, lowLoad);
+            twoServers.step(new DirectEvent.Finished(call.call()));
         }
         for (int caller = 3; caller <= 7; caller++) {
-            few.arrive(caller, IDEMPOTENT);
+            twoServers.arrive(caller, IDEMPOTENT);
         }
-        assertThat(few.callCount()).isEqualTo(2 + 4);
-        assertThat(few.last(AnswerError.class).code()).isEqualTo(ResultCode.OVERLOADED);
+        assertThat(twoServers.callCount()).isEqualTo(2 + 4);
+        assertThat(twoServers.last(AnswerError.class).code()).isEqualTo(ResultCode.OVERLOADED);
     }
 
     @Test
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
@@ -7,8 +7,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Load pattern: a router is killed while callers keep coming. The balancer still sends it a share
- * of them when it listens again, some tenths of a second before it has settings.
+ * Tests the calls that wait for the first settings. They occur when a router is killed and
+ * restarted under load: the load balancer sends it calls as soon as it listens, some tenths of a
+ * second before it has settings.
  */
 class EarlyCallsTest {
     private static final Instant NOW = Instant.EPOCH;
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EventFramerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EventFramerTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Where a stream of events may be cut. */
+/** Tests how a stream of events is split into complete events. */
 class EventFramerTest {
     private static final String STREAM =
             "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid:3\ndata: \n\n";
@@ -21,11 +21,11 @@
         byte[] all = STREAM.getBytes(StandardCharsets.UTF_8);
         EventFramer framer = new EventFramer();
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        int at = 0;
-        while (at < all.length) {
-            int next = Math.min(all.length, at + 1 + random.nextInt(12));
-            out.writeBytes(framer.add(Arrays.copyOfRange(all, at, next)));
-            at = next;
+        int offset = 0;
+        while (offset < all.length) {
+            int next = Math.min(all.length, offset + 1 + random.nextInt(12));
+            out.writeBytes(framer.add(Arrays.copyOfRange(all, offset, next)));
+            offset = next;
         }
         assertThat(out.toString(StandardCharsets.UTF_8)).isEqualTo(STREAM);
         assertThat(framer.lastId()).isEqualTo("3");
@@ -36,8 +36,8 @@
     @Test
     void incompleteEventIsHeldBack() {
         EventFramer framer = new EventFramer();
-        byte[] whole = framer.add("id: 1\n\nid: 2\ndata".getBytes(StandardCharsets.UTF_8));
-        assertThat(whole).isEqualTo("id: 1\n\n".getBytes(StandardCharsets.UTF_8));
+        byte[] events = framer.add("id: 1\n\nid: 2\ndata".getBytes(StandardCharsets.UTF_8));
+        assertThat(events).isEqualTo("id: 1\n\n".getBytes(StandardCharsets.UTF_8));
         assertThat(framer.lastId()).isEqualTo("1");
         assertThat(framer.takeIncomplete())
                 .isEqualTo("id: 2\ndata".getBytes(StandardCharsets.UTF_8));
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/FailingServerTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/FailingServerTest.java
@@ -9,8 +9,8 @@
 import org.laurelweir.direct.DirectEffect.BeginCall;
 
 /**
- * Load pattern: a plain service of three servers, one of which fails two in five requests while its
- * health looks good. Seven in ten requests may run once only, and are lost where they fail.
+ * Tests a service of three servers, one of which fails 40% of its requests although it appears
+ * healthy. 70% of the requests are not idempotent, and are lost if they fail.
  */
 class FailingServerTest {
     private static final Route NON_IDEMPOTENT = DirectRoutingDriver.route(false, false, false);
@@ -46,32 +46,34 @@
 
     @Test
     void nonIdempotentRequestsAvoidAServerThatFailedRecently() {
-        // With a choice that only ejects after two failures in a row 78 of 2,093 are lost; of any
-        // single failure the server's next requests are not spared.
-        int unsafe = 0;
+        // Ejection after two consecutive failures is not enough: with it alone 78 of 2,093 requests
+        // are lost, because a single failure does not keep the next requests away.
+        int nonIdempotent = 0;
         for (int i = 1; i <= REQUEST_COUNT; i++) {
-            boolean once = mRandom.nextDouble() < NON_IDEMPOTENT_SHARE;
-            unsafe += once ? 1 : 0;
-            send(i, once ? NON_IDEMPOTENT : IDEMPOTENT);
+            boolean isNonIdempotent = mRandom.nextDouble() < NON_IDEMPOTENT_SHARE;
+            nonIdempotent += isNonIdempotent ? 1 : 0;
+            send(i, isNonIdempotent ? NON_IDEMPOTENT : IDEMPOTENT);
             mDriver.advance(Duration.ofMillis(50));
         }
-        System.out.printf("seed %d: %d of %d lost%n", SEED, mLostRequests, unsafe);
-        assertThat((double) mLostRequests / unsafe).isLessThan(0.03);
+        System.out.printf(
+                "seed %d: %d of %d non-idempotent requests lost%n",
+                SEED, mLostRequests, nonIdempotent);
+        assertThat((double) mLostRequests / nonIdempotent).isLessThan(0.03);
     }
 
     @Test
     void singleFailureIsForgottenSoon() {
-        // Nothing but requests that may run once: nobody else would find out that it is sound.
+        // All requests are non-idempotent, so no other request shows that the server has recovered.
         mDriver.arrive(1, NON_IDEMPOTENT);
         BeginCall first = mDriver.lastCall();
         mDriver.answer(first.call(), 500, GENUINE);
         mDriver.step(new DirectEvent.Finished(first.call()));
         mDriver.advance(Duration.ofSeconds(3));
-        int again = 0;
+        int sentToFailed = 0;
         for (int i = 2; i < 200; i++) {
             send(i, NON_IDEMPOTENT);
-            again += mDriver.lastCall().backend().equals(first.backend()) ? 1 : 0;
+            sentToFailed += mDriver.lastCall().backend().equals(first.backend()) ? 1 : 0;
         }
-        assertThat(again).isGreaterThan(20);
+        assertThat(sentToFailed).isGreaterThan(20);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/PartFetchTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/PartFetchTest.java
@@ -11,8 +11,9 @@
 import org.laurelweir.direct.DirectEffect.BeginCall;
 
 /**
- * Load pattern: many callers ask about one long document while servers join, leave and fill up. The
- * document lies at one engine; each other one that gets a request about it would read it again.
+ * Tests from where a server fetches the shared part of a prompt. Many callers send prompts about
+ * one long document while servers join, leave and fill up. One engine has the document in its
+ * cache; without a fetch, every other engine would have to read it again.
  */
 class PartFetchTest {
     private static final Route STREAM = DirectRoutingDriver.route(false, true, false);
@@ -21,7 +22,7 @@
     private final DirectRoutingDriver mDriver = new DirectRoutingDriver(4);
     private long mLastCaller;
 
-    /** A prompt of a long document that many share, and a few words of its own. */
+    /** Returns a prompt with a shared part, the document, and a short part of its own. */
     private static Prompt promptAbout(long document, int tokens) {
         return new Prompt(
                 List.of(new Prompt.Part(document, tokens), new Prompt.Part(1_000_000, 10)),
@@ -44,23 +45,23 @@
     @Test
     void serverThatRelievesAFullOneFetchesFromIt() {
         BeginCall home = sendAndAnswer(7);
-        List<BeginCall> elsewhere = new ArrayList<>();
+        List<BeginCall> spilled = new ArrayList<>();
         for (int i = 0; i < 16; i++) {
             BeginCall call = send(7);
             mDriver.answer(call.call(), 200, GENUINE);
             if (!call.backend().equals(home.backend())) {
-                elsewhere.add(call);
+                spilled.add(call);
             }
         }
-        assertThat(elsewhere).isNotEmpty();
-        assertThat(elsewhere.get(0).fetchFrom()).isEqualTo(home.address());
+        assertThat(spilled).isNotEmpty();
+        assertThat(spilled.get(0).fetchFrom()).isEqualTo(home.address());
         assertThat(home.fetchFrom()).isNotEqualTo(home.address());
     }
 
     @Test
     void newServerFetchesThePartsItRanksFirstFor() {
-        // A fifth server joins an even load and ranks first for a fifth of the documents. Without a
-        // fetch it reads each of them anew, while its other requests wait.
+        // A fifth server joins an even load and ranks first for a fifth of the documents. Without
+        // fetches it would read each of them again, while its other requests wait.
         Map<Long, String> holders = new HashMap<>();
         for (long d = 0; d < DOCUMENT_COUNT; d++) {
             holders.put(d, sendAndAnswer(d).address());
@@ -78,8 +79,8 @@
 
     @Test
     void partsOfADrainingServerAreFetchedByRoutersThatNeverUsedThem() {
-        // A server is replaced. This router has not seen its documents, each of which another
-        // router asks for now and then. They are fetched while the server is still there.
+        // A server is drained before it is replaced. This router has never sent it the documents,
+        // but another router has. They have to be fetched while the server is still there.
         DirectRoutingDriver other = new DirectRoutingDriver(4);
         Map<Long, BeginCall> homes = new HashMap<>();
         for (long d = 0; d < DOCUMENT_COUNT; d++) {
@@ -101,7 +102,7 @@
 
     @Test
     void failedOrDepartedServerIsNoFetchSource() {
-        // The holder goes dark. A fetch from it would hold up the request that was moved away.
+        // The holder becomes unreachable. A fetch from it would delay the retried request.
         BeginCall home = sendAndAnswer(7);
         BeginCall failing = send(7);
         mDriver.step(
@@ -120,8 +121,8 @@
         mDriver.restart(home.backend().id());
         for (int i = 0; i < 8; i++) {
             BeginCall call = send(7);
-            boolean again = call.backend().id().equals(home.backend().id());
-            assertThat(again && call.fetchFrom().isEmpty()).isFalse();
+            boolean sentToHome = call.backend().id().equals(home.backend().id());
+            assertThat(sentToHome && call.fetchFrom().isEmpty()).isFalse();
         }
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
@@ -9,7 +9,7 @@
 import org.laurelweir.settings.SettingsNode;
 import org.laurelweir.settings.SettingsTree;
 
-/** Which route takes a request. */
+/** Tests which route a request takes, and which routes stay cached. */
 class RouteTableTest {
     private static SettingsNode route(String name, String host, String prefix) {
         return SettingsNode.of(
@@ -47,8 +47,8 @@
 
     @Test
     void unchangedRoutesStayCached() {
-        // Many large changes in a row: each touches a few of some thousand routes. Read anew with
-        // each change, they hold up the requests that come next, on every router.
+        // Each change of the settings concerns a few of some thousand routes. If all routes were
+        // read again after each change, the next requests at every router would be delayed.
         SettingsTree before =
                 SettingsTree.of(
                         1,
