--- a/org.laurelweir/src/main/java/org/laurelweir/load/BackendLoad.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/BackendLoad.java
@@ -3,9 +3,9 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * What one or more routers have at a backend server.
+ * The load that one or more routers put on a backend server.
  *
- * @param server the run that has it
- * @param requests requests that were sent and are not over
+ * @param server the incarnation of the backend server
+ * @param requests number of requests in flight
  */
 public record BackendLoad(BackendRef server, int requests) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadDigest.java
@@ -3,32 +3,33 @@
 import java.util.List;
 
 /**
- * What control tells a router of loads: whole each time, so that neither keeps how far the other
- * has followed.
+ * The loads that control sends to a router. Every digest is complete, so that neither side has to
+ * record what the other already knows.
  *
- * @param routers how many routers' requests are in it; the rest is not known
- * @param means of each service; a backend server that is not among the busy ones holds no more
- * @param busy backend servers that hold more than their service's mean; the fullest, where there
- *     are too many
- * @param hot parts that several requests are about at the same time
+ * @param routers the number of routers whose requests are included
+ * @param means the mean load of each service; a backend server that is not listed as busy has at
+ *     most the mean
+ * @param busy backend servers above the mean of their service; the fullest ones if there are more
+ *     than {@link #MAX_BUSY}
+ * @param hot the hot prompt parts: shared parts that several concurrent requests have
  */
 public record LoadDigest(
         int routers, List<MeanLoad> means, List<BackendLoad> busy, List<PartLoad> hot) {
-    /** Most busy backend servers that are named, which bounds the bytes of an exchange. */
+    /** Maximum number of busy backend servers in a digest, which bounds the size of an exchange. */
     public static final int MAX_BUSY = 128;
 
-    /** Most hot parts that are named. */
+    /** Maximum number of hot prompt parts in a digest. */
     public static final int MAX_HOT_PARTS = 64;
 
-    /** Nothing, from a process that knows nothing. */
+    /** A digest without any load, from a process that knows none. */
     public static final LoadDigest NONE = new LoadDigest(0, List.of(), List.of(), List.of());
 
-    /** Returns whether no busy backend server was left out. */
+    /** Returns whether all busy backend servers are listed. */
     boolean listsAllBusy() {
         return busy.size() < MAX_BUSY;
     }
 
-    /** Copies the lists. */
+    /** Creates a digest with immutable copies of the lists. */
     public LoadDigest {
         means = List.copyOf(means);
         busy = List.copyOf(busy);
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadEstimator.java
@@ -9,16 +9,17 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * What one router believes of the load of each backend server: what all routers have there, as
- * control tells it, what the backend server itself tells in an answer, and what this router has
- * sent it since. One of which nothing is known is taken to hold what the others do on the mean and
- * never for idle: to one of many routers nearly all would look so.
+ * Estimates the load of each backend server for one router. An estimate combines the sum over all
+ * routers in the load digests of control, the load that the backend server reports in its answers,
+ * and the requests that this router has sent since. A backend server of unknown load is estimated
+ * at the mean of its service, and not as idle: to one of many routers nearly all servers would seem
+ * idle.
  */
 public final class LoadEstimator {
-    /** Told of a smaller share of all routers' requests, a router does not go by it. */
+    /** A load digest that covers a smaller share of all routers is ignored. */
     private static final double MIN_ROUTER_SHARE = 0.5;
 
-    /** So many reports tell changes only; one that tells all makes good whatever was lost. */
+    /** Number of incremental reports between full ones; a full report repairs any loss. */
     private static final int REPORTS_UNTIL_FULL = 10;
 
     private final Map<BackendRef, ServerEstimate> mServers = new HashMap<>();
@@ -30,18 +31,17 @@
     private int mReportsUntilFull;
 
     /**
-     * What is believed of one backend server.
+     * The estimated load of a backend server.
      *
-     * @param requests requests of all routers that it has, running or waiting
-     * @param ageMillis how long ago that was told, in milliseconds; NaN where nothing was told
-     *     lately
+     * @param requests number of requests of all routers, running or waiting
+     * @param ageMillis age of the load in milliseconds; NaN if no recent load is known
      */
     public record Estimate(double requests, double ageMillis) {}
 
     /**
-     * Notes that this router sends a request.
+     * Records that this router sends a request to a backend server.
      *
-     * @param part the shared part of its prompt, or 0
+     * @param part id of the shared part of its prompt, or 0
      */
     public void onRequestSent(BackendRef ref, long part) {
         server(ref).onRequestSent();
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Notes that a request of this router is over. */
+    /** Records that a request of this router has ended. */
     public void onRequestEnded(BackendRef ref, long part) {
         server(ref).onRequestEnded();
         if (part != 0) {
@@ -58,71 +58,77 @@
         }
     }
 
-    /** Takes what a backend server told in an answer to this router. */
+    /** Applies the number of requests that a backend server reports in an answer to this router. */
     public void onReportedLoad(Instant now, BackendRef ref, int requests) {
         server(ref).onReportedLoad(now, requests);
     }
 
-    /** Returns the requests of this router alone that a backend server has. */
+    /** Returns the number of this router's own requests at a backend server. */
     public int ownRequests(BackendRef ref) {
-        ServerEstimate k = mServers.get(ref);
-        return k == null ? 0 : k.ownRequests();
+        ServerEstimate e = mServers.get(ref);
+        return e == null ? 0 : e.ownRequests();
     }
 
-    /** Returns the mean load of a service's backend servers; NaN where it is not known. */
+    /**
+     * Returns the mean load of the backend servers of a service; NaN if no recent mean is known.
+     */
     public double mean(Instant now, String service) {
         return hasRecentDigest(now) ? mMeans.getOrDefault(service, Double.NaN) : Double.NaN;
     }
 
-    /** Returns whether control has told of loads lately. */
+    /** Returns whether the last applied load digest is recent. */
     public boolean hasRecentDigest(Instant now) {
         return ServerEstimate.isRecent(now, mDigestTime);
     }
 
-    /** Returns what is believed of a backend server of a service. */
+    /** Returns the estimated load of a backend server of a service. */
     public Estimate estimate(Instant now, String service, BackendRef ref) {
-        ServerEstimate k = mServers.get(ref);
+        ServerEstimate e = mServers.get(ref);
         double mean = mean(now, service);
-        if (k == null) {
+        if (e == null) {
             return new Estimate(Double.isNaN(mean) ? 0 : mean, Double.NaN);
         }
-        return new Estimate(k.estimate(now, mean), k.ageMillis(now));
+        return new Estimate(e.estimate(now, mean), e.ageMillis(now));
     }
 
-    /** Returns how many requests of all routers are about a part, where there are several. */
+    /** Returns the number of requests of all routers with a hot prompt part, 0 for other parts. */
     public int requestsForPart(Instant now, long part) {
         return hasRecentDigest(now) ? mHotParts.getOrDefault(part, 0) : 0;
     }
 
-    /** Returns what control has to be told of what this router has under way. */
+    /** Returns the next report to control of this router's requests in flight. */
     public LoadReport report(Instant now) {
         mReportTime = now;
-        boolean whole = mReportsUntilFull-- <= 0;
-        if (whole) {
+        boolean full = mReportsUntilFull-- <= 0;
+        if (full) {
             mReportsUntilFull = REPORTS_UNTIL_FULL;
         }
-        mServers.values().removeIf(k -> k.isUnused(now));
+        mServers.values().removeIf(e -> e.isUnused(now));
         List<BackendLoad> servers = new ArrayList<>();
         mServers.forEach(
-                (ref, k) -> {
-                    if (k.report(whole)) {
-                        servers.add(new BackendLoad(ref, k.ownRequests()));
+                (ref, e) -> {
+                    if (e.report(full)) {
+                        servers.add(new BackendLoad(ref, e.ownRequests()));
                     }
                 });
-        List<PartLoad> parts = mParts.report(whole);
-        return new LoadReport(whole, servers, parts);
+        List<PartLoad> parts = mParts.report(full);
+        return new LoadReport(full, servers, parts);
     }
 
-    /** Control has not answered the last report, or another run of it than the one before has. */
+    /**
+     * Makes the next report a full one. Needed if control has not acknowledged the last report, or
+     * if another incarnation of control has.
+     */
     public void requestFullReport() {
         mReportsUntilFull = 0;
     }
 
     /**
-     * Takes control's answer to the last report, which is as old as that report.
+     * Applies the load digest with which control answers the last report. Its loads count as being
+     * as old as that report.
      *
-     * @param routers how many routers there are
-     * @param serviceOf finds a backend server's service, null where it is gone
+     * @param routers the number of routers in the fleet
+     * @param serviceOf returns the service of a backend server, or null if it is unknown
      */
     public void onDigest(LoadDigest digest, int routers, Function<BackendRef, String> serviceOf) {
         mServers.values().forEach(ServerEstimate::onReportAcknowledged);
@@ -130,24 +136,24 @@
         if (digest.means().isEmpty() || digest.routers() < MIN_ROUTER_SHARE * routers) {
             return;
         }
-        // Routers that have just gone to another control instance are in it twice.
-        double once = Math.min(1, (double) routers / digest.routers());
+        // Routers that have just switched to another control instance are counted twice.
+        double scale = Math.min(1, (double) routers / digest.routers());
         mMeans = new HashMap<>();
-        digest.means().forEach(m -> mMeans.put(m.service(), once * m.requests()));
+        digest.means().forEach(m -> mMeans.put(m.service(), scale * m.requests()));
         mDigestTime = mReportTime;
         mHotParts = new HashMap<>();
         digest.hot().forEach(l -> mHotParts.put(l.part(), l.requests()));
         if (digest.listsAllBusy()) {
-            mServers.forEach((ref, k) -> onNotListed(k, serviceOf.apply(ref)));
+            mServers.forEach((ref, e) -> onNotListed(e, serviceOf.apply(ref)));
         }
         digest.busy()
-                .forEach(l -> server(l.server()).onDigestLoad(mReportTime, once * l.requests()));
+                .forEach(l -> server(l.server()).onDigestLoad(mReportTime, scale * l.requests()));
     }
 
-    private void onNotListed(ServerEstimate k, String service) {
+    private void onNotListed(ServerEstimate e, String service) {
         Double mean = mMeans.get(service);
         if (mean != null) {
-            k.onNotListed(mReportTime, mean);
+            e.onNotListed(mReportTime, mean);
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadReport.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What one or more routers have under way.
+ * The requests in flight of one or more routers.
  *
- * @param full whether that is all, and not only what changed since the last report
- * @param servers by backend server; 0 where there is nothing any more
- * @param parts by the shared part of the prompt, of requests that have one
+ * @param full whether the report lists all requests; otherwise it lists only the servers and parts
+ *     whose numbers have changed since the last acknowledged report
+ * @param servers the requests by backend server; 0 if the last request there has ended
+ * @param parts the requests by the shared part of their prompts, for requests with a prompt
  */
 public record LoadReport(boolean full, List<BackendLoad> servers, List<PartLoad> parts) {
-    /** Nothing under way. */
+    /** A full report without any request. */
     public static final LoadReport NONE = new LoadReport(true, List.of(), List.of());
 
-    /** Copies the lists. */
+    /** Creates a report with immutable copies of the lists. */
     public LoadReport {
         servers = List.copyOf(servers);
         parts = List.copyOf(parts);
--- a/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/LoadTable.java
@@ -14,25 +14,27 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * What all routers have under way, as one control instance knows it: from the routers that report
- * to it, and from its peers. A router knows what it has sent where; only the sum over all of them
- * is what a backend server has.
+ * Adds up the requests in flight of all routers at one control instance, from the routers that
+ * report to it and from its peers. A router knows only its own requests; the load of a backend
+ * server is the sum over all routers.
  */
 public final class LoadTable {
-    /** A control instance that is silent this long has ended; a live one speaks each second. */
+    /** A peer expires after this silence; a live control instance sends an update every second. */
     static final Duration PEER_TIMEOUT = Duration.ofMillis(1500);
 
-    /** What a peer told counts this long: it tells all again three times in that. */
+    /** A count of a peer expires after this time, in which the peer sends three full updates. */
     static final Duration PEER_COUNT_TIMEOUT = Duration.ofMillis(3500);
 
+    /** Interval of the full updates for the peers. */
     private static final Duration FULL_UPDATE_INTERVAL = Duration.ofSeconds(1);
 
     /**
-     * Intervals of exchanges after which a silent router has ended, or gone to another instance.
+     * Number of exchange intervals after which a silent router expires: it has ended, or reports to
+     * another control instance.
      */
     private static final int ROUTER_TIMEOUT_INTERVALS = 5;
 
-    /** Requests about a part from which on routers are told of it; its home takes fewer anyway. */
+    /** Minimum number of requests that makes a prompt part hot; a single home handles fewer. */
     private static final int MIN_HOT_REQUESTS = 3;
 
     private final String mSelf;
@@ -44,17 +46,18 @@
     private Instant mNextFullUpdate = Instant.MIN;
 
     /**
-     * A control instance that passes on what its routers have.
+     * Another control instance that sends the loads of its routers.
      *
-     * @param routers how many report to it; 0 before it has told all that they have
+     * @param routers the number of routers that report to it; 0 until its first full update
+     * @param lastUpdate the time of its last update
      */
     private record Peer(int routers, Instant lastUpdate) {}
 
     /**
      * Creates an empty table.
      *
-     * @param self the control instance's name
-     * @param exchangeInterval how often routers report
+     * @param self the name of this control instance
+     * @param exchangeInterval the interval at which routers report
      */
     public LoadTable(String self, Duration exchangeInterval) {
         mSelf = self;
@@ -62,8 +65,9 @@
     }
 
     /**
-     * Takes what a router has under way. One that tells changes only, of what is not known here, is
-     * passed over: it tells everything next, since another run than before has answered it.
+     * Applies the load report of a router. An incremental report of an unknown router is ignored:
+     * the router notices that another control instance or incarnation answers, and sends a full
+     * report next.
      */
     public void onRouterReport(Instant now, String router, LoadReport report) {
         if (!report.full() && !mRouters.containsKey(router)) {
@@ -83,22 +87,26 @@
         }
     }
 
-    /** Takes what a peer's routers have under way. */
-    public void onPeerLoads(Instant now, PeerLoads told) {
-        String peer = told.control();
-        boolean known =
-                told.sums().full() || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
-        mPeers.put(peer, new Peer(known ? told.routers() : 0, now));
-        told.sums()
+    /** Applies the update of a peer. */
+    public void onPeerLoads(Instant now, PeerLoads update) {
+        String peer = update.control();
+        boolean isKnown =
+                update.sums().full()
+                        || (mPeers.containsKey(peer) && mPeers.get(peer).routers() > 0);
+        mPeers.put(peer, new Peer(isKnown ? update.routers() : 0, now));
+        update.sums()
                 .servers()
                 .forEach(l -> mServers.putPeerCount(now, peer, l.server(), l.requests()));
-        told.sums().parts().forEach(l -> mParts.putPeerCount(now, peer, l.part(), l.requests()));
+        update.sums().parts().forEach(l -> mParts.putPeerCount(now, peer, l.part(), l.requests()));
     }
 
-    /** Returns, once, what peers are told; nothing while they know it. */
+    /**
+     * Returns the pending update for the peers, and clears it. The update is empty if nothing has
+     * changed and no full update is due.
+     */
     public PeerLoads takePeerUpdate(Instant now) {
-        boolean tellsAll = !now.isBefore(mNextFullUpdate) && !mRouters.isEmpty();
-        if (tellsAll) {
+        boolean isFull = !now.isBefore(mNextFullUpdate) && !mRouters.isEmpty();
+        if (isFull) {
             mNextFullUpdate = now.plus(FULL_UPDATE_INTERVAL);
             mServers.markAllPending();
             mParts.markAllPending();
@@ -109,10 +117,10 @@
         mServers.takePending((ref, n) -> servers.add(new BackendLoad(ref, n)));
         List<PartLoad> parts = new ArrayList<>();
         mParts.takePending((part, n) -> parts.add(new PartLoad(part, n)));
-        return new PeerLoads(mSelf, mRouters.size(), new LoadReport(tellsAll, servers, parts));
+        return new PeerLoads(mSelf, mRouters.size(), new LoadReport(isFull, servers, parts));
     }
 
-    /** Forgets who is silent. */
+    /** Removes the routers and peers that are silent, and the counts that peers do not repeat. */
     public void expire(Instant now) {
         timedOut(mRouters, now, at -> at, mRouterTimeout).forEach(this::removeRouter);
         timedOut(mPeers, now, Peer::lastUpdate, PEER_TIMEOUT).forEach(this::removePeer);
@@ -121,9 +129,9 @@
     }
 
     private static <S> List<String> timedOut(
-            Map<String, S> sources, Instant now, Function<S, Instant> heardAt, Duration after) {
+            Map<String, S> sources, Instant now, Function<S, Instant> lastHeard, Duration timeout) {
         return sources.entrySet().stream()
-                .filter(e -> hasElapsed(now, heardAt.apply(e.getValue()), after))
+                .filter(e -> hasElapsed(now, lastHeard.apply(e.getValue()), timeout))
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -144,12 +152,12 @@
         return !now.isBefore(since.plus(time));
     }
 
-    /** Returns how many routers' requests are known. */
+    /** Returns the number of routers whose requests are known. */
     public int routers() {
         return mRouters.size() + mPeers.values().stream().mapToInt(Peer::routers).sum();
     }
 
-    /** Returns how many requests are known to be under way. */
+    /** Returns the number of requests that are known to be in flight. */
     public int requests() {
         int[] sum = {0};
         mServers.forEach((ref, n) -> sum[0] += n);
@@ -157,9 +165,9 @@
     }
 
     /**
-     * Returns what a router is told.
+     * Returns the load digest for the routers.
      *
-     * @param backends every backend server that is known
+     * @param backends all known backend servers; only those that accept new requests are included
      */
     public LoadDigest digest(Collection<Backend> backends) {
         Map<String, List<BackendLoad>> byService = new HashMap<>();
@@ -186,7 +194,7 @@
                 hotParts());
     }
 
-    /** Returns a digest with the present numbers of the backend servers that it names. */
+    /** Returns a copy of a digest with the current loads of the busy backend servers in it. */
     public LoadDigest refreshed(LoadDigest digest) {
         List<BackendLoad> busy = digest.busy().stream().map(l -> load(l.server())).toList();
         return new LoadDigest(digest.routers(), digest.means(), busy, digest.hot());
@@ -207,19 +215,19 @@
         return largest(hot, PartLoad::requests, LoadDigest.MAX_HOT_PARTS);
     }
 
-    private static <T> List<T> largest(List<T> all, ToDoubleFunction<T> measure, int limit) {
+    private static <T> List<T> largest(List<T> all, ToDoubleFunction<T> value, int limit) {
         if (all.size() <= limit) {
             return all;
         }
         return all.stream()
-                .sorted(Comparator.comparingDouble(measure).reversed())
+                .sorted(Comparator.comparingDouble(value).reversed())
                 .limit(limit)
                 .toList();
     }
 
-    /** A backend server that holds more than the mean of its service. */
+    /** A backend server above the mean load of its service. */
     private record Busy(BackendLoad load, double mean) {
-        /** Services differ in how much their backend servers hold. */
+        /** Returns the load relative to the mean, because the loads of services differ. */
         double excess() {
             return load.requests() / (mean + 1);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/MeanLoad.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/MeanLoad.java
@@ -1,9 +1,9 @@
 package org.laurelweir.load;
 
 /**
- * The mean load of a service's backend servers that take new work.
+ * The mean load of the backend servers of a service that accept new requests.
  *
  * @param service the service
- * @param requests requests that a backend server has on the mean
+ * @param requests mean number of requests in flight per backend server
  */
 public record MeanLoad(String service, double requests) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/load/OwnPartCounts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/OwnPartCounts.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 import java.util.Set;
 
-/** How many of a router's requests are about each shared part, and what control has taken of it. */
+/** Counts a router's requests by the shared part of their prompts, for its reports to control. */
 final class OwnPartCounts {
     private final Map<Long, Integer> mRequests = new HashMap<>();
+
+    /** The counts in the last report that control has acknowledged. */
     private final Map<Long, Integer> mAcknowledged = new HashMap<>();
+
     private Map<Long, Integer> mReported = Map.of();
 
     void add(long part, int change) {
@@ -18,19 +21,20 @@
     }
 
     /**
-     * Returns what control has to be told.
+     * Returns the counts for a report.
      *
-     * @param whole whether that is everything, or only what it has not taken
+     * @param full whether to return all counts, or only those that have changed since the last
+     *     acknowledged report
      */
-    List<PartLoad> report(boolean whole) {
+    List<PartLoad> report(boolean full) {
         mReported = new HashMap<>(mRequests);
-        Set<Long> told = new HashSet<>(mRequests.keySet());
-        if (!whole) {
-            told.addAll(mAcknowledged.keySet());
-            told.removeIf(part -> requests(part) == mAcknowledged.getOrDefault(part, 0));
+        Set<Long> listed = new HashSet<>(mRequests.keySet());
+        if (!full) {
+            listed.addAll(mAcknowledged.keySet());
+            listed.removeIf(part -> requests(part) == mAcknowledged.getOrDefault(part, 0));
         }
         List<PartLoad> loads = new ArrayList<>();
-        told.forEach(part -> loads.add(new PartLoad(part, requests(part))));
+        listed.forEach(part -> loads.add(new PartLoad(part, requests(part))));
         return loads;
     }
 
@@ -38,7 +42,7 @@
         return mRequests.getOrDefault(part, 0);
     }
 
-    /** Control has taken the last report. */
+    /** Records that control has acknowledged the last report. */
     void onReportAcknowledged() {
         mAcknowledged.clear();
         mAcknowledged.putAll(mReported);
--- a/org.laurelweir/src/main/java/org/laurelweir/load/PartLoad.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/PartLoad.java
@@ -1,9 +1,9 @@
 package org.laurelweir.load;
 
 /**
- * What one or more routers have of requests about one shared part of prompts.
+ * The number of requests of one or more routers whose prompts have the same shared part.
  *
- * @param part the part's id
- * @param requests requests that were sent and are not over
+ * @param part id of the shared part
+ * @param requests number of requests in flight
  */
 public record PartLoad(long part, int requests) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/load/PeerLoads.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/PeerLoads.java
@@ -1,17 +1,18 @@
 package org.laurelweir.load;
 
 /**
- * What a control instance passes on to the others of what its routers have under way.
+ * The loads that a control instance sends to its peers: the sums over the routers that report to
+ * it.
  *
- * @param control the instance's name
- * @param routers how many routers report to it
- * @param sums over these routers
+ * @param control the name of the control instance
+ * @param routers the number of routers that report to it
+ * @param sums the sums over these routers
  */
 public record PeerLoads(String control, int routers, LoadReport sums) {
-    /** Nothing to pass on. */
+    /** An update without content, which is not sent. */
     public static final PeerLoads NONE = new PeerLoads("", 0, LoadReport.NONE);
 
-    /** Returns whether there is nothing to pass on. */
+    /** Returns whether there is nothing to send. */
     public boolean isEmpty() {
         return control.isEmpty();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/ServerEstimate.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/ServerEstimate.java
@@ -3,35 +3,38 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** What a router knows of one backend server's load. */
+/** A router's estimate of the load of one backend server, and its own requests there. */
 final class ServerEstimate {
-    /** How long a load counts after it was told; requests come and go several times in this. */
+    /** Maximum age of a load; requests start and end several times within it. */
     static final Duration MAX_AGE = Duration.ofSeconds(3);
 
     /**
-     * How long the backend server's own word goes before the sum over all routers, in which what
-     * the others sent lately is not yet, and what they gave up is not any more.
+     * How long a load that the backend server itself reports takes precedence over the digest of
+     * control. The digest lacks the latest requests of other routers, and also requests that they
+     * have given up while the server still runs them.
      */
     static final Duration SERVER_REPORT_PRECEDENCE = Duration.ofMillis(400);
 
-    /** This router's requests that the backend server has. */
+    /** This router's requests in flight at the backend server. */
     private int mOwnRequests;
 
-    /** As many as were told with the last report. */
+    /** The number of own requests in the last report. */
     private int mOwnReported;
 
-    /** As many as control has taken. */
+    /** The number of own requests in the last acknowledged report. */
     private int mOwnAcknowledged;
 
+    /** Time of the load, {@code Instant.MIN} if none is known. */
     private Instant mLoadTime = Instant.MIN;
+
     private Instant mServerReportTime = Instant.MIN;
     private double mLoad;
 
-    /** Of the requests that were told, those of this router. */
+    /** The number of own requests that are included in the load. */
     private int mOwnInLoad;
 
-    static boolean isRecent(Instant now, Instant toldAt) {
-        return toldAt != Instant.MIN && now.isBefore(toldAt.plus(MAX_AGE));
+    static boolean isRecent(Instant now, Instant loadTime) {
+        return loadTime != Instant.MIN && now.isBefore(loadTime.plus(MAX_AGE));
     }
 
     void onRequestSent() {
@@ -47,22 +50,22 @@
     }
 
     /**
-     * Notes that a report is made.
+     * Records that a report is created.
      *
-     * @param whole whether control is told all that this router has
-     * @return whether control has to be told what it has here
+     * @param full whether the report is a full one
+     * @return whether the report has to list this backend server
      */
-    boolean report(boolean whole) {
+    boolean report(boolean full) {
         mOwnReported = mOwnRequests;
-        return whole ? mOwnRequests != 0 : mOwnRequests != mOwnAcknowledged;
+        return full ? mOwnRequests != 0 : mOwnRequests != mOwnAcknowledged;
     }
 
-    /** Control has taken the last report. */
+    /** Records that control has acknowledged the last report. */
     void onReportAcknowledged() {
         mOwnAcknowledged = mOwnReported;
     }
 
-    /** Takes what the backend server tells itself. */
+    /** Applies the load that the backend server itself reports. */
     void onReportedLoad(Instant now, int requests) {
         mServerReportTime = now;
         mLoadTime = now;
@@ -71,66 +74,65 @@
     }
 
     /**
-     * Takes what control answers to a report.
+     * Applies the load in a digest of control.
      *
-     * @param reportedAt when the report was made, which is in the answer
+     * @param reportTime time of the report that the digest answers and includes
      */
-    void onDigestLoad(Instant reportedAt, double requests) {
-        if (serverReportPrevails(reportedAt)) {
+    void onDigestLoad(Instant reportTime, double requests) {
+        if (serverReportPrevails(reportTime)) {
             return;
         }
-        mLoadTime = reportedAt;
+        mLoadTime = reportTime;
         mLoad = requests;
         mOwnInLoad = mOwnReported;
     }
 
     /**
-     * Takes that control does not name the backend server in its answer to a report: it has no more
-     * than the mean.
+     * Applies a digest that does not list the backend server as busy: its load is at most the mean.
      */
-    void onNotListed(Instant reportedAt, double mean) {
-        if (mLoad > mean && !serverReportPrevails(reportedAt)) {
+    void onNotListed(Instant reportTime, double mean) {
+        if (mLoad > mean && !serverReportPrevails(reportTime)) {
             mLoadTime = Instant.MIN;
         }
     }
 
-    private boolean serverReportPrevails(Instant reportedAt) {
+    private boolean serverReportPrevails(Instant reportTime) {
         return mServerReportTime != Instant.MIN
-                && reportedAt.isBefore(mServerReportTime.plus(SERVER_REPORT_PRECEDENCE));
+                && reportTime.isBefore(mServerReportTime.plus(SERVER_REPORT_PRECEDENCE));
     }
 
     /**
-     * Returns the load that is believed. What was told fades into the mean as it gets older.
+     * Returns the estimated number of requests. With its age, the known load fades into the mean.
      *
-     * @param mean of the service, NaN where it is not known
+     * @param mean mean load of the service, NaN if unknown
      */
     double estimate(Instant now, double mean) {
-        double rest =
+        double fallback =
                 Double.isNaN(mean)
                         ? mOwnRequests
                         : Math.max(mOwnRequests, mean + sentSinceReport());
         if (!isRecent(now, mLoadTime)) {
-            return rest;
+            return fallback;
         }
-        double told = Math.max(mOwnRequests, mLoad - mOwnInLoad + mOwnRequests);
-        double faded = Double.isNaN(mean) ? 0 : ageMillis(now) / MAX_AGE.toMillis();
-        return told + (rest - told) * faded;
+        double current = Math.max(mOwnRequests, mLoad - mOwnInLoad + mOwnRequests);
+        double fadedShare = Double.isNaN(mean) ? 0 : ageMillis(now) / MAX_AGE.toMillis();
+        return current + (fallback - current) * fadedShare;
     }
 
     private int sentSinceReport() {
         return Math.max(0, mOwnRequests - mOwnReported);
     }
 
-    /** Returns how long ago the load was told, in milliseconds; NaN where that counts no more. */
+    /** Returns the age of the load in milliseconds; NaN if it is not recent. */
     double ageMillis(Instant now) {
         if (!isRecent(now, mLoadTime)) {
             return Double.NaN;
         }
-        // The clock may have been set back.
+        // The clock may be set back.
         return Math.max(0, Duration.between(mLoadTime, now).toMillis());
     }
 
-    /** Returns whether nothing is left to know. */
+    /** Returns whether there are neither own requests nor a recent load. */
     boolean isUnused(Instant now) {
         return mOwnRequests == 0 && mOwnAcknowledged == 0 && !isRecent(now, mLoadTime);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
@@ -9,11 +9,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * Numbers that add up over many sources: some report here, others to peers, which pass on their
- * sums. Each tells its present state and no changes of it, so that a lost message is made good by
- * the next one.
+ * Counts that are summed over many sources. Some sources report here; others report to peers, which
+ * send their sums. Messages carry current counts and not differences, so that the next message
+ * repairs a lost one.
  *
- * @param <K> what is counted
+ * @param <K> the type of the keys of the counts
  */
 final class SharedCounts<K> {
     private final Map<String, Map<K, Integer>> mSources = new HashMap<>();
@@ -21,13 +21,13 @@
     private final Map<K, Integer> mLocalSums = new HashMap<>();
     private final Map<K, Integer> mTotals = new HashMap<>();
 
-    /** Of which peers lack the present number. */
+    /** Keys whose current local sum has not been sent to the peers. */
     private final Set<K> mPending = new HashSet<>();
 
-    /** What a peer told, and when. */
+    /** A count that a peer sent, and the time of its arrival. */
     private record PeerCount(int count, Instant time) {}
 
-    /** Takes all numbers of a source that reports here. */
+    /** Replaces all counts of a source that reports here. */
     void replace(String source, Map<K, Integer> counts) {
         Map<K, Integer> before = mSources.getOrDefault(source, Map.of());
         before.forEach((key, n) -> addLocal(key, counts.getOrDefault(key, 0) - n));
@@ -35,7 +35,7 @@
         mSources.put(source, new HashMap<>(counts));
     }
 
-    /** Takes the numbers of a source that have changed. */
+    /** Updates the counts of a source that have changed; 0 removes a count. */
     void update(String source, Map<K, Integer> counts) {
         Map<K, Integer> known = mSources.computeIfAbsent(source, s -> new HashMap<>());
         counts.forEach(
@@ -45,7 +45,7 @@
                 });
     }
 
-    /** Drops all that a source told. */
+    /** Removes all counts of a source. */
     void removeSource(String source) {
         replace(source, Map.of());
         mSources.remove(source);
@@ -59,33 +59,40 @@
         }
     }
 
-    /** Takes a peer's sum. */
+    /** Sets the sum of a peer for a key; 0 removes it. */
     void putPeerCount(Instant now, String peer, K key, int count) {
-        Map<K, PeerCount> told = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
-        PeerCount before = count == 0 ? told.remove(key) : told.put(key, new PeerCount(count, now));
+        Map<K, PeerCount> peerCounts = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
+        PeerCount before =
+                count == 0
+                        ? peerCounts.remove(key)
+                        : peerCounts.put(key, new PeerCount(count, now));
         add(mTotals, key, count - (before == null ? 0 : before.count()));
     }
 
-    /** Drops all that a peer told. */
+    /** Removes all sums of a peer. */
     void removePeer(String peer) {
-        Map<K, PeerCount> told = mPeers.remove(peer);
-        if (told != null) {
-            told.forEach((key, t) -> add(mTotals, key, -t.count()));
+        Map<K, PeerCount> peerCounts = mPeers.remove(peer);
+        if (peerCounts != null) {
+            peerCounts.forEach((key, c) -> add(mTotals, key, -c.count()));
         }
     }
 
-    /** Drops peers' sums that were not told again for a time. */
-    void expire(Instant now, Duration after) {
-        mPeers.values().forEach(told -> told.entrySet().removeIf(e -> expireCount(e, now, after)));
+    /** Removes the sums that peers have not repeated within a timeout. */
+    void expire(Instant now, Duration timeout) {
+        mPeers.values()
+                .forEach(
+                        peerCounts ->
+                                peerCounts.entrySet().removeIf(e -> expireCount(e, now, timeout)));
         mPeers.values().removeIf(Map::isEmpty);
     }
 
-    private boolean expireCount(Map.Entry<K, PeerCount> e, Instant now, Duration after) {
-        PeerCount told = e.getValue();
-        if (now.isBefore(told.time().plus(after))) {
+    /** Subtracts a count from the totals if it has expired; returns whether it has. */
+    private boolean expireCount(Map.Entry<K, PeerCount> e, Instant now, Duration timeout) {
+        PeerCount peerCount = e.getValue();
+        if (now.isBefore(peerCount.time().plus(timeout))) {
             return false;
         }
-        add(mTotals, e.getKey(), -told.count());
+        add(mTotals, e.getKey(), -peerCount.count());
         return true;
     }
 
@@ -95,7 +102,7 @@
         }
     }
 
-    /** Has peers told all sums again. */
+    /** Marks all local sums as pending for the peers. */
     void markAllPending() {
         mPending.addAll(mLocalSums.keySet());
     }
@@ -104,23 +111,23 @@
         return mPending.isEmpty();
     }
 
-    /** Gives, once, the sums over the sources here that peers lack. */
-    void takePending(BiConsumer<K, Integer> taker) {
-        mPending.forEach(key -> taker.accept(key, mLocalSums.getOrDefault(key, 0)));
+    /** Passes the pending local sums to a consumer; they are not pending afterwards. */
+    void takePending(BiConsumer<K, Integer> consumer) {
+        mPending.forEach(key -> consumer.accept(key, mLocalSums.getOrDefault(key, 0)));
         mPending.clear();
     }
 
-    /** Returns the sum over all sources. */
+    /** Returns the sum over all sources, including those of the peers. */
     int get(K key) {
         return mTotals.getOrDefault(key, 0);
     }
 
-    /** Returns of how many there is any. */
+    /** Returns the number of keys with a sum other than 0. */
     int size() {
         return mTotals.size();
     }
 
-    void forEach(BiConsumer<K, Integer> taker) {
-        mTotals.forEach(taker);
+    void forEach(BiConsumer<K, Integer> consumer) {
+        mTotals.forEach(consumer);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -21,8 +21,9 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * Engines that read one prompt after the other, generate for all at once, and tell their load in
- * the head of each answer, which they send with the first token.
+ * Simulated engines in virtual time. An engine reads (prefills) one prompt after the other and
+ * generates tokens for all requests concurrently. It sends the head of an answer with the first
+ * token, and reports its load in it.
  */
 final class FleetEngines implements FleetBackends {
     static final String SERVICE = "engines";
@@ -30,23 +31,24 @@
     private static final int ANNOUNCE_INTERVAL_MILLIS = 1200;
     private static final int SLOTS = 64;
 
-    /** Also the requests that a router gives an engine whose slots it has not been told. */
+    /** Weight of an engine; also the slots that a router assumes until the engine reports them. */
     private static final int WEIGHT = 20;
 
     private static final int MAX_TRANSIT_MILLIS = 3;
     private static final double PREFILL_TOKENS_PER_MILLI = 44;
 
-    /** A part that another engine holds arrives this much faster than it is read. */
+    /** Fetching a part from another engine is faster than reading it by this factor. */
     private static final double FETCH_SPEEDUP = 6;
 
-    /** What an engine may hold: this multiple of the mean, and a few more. */
+    /** The load bound of an engine is this multiple of the mean load plus {@link #BOUND_EXTRA}. */
     private static final double BOUND_FACTOR = 2;
 
     private static final double BOUND_EXTRA = 3;
 
-    /** Time for a token while nothing else runs, and what each other request adds to it. */
+    /** Time per token without any request. */
     private static final double MILLIS_PER_TOKEN = 4;
 
+    /** Additional time per token for each request of the engine. */
     private static final double MILLIS_PER_TOKEN_PER_REQUEST = 0.25;
 
     private final VirtualTime mTime;
@@ -58,9 +60,9 @@
     /**
      * A request that reached an engine.
      *
-     * @param atMillis when
-     * @param held requests that the engine had already
-     * @param mean requests that an engine had on the mean
+     * @param atMillis time of the arrival
+     * @param requests number of requests that the engine already had
+     * @param mean mean number of requests per engine
      */
     record Arrival(long atMillis, int requests, double mean) {
         boolean isOverBound() {
@@ -79,18 +81,18 @@
         time.every(ANNOUNCE_INTERVAL_MILLIS, () -> mByAddress.values().forEach(this::announce));
     }
 
-    /** One engine reads nothing for a while; what has begun goes on. */
+    /** Makes a random engine read no prompt for some time; it still generates tokens. */
     void stall(int millis) {
         Engine e = mByAddress.get(address(mTime.random().nextInt(mByAddress.size())));
         e.mStalledUntil = mTime.millis() + millis;
     }
 
-    /** Returns every request that reached an engine, in order. */
+    /** Returns the requests that reached engines, in order of arrival. */
     List<Arrival> arrivals() {
         return mArrivals;
     }
 
-    /** Returns the tokens of shared parts that engines read or fetched so far. */
+    /** Returns the number of tokens of shared parts that engines have read or fetched so far. */
     long prefilledTokens() {
         return mPrefilledTokens;
     }
@@ -174,11 +176,12 @@
         AnswerMetadata.ReportedLoad load =
                 new AnswerMetadata.ReportedLoad(
                         e.requestCount() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
-        AnswerMetadata facts = new AnswerMetadata(false, false, true, Optional.of(load));
-        r.send(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), facts));
-        double token = MILLIS_PER_TOKEN + MILLIS_PER_TOKEN_PER_REQUEST * e.requestCount();
+        AnswerMetadata metadata = new AnswerMetadata(false, false, true, Optional.of(load));
+        r.send(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), metadata));
+        double millisPerToken = MILLIS_PER_TOKEN + MILLIS_PER_TOKEN_PER_REQUEST * e.requestCount();
         mTime.after(
-                Math.round(token * r.mCall.request().prompt().outputTokens()), () -> finish(e, r));
+                Math.round(millisPerToken * r.mCall.request().prompt().outputTokens()),
+                () -> finish(e, r));
     }
 
     private void finish(Engine e, EngineCall r) {
@@ -187,7 +190,7 @@
         }
     }
 
-    /** A call of a router, which its events go back to. */
+    /** A call of a router, with the receiver of its events. */
     private final class EngineCall {
         private final DirectEffect.BeginCall mCall;
         private final Consumer<DirectEvent> mEvents;
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadBoundCheck.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadBoundCheck.java
@@ -5,13 +5,14 @@
 import java.util.List;
 import org.laurelweir.load.FleetEngines.Arrival;
 
-/** Counts requests that reach engines over the bound, in each window of some seconds. */
+/** Counts the requests that reach engines above the load bound, in a sliding time window. */
 final class LoadBoundCheck {
     private static final int WINDOW_MILLIS = 5000;
 
-    /** More than this share of a window's requests, and this many at least, break the promise. */
+    /** The bound is violated if more than this share of the requests in a window is above it. */
     private static final double MAX_SHARE = 0.03;
 
+    /** Fewer requests above the bound in a window are no violation. */
     private static final int MIN_COUNT = 20;
 
     private final Deque<Arrival> mWindow = new ArrayDeque<>();
@@ -37,18 +38,18 @@
         mOverBound += a.isOverBound() ? by : 0;
     }
 
-    /** Returns whether any window has too many. */
+    /** Returns whether any window has too many requests above the bound. */
     boolean isViolated() {
         return mViolated;
     }
 
-    /** Returns the largest number in a window. */
+    /** Returns the maximum number of requests above the bound in a window. */
     int maxOverBound() {
         return mMaxOverBound;
     }
 
     @Override
     public String toString() {
-        return mMaxOverBound + " requests to engines over the bound in a window";
+        return mMaxOverBound + " requests above the load bound in a window";
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadEstimatorTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadEstimatorTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.lib.BackendRef;
 
-/** What a router believes of backend servers that it seldom calls. */
+/** Tests the estimated loads of backend servers that a router calls seldom. */
 class LoadEstimatorTest {
     private static final Instant NOW = Instant.EPOCH;
-    private static final Instant HALF_FADED = NOW.plus(ServerEstimate.MAX_AGE.dividedBy(2));
+    private static final Instant HALF_EXPIRED = NOW.plus(ServerEstimate.MAX_AGE.dividedBy(2));
     private static final Instant EXPIRED = NOW.plus(ServerEstimate.MAX_AGE);
     private static final String SERVICE = "svc";
     private static final int ROUTERS = 10;
     private static final long PART = 77;
-    private static final BackendRef FIRST_RUN = new BackendRef("w", 1000);
-    private static final BackendRef SECOND_RUN = new BackendRef("w", 2000);
+    private static final BackendRef FIRST_INCARNATION = new BackendRef("w", 1000);
+    private static final BackendRef SECOND_INCARNATION = new BackendRef("w", 2000);
     private static final BackendRef SERVER = new BackendRef("v", 1);
 
     private final LoadEstimator mLoads = new LoadEstimator();
@@ -49,26 +49,26 @@
         return mLoads.estimate(now, SERVICE, ref).requests();
     }
 
-    // A backend server that crashed under load and is back under its name got no request.
+    // Guards against a server that gets no request after a restart under load.
     @Test
     void restartedServerDoesNotInheritTheLoad() {
-        mLoads.onRequestSent(FIRST_RUN, 0);
-        mLoads.onReportedLoad(NOW, FIRST_RUN, 35);
-        assertThat(estimate(NOW, SECOND_RUN)).isZero();
-        mLoads.onRequestSent(SECOND_RUN, 0);
-        mLoads.onRequestEnded(FIRST_RUN, 0);
-        mLoads.onReportedLoad(NOW, FIRST_RUN, 35);
-        assertThat(estimate(NOW, SECOND_RUN)).isEqualTo(1);
+        mLoads.onRequestSent(FIRST_INCARNATION, 0);
+        mLoads.onReportedLoad(NOW, FIRST_INCARNATION, 35);
+        assertThat(estimate(NOW, SECOND_INCARNATION)).isZero();
+        mLoads.onRequestSent(SECOND_INCARNATION, 0);
+        mLoads.onRequestEnded(FIRST_INCARNATION, 0);
+        mLoads.onReportedLoad(NOW, FIRST_INCARNATION, 35);
+        assertThat(estimate(NOW, SECOND_INCARNATION)).isEqualTo(1);
     }
 
-    // One of which a router knew nothing looked idle to it, and was chosen for that.
+    // Guards against preferring a server because its load is unknown.
     @Test
     void unknownLoadIsEstimatedAsTheMean() {
         exchange(NOW, digest(5));
         assertThat(estimate(NOW, SERVER)).isEqualTo(5);
     }
 
-    // What a router sent to a backend server that control does not name did not count.
+    // Guards against ignoring the router's requests at a server that is not listed as busy.
     @Test
     void requestsSentSinceTheReportAreAddedToTheMean() {
         mLoads.onRequestSent(SERVER, 0);
@@ -79,7 +79,7 @@
         assertThat(estimate(NOW, SERVER)).isEqualTo(7);
     }
 
-    // What other routers sent to a backend server that answered nothing was not seen.
+    // Guards against ignoring the requests of other routers at a server that does not answer.
     @Test
     void requestsOfOtherRoutersCount() {
         exchange(NOW, digest(4, new BackendLoad(SERVER, 12)));
@@ -88,7 +88,7 @@
         assertThat(estimate(NOW, SERVER)).isEqualTo(13);
     }
 
-    // What a router had reported, and had ended since, was counted on.
+    // Guards against counting requests that have ended since the report.
     @Test
     void requestsEndedSinceTheReportAreSubtracted() {
         mLoads.onRequestSent(SERVER, 0);
@@ -99,15 +99,15 @@
         assertThat(estimate(NOW, SERVER)).isEqualTo(11);
     }
 
-    // An old load was believed in full, and not at all a moment later.
+    // Guards against a load that counts in full until it expires and then drops at once.
     @Test
     void loadFadesIntoTheMean() {
         exchange(NOW, digest(4, new BackendLoad(SERVER, 12)));
-        assertThat(estimate(HALF_FADED, SERVER)).isCloseTo(8, within(0.01));
-        assertThat(mLoads.estimate(HALF_FADED, SERVICE, SERVER).ageMillis()).isEqualTo(1500);
+        assertThat(estimate(HALF_EXPIRED, SERVER)).isCloseTo(8, within(0.01));
+        assertThat(mLoads.estimate(HALF_EXPIRED, SERVICE, SERVER).ageMillis()).isEqualTo(1500);
     }
 
-    // A backend server was left alone for seconds that had long had room again.
+    // Guards against avoiding a server for seconds after it has room again.
     @Test
     void serverThatIsNotListedAsBusyHasTheMean() {
         exchange(NOW, digest(4, new BackendLoad(SERVER, 12)));
@@ -115,7 +115,7 @@
         assertThat(estimate(NOW.plusMillis(300), SERVER)).isEqualTo(4);
     }
 
-    // Control's answer took back what a backend server had told while it was under way.
+    // Guards against a digest that replaces a load which the server reported after the report.
     @Test
     void serverReportPrevailsOverADigestOfAnEarlierReport() {
         mLoads.report(NOW);
@@ -124,7 +124,8 @@
         assertThat(estimate(NOW.plusMillis(10), SERVER)).isEqualTo(12);
     }
 
-    // A backend server's own word was overruled by a sum that lacks what others sent just now.
+    // Guards against a digest that overrides the server's own report but lacks the latest requests
+    // of other routers.
     @Test
     void serverReportPrevailsForAMoment() {
         mLoads.onReportedLoad(NOW, SERVER, 24);
@@ -137,8 +138,8 @@
         assertThat(estimate(later, SERVER)).isEqualTo(6);
     }
 
-    // Routers that had gone to another control instance were counted twice, and servers looked
-    // full.
+    // Guards against servers that seem full because routers that switched to another control
+    // instance are counted twice.
     @Test
     void doubleCountedRoutersAreScaledOut() {
         exchange(NOW, digest(2 * ROUTERS, 6, new BackendLoad(SERVER, 20)));
@@ -146,17 +147,17 @@
         assertThat(estimate(NOW, SERVER)).isEqualTo(10);
     }
 
-    // One that was cut from the list of busy ones was taken for an ordinary one.
+    // Guards against estimating a busy server at the mean because the digest has no room for it.
     @Test
     void truncatedDigestSaysNothingAboutUnlistedServers() {
-        BackendLoad[] most = new BackendLoad[LoadDigest.MAX_BUSY];
-        Arrays.setAll(most, i -> new BackendLoad(new BackendRef("s" + i, 1), 30));
+        BackendLoad[] busy = new BackendLoad[LoadDigest.MAX_BUSY];
+        Arrays.setAll(busy, i -> new BackendLoad(new BackendRef("s" + i, 1), 30));
         mLoads.onReportedLoad(NOW, SERVER, 25);
-        exchange(NOW.plusMillis(500), digest(4, most));
+        exchange(NOW.plusMillis(500), digest(4, busy));
         assertThat(estimate(NOW, SERVER)).isEqualTo(25);
     }
 
-    // An answer that had waited in a process that stood still was taken for new.
+    // Guards against treating a digest as new that was delayed in a suspended process.
     @Test
     void digestIsAsOldAsItsReport() {
         mLoads.report(NOW);
@@ -164,14 +165,14 @@
         assertThat(mLoads.hasRecentDigest(EXPIRED)).isFalse();
     }
 
-    // After the clock had been set back a load was below zero.
+    // Guards against negative loads after the clock is set back.
     @Test
     void clockSetBackDoesNotChangeTheLoad() {
         exchange(NOW, digest(4, new BackendLoad(SERVER, 12)));
         assertThat(estimate(NOW.minusSeconds(8), SERVER)).isEqualTo(12);
     }
 
-    // Few routers' requests were taken for all.
+    // Guards against treating the requests of a few routers as those of all.
     @Test
     void digestOfTooFewRoutersIsIgnored() {
         exchange(NOW, digest(ROUTERS / 2 - 1, 1, new BackendLoad(SERVER, 2)));
@@ -183,7 +184,7 @@
         assertThat(estimate(NOW.plusMillis(600), SERVER)).isEqualTo(2);
     }
 
-    // A router that is cut off from control took old means for present ones.
+    // Guards against using old means in a router that has lost the connection to control.
     @Test
     void onlyOwnRequestsCountWithoutControl() {
         exchange(NOW, digest(4, new BackendLoad(SERVER, 12)));
@@ -198,7 +199,7 @@
 
     @Test
     void firstReportListsAllRequestsInFlight() {
-        mLoads.onReportedLoad(NOW, FIRST_RUN, 12);
+        mLoads.onReportedLoad(NOW, FIRST_INCARNATION, 12);
         mLoads.onRequestSent(SERVER, PART);
         mLoads.onRequestSent(SERVER, PART);
         mLoads.onRequestSent(SERVER, 0);
@@ -207,21 +208,22 @@
                 .isEqualTo(report(true, List.of(load(SERVER, 2)), List.of(new PartLoad(PART, 1))));
     }
 
-    // A router with hundreds of requests under way told all of them with each exchange.
+    // Guards against reporting hundreds of unchanged requests in each exchange.
     @Test
     void furtherReportsListChangesOnly() {
         mLoads.onRequestSent(SERVER, PART);
-        mLoads.onRequestSent(FIRST_RUN, 0);
+        mLoads.onRequestSent(FIRST_INCARNATION, 0);
         exchange(NOW, digest(4));
         assertThat(mLoads.report(NOW)).isEqualTo(report(false, List.of(), List.of()));
         mLoads.onRequestEnded(SERVER, PART);
-        List<PartLoad> over = List.of(new PartLoad(PART, 0));
-        assertThat(mLoads.report(NOW)).isEqualTo(report(false, List.of(load(SERVER, 0)), over));
+        List<PartLoad> endedParts = List.of(new PartLoad(PART, 0));
+        assertThat(mLoads.report(NOW))
+                .isEqualTo(report(false, List.of(load(SERVER, 0)), endedParts));
         receiveDigest(digest(4));
         assertThat(mLoads.report(NOW)).isEqualTo(report(false, List.of(), List.of()));
     }
 
-    // What a router had told an instance that was gone was never told to the next one.
+    // Guards against a control instance that never learns what was reported to its predecessor.
     @Test
     void fullReportsAreSentAfterALossAndRegularly() {
         mLoads.onRequestSent(SERVER, 0);
@@ -229,13 +231,13 @@
         assertThat(mLoads.report(NOW).full()).isFalse();
         mLoads.requestFullReport();
         assertThat(mLoads.report(NOW)).isEqualTo(report(true, List.of(load(SERVER, 1)), List.of()));
-        long whole = IntStream.range(0, 50).filter(i -> mLoads.report(NOW).full()).count();
-        assertThat(whole).isBetween(3L, 6L);
+        long fullReports = IntStream.range(0, 50).filter(i -> mLoads.report(NOW).full()).count();
+        assertThat(fullReports).isBetween(3L, 6L);
     }
 
     private static LoadReport report(
-            boolean whole, List<BackendLoad> servers, List<PartLoad> parts) {
-        return new LoadReport(whole, servers, parts);
+            boolean full, List<BackendLoad> servers, List<PartLoad> parts) {
+        return new LoadReport(full, servers, parts);
     }
 
     private static BackendLoad load(BackendRef ref, int requests) {
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadSpreadTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How full the fullest engines get where each of many routers sees little of the work. */
+/** Tests that no engine gets far more than the mean load, although a router sees few requests. */
 class LoadSpreadTest {
     private static final int ENGINES = 37;
     private static final int FEW_ROUTERS = 9;
@@ -29,7 +29,8 @@
         assertThat(check.isViolated()).as("%s", check).isFalse();
     }
 
-    // An engine that finished nothing got more and more: no router knew what others had there.
+    // Guards against sending more and more requests to a stalled engine because no router knows the
+    // requests of the others there.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void stalledEngineIsNotOverloaded(long seed) {
@@ -39,7 +40,7 @@
         assertBoundHolds(fleet);
     }
 
-    // The engine that a part in demand is at home on got all requests about it.
+    // Guards against sending all requests with a hot prompt part to the home of the part.
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15})
     void hotPartDoesNotOverloadItsHome(long seed) {
@@ -49,7 +50,7 @@
         assertBoundHolds(fleet);
     }
 
-    // Few routers believed what an engine had told them once for seconds.
+    // Guards against using the load that an engine reported once for seconds, with few routers.
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25})
     void hotPartDoesNotOverloadItsHomeWithFewRouters(long seed) {
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadTableTest.java
@@ -10,7 +10,7 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.membership.Backend;
 
-/** How control instances add up what routers have under way. */
+/** Tests how control instances add up the requests in flight of the routers. */
 class LoadTableTest {
     private static final Instant NOW = Instant.EPOCH;
     private static final Duration INTERVAL = Duration.ofMillis(300);
@@ -53,7 +53,7 @@
         mTable.onPeerLoads(now, mPeer.takePeerUpdate(now));
     }
 
-    // Each router saw its own few requests only, and nobody their sum.
+    // Guards against routers that know their own few requests only, and not the sum.
     @Test
     void loadsAreSummedOverRoutersAndPeers() {
         mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 2)));
@@ -68,7 +68,7 @@
         assertThat(mTable.requests()).isEqualTo(8);
     }
 
-    // What a router had before was added to what it has now.
+    // Guards against adding the loads of a full report to those of the earlier one.
     @Test
     void fullReportReplacesTheEarlierOne() {
         mPeer.onRouterReport(
@@ -81,7 +81,7 @@
         assertThat(digest(mTable).busy()).containsExactly(new BackendLoad(SECOND, 3));
     }
 
-    // A router told everything with each exchange, whatever had changed.
+    // Incremental reports save a router from reporting all requests in each exchange.
     @Test
     void incrementalReportUpdatesTheListedServers() {
         mTable.onRouterReport(
@@ -92,7 +92,7 @@
         assertThat(mTable.requests()).isEqualTo(6);
     }
 
-    // Changes of what was not known were taken for all that a router has.
+    // Guards against treating an incremental report as the whole load of a router.
     @Test
     void incrementalReportOfAnUnknownRouterIsIgnored() {
         mTable.onRouterReport(NOW, "r1", incrementalReport(new BackendLoad(FIRST, 6)));
@@ -100,7 +100,8 @@
         assertThat(mTable.routers()).isZero();
     }
 
-    // A router's last requests counted for good after it had ended or gone to another instance.
+    // Guards against counting the requests of a router that has ended or switched to another
+    // control instance.
     @Test
     void silentRoutersAndPeersExpire() {
         mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 2)));
@@ -115,7 +116,7 @@
         assertThat(mTable.routers()).isZero();
     }
 
-    // A lost message left two instances apart for good.
+    // Guards against a lost message that leaves two control instances with different sums.
     @Test
     void lostUpdateIsRepairedWithinASecond() {
         mPeer.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 4)));
@@ -127,16 +128,16 @@
         assertThat(mTable.requests()).isEqualTo(4);
     }
 
-    // Where one message was lost, a server that had long been full counted as idle for a moment.
+    // Guards against a full server that counts as idle for a moment after one lost message.
     @Test
     void singleLostUpdateDoesNotHideLoad() {
         for (int millis = 0; millis <= 10_000; millis += 20) {
             Instant now = NOW.plusMillis(millis);
             mPeer.onRouterReport(now, "r1", fullReport(new BackendLoad(FIRST, 24)));
-            PeerLoads told = mPeer.takePeerUpdate(now);
+            PeerLoads update = mPeer.takePeerUpdate(now);
             boolean lost = millis / 1000 % 3 == 2;
-            if (!told.isEmpty() && !lost) {
-                mTable.onPeerLoads(now, told);
+            if (!update.isEmpty() && !lost) {
+                mTable.onPeerLoads(now, update);
             }
             mTable.onPeerLoads(now, new PeerLoads("c1", 1, NO_CHANGES));
             mTable.expire(now);
@@ -144,7 +145,7 @@
         }
     }
 
-    // A few changes of a peer's sums were taken for all that its routers have.
+    // Guards against treating a few changed sums of a peer as the whole load of its routers.
     @Test
     void routersOfAPeerCountAfterItsFirstFullUpdate() {
         BackendLoad load = new BackendLoad(FIRST, 4);
@@ -155,7 +156,8 @@
         assertThat(digest(mTable).routers()).isEqualTo(21);
     }
 
-    // What a router had just reported was not in the answer, and was taken off the load again.
+    // Guards against subtracting a router's latest requests because the digest does not include
+    // them yet.
     @Test
     void refreshedDigestHasCurrentLoads() {
         mTable.onRouterReport(NOW, "r1", fullReport(new BackendLoad(FIRST, 12)));
@@ -164,7 +166,7 @@
         assertThat(mTable.refreshed(before).busy()).containsExactly(new BackendLoad(FIRST, 22));
     }
 
-    // Peers were told the same again and again.
+    // Guards against sending unchanged sums to the peers again and again.
     @Test
     void peerUpdateListsChangesOnce() {
         mPeer.onRouterReport(
@@ -177,7 +179,7 @@
         assertThat(mPeer.takePeerUpdate(next).isEmpty()).isTrue();
     }
 
-    // One that leaves, and has few requests left, lowered the mean of those that stay.
+    // Guards against a mean that is too low because it includes draining servers.
     @Test
     void drainingServersDoNotCount() {
         mTable.onRouterReport(
@@ -191,7 +193,7 @@
         assertThat(digest.busy()).isEmpty();
     }
 
-    // At hundreds of backend servers an answer to a router grew with all of them.
+    // Guards against answers to routers that grow with the number of backend servers.
     @Test
     void digestIsBounded() {
         List<BackendLoad> loads =
@@ -206,7 +208,7 @@
         assertThat(digest.busy()).allMatch(l -> l.requests() >= 1000 - LoadDigest.MAX_BUSY);
     }
 
-    // A part that every router saw once looked like any other.
+    // Guards against missing a hot prompt part because each router has one request with it only.
     @Test
     void partIsHotIfSeveralRoutersRequestIt() {
         mTable.onRouterReport(NOW, "r1", reportOfPart(7, 1));
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
@@ -15,8 +15,8 @@
 import org.laurelweir.settings.RouteShare;
 
 /**
- * Many routers before many engines in virtual time, so that each router meets an engine once in
- * some seconds, and callers whose prompts share parts.
+ * A fleet in virtual time with many routers, many engines, and callers whose prompts share parts. A
+ * router calls a single engine only every few seconds.
  */
 final class LoadedFleet {
     private static final int START_MILLIS = 2000;
@@ -24,7 +24,7 @@
     private static final int MAX_BURST = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(12);
 
-    /** Popularity of a kind's parts falls with this power of their rank. */
+    /** The popularity of the parts of a kind falls with this power of their rank. */
     private static final double POPULARITY_EXPONENT = 0.3;
 
     private static final List<Kind> KINDS =
@@ -59,15 +59,20 @@
     /**
      * A kind of request.
      *
-     * @param number tells its parts from those of other kinds
-     * @param parts shared parts that its prompts are about
-     * @param shared tokens of such a part
-     * @param own tokens of a prompt beyond it
-     * @param output tokens that are generated
-     * @param weight its share of all requests
+     * @param number distinguishes its shared parts from those of other kinds
+     * @param parts number of shared parts
+     * @param sharedTokens tokens of a shared part
+     * @param ownTokens tokens of a prompt without its shared part
+     * @param outputTokens tokens to generate
+     * @param weight share of the kind in all requests
      */
     private record Kind(
-            int number, int parts, int sharedTokens, int ownTokens, int maxTokens, double weight) {}
+            int number,
+            int parts,
+            int sharedTokens,
+            int ownTokens,
+            int outputTokens,
+            double weight) {}
 
     LoadedFleet(long seed, int routers, int engines) {
         mTime = new VirtualTime(seed);
@@ -79,17 +84,17 @@
         mTime.advance(START_MILLIS);
     }
 
-    /** Callers ask from now on, several at the same moment. */
-    void startLoad(double requestsASecond) {
-        int together = random().nextInt(MAX_BURST) + 1;
-        for (int i = 0; i < together; i++) {
+    /** Starts to submit requests in bursts of random size, at the given mean rate. */
+    void startLoad(double requestsPerSecond) {
+        int burst = random().nextInt(MAX_BURST) + 1;
+        for (int i = 0; i < burst; i++) {
             submit(randomKind());
         }
-        double pause = -Math.log(1 - random().nextDouble()) * 1000 * together / requestsASecond;
-        mTime.after(Math.round(pause), () -> startLoad(requestsASecond));
+        double pause = -Math.log(1 - random().nextDouble()) * 1000 * burst / requestsPerSecond;
+        mTime.after(Math.round(pause), () -> startLoad(requestsPerSecond));
     }
 
-    /** From now on this share of the longest prompts is about one and the same part. */
+    /** Gives this share of the following requests of the first kind the same shared part. */
     void makeHot(double share) {
         mHotShare = share;
     }
@@ -99,10 +104,10 @@
     }
 
     private Kind randomKind() {
-        double at = random().nextDouble();
+        double remaining = random().nextDouble();
         for (Kind k : KINDS) {
-            at -= k.weight();
-            if (at < 0) {
+            remaining -= k.weight();
+            if (remaining < 0) {
                 return k;
             }
         }
@@ -117,7 +122,7 @@
                                 new Prompt.Part(k.number() * 1000L + part, k.sharedTokens()),
                                 new Prompt.Part(1_000_000L + ++mRequests, k.ownTokens())),
                         k.sharedTokens() + k.ownTokens(),
-                        k.maxTokens());
+                        k.outputTokens());
         byte[] body = ("body " + mRequests).getBytes(StandardCharsets.UTF_8);
         AttemptRequest.Call call = new AttemptRequest.Call("POST", "/x/1", List.of(), body, true);
         RoutedRequest request =
@@ -129,8 +134,8 @@
         if (k.number() == 1 && random().nextDouble() < mHotShare) {
             return 0;
         }
-        // The inverse of the sum of a power law, close enough for many parts.
-        double at = Math.pow(random().nextDouble(), 1 / (1 - POPULARITY_EXPONENT));
-        return (int) (at * k.parts());
+        // Approximates the inverse of the distribution function of a power law.
+        double rank = Math.pow(random().nextDouble(), 1 / (1 - POPULARITY_EXPONENT));
+        return (int) (rank * k.parts());
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/SharedCountsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/SharedCountsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Sums over sources here and at a peer, whatever comes and goes. */
+/** Tests the sums over local sources and those of a peer while sources change and disappear. */
 class SharedCountsTest {
     private static final int STEPS = 5000;
     private static final int SOURCE_COUNT = 4;
@@ -51,7 +51,7 @@
         return mExpected.values().stream().mapToInt(c -> c.getOrDefault(key, 0)).sum();
     }
 
-    // What was there for a moment only stayed as a number of nothing, for good.
+    // Guards against keys that keep a count of 0 forever after their sources are gone.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void sumsMatchTheSourcesAndNoKeyIsLeftBehind(long seed) {
@@ -60,12 +60,12 @@
             step(random);
             if (random.nextInt(3) == 0) {
                 mPeer.takePending((key, n) -> mLocal.putPeerCount(Instant.EPOCH, "c1", key, n));
-                int known = 0;
+                int expectedSize = 0;
                 for (int key = 0; key < KEY_COUNT; key++) {
                     assertThat(mLocal.get(key)).isEqualTo(expectedSum(key));
-                    known += expectedSum(key) > 0 ? 1 : 0;
+                    expectedSize += expectedSum(key) > 0 ? 1 : 0;
                 }
-                assertThat(mLocal.size()).isEqualTo(known);
+                assertThat(mLocal.size()).isEqualTo(expectedSize);
             }
         }
         mLocal.removePeer("c1");
