--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/Crash.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/Crash.java
@@ -4,12 +4,13 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * A backend server's end under a request.
+ * A crash of a backend server while it ran a request.
  *
- * @param server the run that ended
- * @param router the router that saw it; the first by name, where several did
- * @param age how long ago it was seen, as of telling; clocks of two processes may differ
+ * @param server the incarnation of the backend server that crashed
+ * @param router the router that observed the crash; the first by name if several did
+ * @param age time since the crash was observed, when the record is sent; an age is independent of
+ *     differences between the clocks of two processes
  * @param excused whether the request is known not to be the cause: it was served since, or the
- *     backend server answered since and had not ended
+ *     backend server answered since and so had not crashed
  */
 public record Crash(BackendRef server, String router, Duration age, boolean excused) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashDelta.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashDelta.java
@@ -5,14 +5,14 @@
 /**
  * Records that changed in a {@link CrashTable}.
  *
- * @param version how far a reader's copy of the table reaches once it has taken them
- * @param records the newest state of each
+ * @param version the version of the table that a reader's copy reaches with these records
+ * @param records the current state of each changed record
  */
 public record CrashDelta(long version, List<CrashRecord> records) {
-    /** Nothing, for a reader that has nothing. */
+    /** A delta without records, for a reader without a copy. */
     public static final CrashDelta NONE = new CrashDelta(0, List.of());
 
-    /** Copies the list. */
+    /** Creates a delta with an immutable copy of the list. */
     public CrashDelta {
         records = List.copyOf(records);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
@@ -8,28 +8,36 @@
 import java.util.function.Predicate;
 import org.laurelweir.lib.BackendRef;
 
-/** The ends of backend servers under one request, as one process knows them. */
+/** The crashes of backend servers under one request that one process knows. */
 final class CrashEntry {
-    /** Ends without an excuse from which on a request is kept away from backend servers. */
+    /** Number of crashes without an excuse that quarantines a request. */
     static final int QUARANTINE_CRASHES = 3;
 
+    /** Maximum number of recorded crashes of a request. */
     static final int MAX_CRASHES = 8;
 
-    /** Ends from which on nobody tries again by itself: three more than quarantine takes. */
-    private static final int MAX_TRIAL_CRASHES = QUARANTINE_CRASHES + 3;
+    /** From this number of crashes on there are no trials; it allows three of them. */
+    private static final int TRIAL_CRASH_LIMIT = QUARANTINE_CRASHES + 3;
 
-    /** From the last end to the first trial; doubles with each. */
+    /** Time from the last crash to the first trial; it doubles with each failed trial. */
     private static final Duration FIRST_TRIAL_DELAY = Duration.ofMinutes(10);
 
-    /** Chance ends of backend servers under one request are rarer than this. */
+    /**
+     * How long crashes under a request that is not quarantined are kept. Unrelated crashes under
+     * one request are rarer than this.
+     */
     private static final Duration SUSPECT_RETENTION = Duration.ofMinutes(10);
 
-    /** Long against the ends that it costs until the request is known again. */
+    /**
+     * How long a request stays quarantined after its last crash. The crashes that it takes to
+     * quarantine it again are acceptable at most once in this time.
+     */
     private static final Duration QUARANTINE_RETENTION = Duration.ofDays(1);
 
     /**
-     * A backend server takes longer to start again. One that does so under its name may be sent
-     * requests as the run that ended, until routers are told, and its answers prove nothing.
+     * Minimum time of a restart of a backend server; later answers do not excuse a crash. After a
+     * restart under the same id, routers address the server as the earlier incarnation until they
+     * learn of the restart, so its answers do not prove that there was no crash.
      */
     private static final Duration MIN_RESTART_TIME = Duration.ofSeconds(1);
 
@@ -50,9 +58,7 @@
         return mKey;
     }
 
-    /**
-     * Adds ends and excuses that another process, or this one, tells; returns whether any is new.
-     */
+    /** Adds crashes and excuses from this or another process; returns whether any is new. */
     boolean add(Instant now, List<Crash> crashes) {
         boolean changed = false;
         for (Crash c : crashes) {
@@ -82,23 +88,23 @@
                 .orElse(false);
     }
 
-    /** Excuses every end; returns whether any was not excused. */
+    /** Excuses all crashes; returns whether any was not excused. */
     boolean excuseAll() {
         return excuse(k -> true);
     }
 
     /**
-     * Excuses the end of a backend server that answered what it was asked after it; returns whether
-     * that was new.
+     * Excuses the supposed crash of a backend server that answered a request sent after it; returns
+     * whether any crash was not excused.
      */
-    boolean excuse(BackendRef server, Instant asked) {
-        return excuse(k -> k.mServer.equals(server) && k.isDisprovedBy(asked));
+    boolean excuse(BackendRef server, Instant requestTime) {
+        return excuse(k -> k.mServer.equals(server) && k.isDisprovedBy(requestTime));
     }
 
-    private boolean excuse(Predicate<KnownCrash> which) {
+    private boolean excuse(Predicate<KnownCrash> condition) {
         boolean changed = false;
         for (KnownCrash k : mCrashes) {
-            if (!k.mExcused && which.test(k)) {
+            if (!k.mExcused && condition.test(k)) {
                 k.mExcused = true;
                 changed = true;
             }
@@ -114,17 +120,19 @@
         return unexcusedCount() >= QUARANTINE_CRASHES;
     }
 
-    /** Returns whether the process may send the request once, and notes that it does. */
+    /**
+     * Returns whether the process may send the quarantined request once, and records that trial.
+     */
     boolean takeTrial(Instant now, String self) {
-        int ends = unexcusedCount();
+        int crashes = unexcusedCount();
         KnownCrash last = lastCrash();
-        boolean tried = ends >= QUARANTINE_CRASHES && ends < MAX_TRIAL_CRASHES;
-        if (!tried || !last.mRouter.equals(self)) {
+        boolean allowsTrial = crashes >= QUARANTINE_CRASHES && crashes < TRIAL_CRASH_LIMIT;
+        if (!allowsTrial || !last.mRouter.equals(self)) {
             return false;
         }
-        Instant latest = mLastTrial.isAfter(last.mTime) ? mLastTrial : last.mTime;
-        Duration wait = FIRST_TRIAL_DELAY.multipliedBy(1L << (ends - QUARANTINE_CRASHES));
-        if (now.isBefore(latest.plus(wait))) {
+        Instant lastSent = mLastTrial.isAfter(last.mTime) ? mLastTrial : last.mTime;
+        Duration delay = FIRST_TRIAL_DELAY.multipliedBy(1L << (crashes - QUARANTINE_CRASHES));
+        if (now.isBefore(lastSent.plus(delay))) {
             return false;
         }
         mLastTrial = now;
@@ -140,8 +148,8 @@
     }
 
     boolean isExpired(Instant now) {
-        Duration kept = isQuarantined() ? QUARANTINE_RETENTION : SUSPECT_RETENTION;
-        return lastCrashTime().plus(kept).isBefore(now);
+        Duration retention = isQuarantined() ? QUARANTINE_RETENTION : SUSPECT_RETENTION;
+        return lastCrashTime().plus(retention).isBefore(now);
     }
 
     List<BackendRef> servers() {
@@ -152,6 +160,7 @@
         return new CrashRecord(mKey, mService, mCrashes.stream().map(k -> k.toCrash(now)).toList());
     }
 
+    /** A crash with the time at which it was observed, by the clock of this process. */
     private static final class KnownCrash {
         private final BackendRef mServer;
         private final Instant mTime;
@@ -165,7 +174,7 @@
             mExcused = c.excused();
         }
 
-        /** Takes what another process knows of the same end; returns whether it was new. */
+        /** Merges a record of the same crash; returns whether it changed this one. */
         boolean merge(Crash c) {
             boolean excuses = c.excused() && !mExcused;
             boolean precedes = c.router().compareTo(mRouter) < 0;
@@ -174,9 +183,12 @@
             return excuses || precedes;
         }
 
-        /** Returns whether an answer to what was asked then shows that there was no end. */
-        boolean isDisprovedBy(Instant asked) {
-            return mTime.isBefore(asked) && asked.isBefore(mTime.plus(MIN_RESTART_TIME));
+        /**
+         * Returns whether the answer to a request sent at that time proves that there was no crash.
+         */
+        boolean isDisprovedBy(Instant requestTime) {
+            return mTime.isBefore(requestTime)
+                    && requestTime.isBefore(mTime.plus(MIN_RESTART_TIME));
         }
 
         Crash toCrash(Instant now) {
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashReport.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * What one process tells another of its {@link CrashTable} as it asks for the other's.
+ * The crash records that a process sends in a request to another process, together with the state
+ * of its copy of that process's {@link CrashTable}.
  *
- * @param seen how far the asker's copy of the other's table reaches, 0 if it has nothing
- * @param records what changed in the asker's own since it told last
+ * @param seen the version of the other process's table that the copy reaches, 0 without a copy
+ * @param records the sender's own records that have changed since its last report
  */
 public record CrashReport(long seen, List<CrashRecord> records) {
-    /** Nothing, of a process that has nothing. */
+    /** A report without records, of a process without a copy. */
     public static final CrashReport NONE = new CrashReport(0, List.of());
 
-    /** Copies the list. */
+    /** Creates a report with an immutable copy of the list. */
     public CrashReport {
         records = List.copyOf(records);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashTable.java
@@ -16,23 +16,25 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * Which backend servers ended under which requests, as far as one process knows. Routers and
- * control instances keep one each and tell each other what changed.
+ * Records which backend servers crashed under which requests, as far as one process knows. Every
+ * router and control instance has a table, and they send each other the changes.
  *
- * <p>Several requests are at a backend server when it ends, and one end says nothing of which
- * caused it. The cause is at every further end and is never served, while the others are served
- * when they come again. An end is only ever added, or excused for good, so that processes that have
- * told each other everything agree, whatever the order of their messages.
+ * <p>A backend server runs several requests when it crashes, and a single crash does not show which
+ * of them is the cause. The cause is present at each further crash and is never served, while the
+ * other requests are served when they are sent again. Crashes are only added or excused, and an
+ * excuse is final. So processes that have exchanged all records agree, whatever the order of the
+ * messages.
  *
- * <p>Bounded in requests, requests of an account and ends of a request.
+ * <p>The number of requests, requests of one account and crashes of one request is bounded.
  */
 public final class CrashTable {
-    /** Most records that one message tells; the rest follows with the next one. */
+    /** Maximum number of records in a message; the rest follows in the next one. */
     public static final int MAX_RECORDS_PER_MESSAGE = 32;
 
+    /** Maximum number of requests with a record. */
     static final int MAX_REQUESTS = 1024;
 
-    /** An account with more loses its own oldest, and can't push out those of others. */
+    /** Maximum number of requests of one account, so that it cannot evict records of others. */
     static final int MAX_REQUESTS_PER_ACCOUNT = 64;
 
     private static final Duration EXPIRE_INTERVAL = Duration.ofSeconds(1);
@@ -42,7 +44,7 @@
     private final Map<RequestKey, CrashEntry> mEntries = new HashMap<>();
     private final NavigableMap<Long, CrashEntry> mChanges = new TreeMap<>();
 
-    /** Backend servers that are in some entry, so that answers of others cost nothing. */
+    /** Backend servers in any entry; answers of other servers need no look at the entries. */
     private final Set<BackendRef> mCrashedServers = new HashSet<>();
 
     private long mVersion;
@@ -52,19 +54,19 @@
      * Creates an empty table.
      *
      * @param self the name of the process
-     * @param listener told of each request that is kept away from now on, or not any more
+     * @param listener receives each request that is quarantined or released
      */
     public CrashTable(String self, QuarantineListener listener) {
         mSelf = self;
         mListener = listener;
     }
 
-    /** Returns whether no backend server is known to have ended under any request. */
+    /** Returns whether no crash is recorded. */
     public boolean isEmpty() {
         return mEntries.isEmpty();
     }
 
-    /** Returns the requests that are kept away from backend servers. */
+    /** Returns the records of the quarantined requests. */
     public List<CrashRecord> quarantined(Instant now) {
         return mEntries.values().stream()
                 .filter(CrashEntry::isQuarantined)
@@ -72,77 +74,75 @@
                 .toList();
     }
 
-    /** Returns whether a request is kept away from backend servers. */
+    /** Returns whether a request is quarantined. */
     public boolean isQuarantined(RequestKey key) {
         CrashEntry e = mEntries.get(key);
         return e != null && e.isQuarantined();
     }
 
     /**
-     * Lets a request that is kept away be sent once, so that a mended backend server is noticed.
-     * Only the router that saw the last end does so: without a message between them, no two try at
-     * the same time. Each end makes the next trial later, and after three there is none.
+     * Allows a trial: sending a quarantined request once, to find out whether the backend servers
+     * have been repaired. Only the router that observed the last crash makes trials, so that two
+     * routers never do so at the same time, without messages between them. Each crash delays the
+     * next trial further, and there are at most three.
      *
-     * @return whether it is to be sent
+     * @return whether to send the request now
      */
     public boolean takeTrial(Instant now, RequestKey key) {
         CrashEntry e = mEntries.get(key);
         return e != null && e.takeTrial(now, mSelf);
     }
 
-    /** Returns whether some backend server ended under a request that may have caused it. */
+    /** Returns whether a request may have caused a crash: it has crashes without an excuse. */
     public boolean isSuspect(RequestKey key) {
         CrashEntry e = mEntries.get(key);
         return e != null && e.unexcusedCount() > 0;
     }
 
-    /** Returns what is known of a request. */
+    /** Returns the record of a request, if there is one. */
     public Optional<CrashRecord> find(Instant now, RequestKey key) {
         return Optional.ofNullable(mEntries.get(key)).map(e -> e.toRecord(now));
     }
 
-    /** Notes that a backend server ended while it had a request. */
+    /** Records that a backend server crashed while it ran a request. */
     public void onCrash(Instant now, RequestKey key, String service, BackendRef server) {
         Crash crash = new Crash(server, mSelf, Duration.ZERO, false);
         merge(now, new CrashRecord(key, service, List.of(crash)));
     }
 
-    /**
-     * Notes that a request was served, or that an operator vouches for it: none of the ends under
-     * it was its doing.
-     */
+    /** Excuses all crashes of a request, because it was served or an operator released it. */
     public void excuseAll(Instant now, RequestKey key) {
         CrashEntry e = mEntries.get(key);
         if (e != null) {
-            boolean before = e.isQuarantined();
+            boolean wasQuarantined = e.isQuarantined();
             if (e.excuseAll()) {
-                recordChange(now, e, before);
+                recordChange(now, e, wasQuarantined);
             }
         }
     }
 
     /**
-     * Notes that a backend server answered: where it was taken for ended before, it had not.
+     * Records that a backend server answered, which excuses a supposed crash before the request.
      *
-     * @param server the run that answered
-     * @param asked when it was sent the request that it answered
+     * @param server the incarnation of the backend server that answered
+     * @param requestTime the time at which the answered request was sent
      */
-    public void onAnswer(Instant now, BackendRef server, Instant asked) {
+    public void onAnswer(Instant now, BackendRef server, Instant requestTime) {
         if (!mCrashedServers.contains(server)) {
             return;
         }
         for (CrashEntry e : mEntries.values()) {
-            boolean before = e.isQuarantined();
-            if (e.excuse(server, asked)) {
-                recordChange(now, e, before);
+            boolean wasQuarantined = e.isQuarantined();
+            if (e.excuse(server, requestTime)) {
+                recordChange(now, e, wasQuarantined);
             }
         }
     }
 
     /**
-     * Takes what another process told.
+     * Merges records of another process.
      *
-     * @return whether anything of it was new
+     * @return whether any of them changed this table
      */
     public boolean merge(Instant now, List<CrashRecord> records) {
         boolean changed = false;
@@ -155,7 +155,7 @@
     private boolean merge(Instant now, CrashRecord r) {
         CrashEntry known = mEntries.get(r.key());
         CrashEntry e = known == null ? new CrashEntry(r.key(), r.service()) : known;
-        boolean before = e.isQuarantined();
+        boolean wasQuarantined = e.isQuarantined();
         if (!e.add(now, r.crashes())) {
             return false;
         }
@@ -164,7 +164,7 @@
             mEntries.put(r.key(), e);
         }
         mCrashedServers.addAll(e.servers());
-        recordChange(now, e, before);
+        recordChange(now, e, wasQuarantined);
         return true;
     }
 
@@ -178,10 +178,10 @@
     }
 
     private void makeRoom(Instant now, String account) {
-        List<CrashEntry> own =
+        List<CrashEntry> ofAccount =
                 mEntries.values().stream().filter(e -> e.key().account().equals(account)).toList();
-        if (own.size() >= MAX_REQUESTS_PER_ACCOUNT) {
-            evictLeastSuspect(now, own);
+        if (ofAccount.size() >= MAX_REQUESTS_PER_ACCOUNT) {
+            evictLeastSuspect(now, ofAccount);
         } else if (mEntries.size() >= MAX_REQUESTS) {
             evictLeastSuspect(now, List.copyOf(mEntries.values()));
         }
@@ -204,15 +204,15 @@
         }
     }
 
-    /** Returns a number that rises with every change. */
+    /** Returns the version of the table, which increases with every change. */
     public long version() {
         return mVersion;
     }
 
     /**
-     * Returns what changed after a version, the oldest changes first.
+     * Returns the records that have changed since a version, the earliest changes first.
      *
-     * @param version how far the reader's copy reaches, 0 for a reader that has nothing
+     * @param version the version that the reader's copy reaches, 0 for a reader without a copy
      */
     public CrashDelta since(Instant now, long version) {
         List<CrashRecord> records = new ArrayList<>();
@@ -226,14 +226,15 @@
         return new CrashDelta(changed.hasNext() ? reached : mVersion, records);
     }
 
-    /** Forgets, once a second, requests under which no backend server has ended for long. */
+    /** Removes the entries whose last crash is too long ago. Does so at most once a second. */
     public void expire(Instant now) {
         if (mEntries.isEmpty() || now.isBefore(mNextExpire)) {
             return;
         }
         mNextExpire = now.plus(EXPIRE_INTERVAL);
-        List<CrashEntry> old = mEntries.values().stream().filter(e -> e.isExpired(now)).toList();
-        old.forEach(e -> remove(now, e));
+        List<CrashEntry> expired =
+                mEntries.values().stream().filter(e -> e.isExpired(now)).toList();
+        expired.forEach(e -> remove(now, e));
         mCrashedServers.clear();
         mEntries.values().forEach(e -> mCrashedServers.addAll(e.servers()));
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineListener.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineListener.java
@@ -1,13 +1,13 @@
 package org.laurelweir.quarantine;
 
-/** Told of requests that are kept away from backend servers, or not any more. */
+/** Receives the changes of the quarantine. */
 @FunctionalInterface
 public interface QuarantineListener {
     /**
-     * A request's state has changed.
+     * Called when a request is quarantined or released.
      *
-     * @param record what is known of it
-     * @param quarantined whether it is kept away from now on
+     * @param record the crashes under the request
+     * @param quarantined true if the request is quarantined from now on, false if it is released
      */
     void changed(CrashRecord record, boolean quarantined);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.laurelweir.lib.Decision;
 
-/** Words for the log which requests are kept away from backend servers, and which no more. */
+/** Collects the changes of the quarantine as entries for the decision log. */
 public final class QuarantineNotes implements QuarantineListener {
     private static final String QUARANTINED = "QUARANTINED";
     private static final String RELEASED = "RELEASED";
@@ -17,7 +17,7 @@
     /**
      * Creates an empty collection.
      *
-     * @param program router or control
+     * @param program the program in the log entries, router or control
      */
     public QuarantineNotes(String program) {
         mProgram = program;
@@ -28,7 +28,7 @@
         mNotes.add(new Note(record, quarantined));
     }
 
-    /** Passes on what was noted since the last call. */
+    /** Passes the entries for all changes since the last call to a consumer. */
     public void flush(Instant now, Consumer<Decision> decisions) {
         if (!mNotes.isEmpty()) {
             mNotes.forEach(n -> decisions.accept(decision(now, n)));
@@ -38,15 +38,15 @@
 
     private Decision decision(Instant now, Note n) {
         CrashRecord r = n.record();
-        List<String> ended = r.unexcusedServers();
+        List<String> servers = r.unexcusedServers();
         String fingerprint = r.key().fingerprintText();
         return Decision.builder(now, mProgram)
                 .account(r.key().account())
                 .service(r.service())
-                .candidates(ended)
+                .candidates(servers)
                 .choice(
                         n.quarantined() ? QUARANTINED : RELEASED,
-                        ended.size() + " backend servers ended under request " + fingerprint)
+                        servers.size() + " backend servers ended under request " + fingerprint)
                 .build();
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/RequestKey.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/RequestKey.java
@@ -3,19 +3,19 @@
 import org.laurelweir.attempt.AttemptRequest;
 
 /**
- * What makes two requests the same, whatever ids they come under. The client account is part of it,
- * so that nobody can have another account's requests refused.
+ * Identifies equal requests, independent of their request ids. The client account is part of the
+ * key, so that one account cannot cause the quarantine of another account's requests.
  *
- * @param account the client account, or empty where the route needs no key
+ * @param account the client account, or empty if the route needs no API key
  * @param fingerprint digest of method, path and body
  */
 public record RequestKey(String account, long fingerprint) {
-    /** Returns the key of an account's call. */
+    /** Returns the key of a request of an account. */
     public static RequestKey of(String account, AttemptRequest.Call call) {
         return new RequestKey(account, call.fingerprint());
     }
 
-    /** Returns the fingerprint as logs give it. */
+    /** Returns the fingerprint in hexadecimal, as in log entries. */
     public String fingerprintText() {
         return Long.toHexString(fingerprint);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Requests that end the backend servers which run them: who saw which server end under which
- * request, told to every router, and which requests are kept away from backend servers for it.
+ * Quarantine of requests that crash the backend servers which run them. Routers record which
+ * requests were running when a server crashed, and share the records through control. A request
+ * that likely causes crashes is quarantined: no router sends it to a backend server.
  */
 package org.laurelweir.quarantine;
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashTableTest.java
@@ -12,15 +12,16 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.lib.BackendRef;
 
-/** What a process believes of requests under which backend servers ended. */
+/** Tests the crash records of one process, and the exchange of records between processes. */
 class CrashTableTest {
     private static final RequestKey KEY = new RequestKey("acme", 7);
-    private static final Instant NOW = Instant.EPOCH;
+    private static final Instant START = Instant.EPOCH;
     private static final Duration FIRST_TRIAL_DELAY = Duration.ofMinutes(10);
 
     private final List<Boolean> mQuarantineChanges = new ArrayList<>();
-    private final CrashTable mTable = new CrashTable("r1", (r, on) -> mQuarantineChanges.add(on));
-    private Instant mNow = NOW;
+    private final CrashTable mTable =
+            new CrashTable("r1", (r, quarantined) -> mQuarantineChanges.add(quarantined));
+    private Instant mNow = START;
 
     private static BackendRef server(int number) {
         return new BackendRef("s" + number, number);
@@ -59,7 +60,7 @@
         assertThat(mQuarantineChanges).containsExactly(true);
     }
 
-    // A request that is often cut off and often served was refused like one that ends servers.
+    // Guards against quarantining a request that is often interrupted by crashes and often served.
     @Test
     void requestServedBetweenCrashesIsNotQuarantined() {
         for (int i = 1; i < 100; i++) {
@@ -71,7 +72,7 @@
         assertThat(mQuarantineChanges).isEmpty();
     }
 
-    // A connection that breaks looks like the end of its server, which lives on.
+    // A lost connection looks like a crash although the server is still running.
     @Test
     void answerAfterASupposedCrashExcusesIt() {
         quarantine();
@@ -88,16 +89,16 @@
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
 
-    // A server that came back under its name, sent requests as before, passed for one that lives.
+    // Guards against excusing a crash because of answers that the restarted server sends.
     @Test
     void answerOfARestartedServerExcusesNothing() {
         quarantine();
-        Instant back = mNow.plusMillis(2500);
-        mTable.onAnswer(back.plusMillis(50), server(2), back);
+        Instant restarted = mNow.plusMillis(2500);
+        mTable.onAnswer(restarted.plusMillis(50), server(2), restarted);
         assertThat(mTable.isQuarantined(KEY)).isTrue();
     }
 
-    // A late message brought back an end that another process had excused.
+    // Guards against a late message that undoes an excuse.
     @Test
     void excusedCrashStaysExcused() {
         quarantine();
@@ -117,7 +118,7 @@
         assertThat(mTable.since(mNow, version).records()).hasSize(1);
     }
 
-    // After a loss of many servers at once a message grew with all requests that they had.
+    // Guards against messages that grow with the number of requests after many crashes at once.
     @Test
     void deltaIsBounded() {
         for (int i = 0; i < 150; i++) {
@@ -137,7 +138,7 @@
         assertThat(reader.isSuspect(new RequestKey("a149", 149))).isTrue();
     }
 
-    // One account's many requests pushed out what was known of another's.
+    // Guards against an account whose many requests evict the records of another account.
     @Test
     void accountCannotEvictRecordsOfAnother() {
         quarantine();
@@ -180,7 +181,8 @@
         assertThat(mQuarantineChanges).containsExactly(true, false);
     }
 
-    // A mended server was never noticed, or each router tried on its own and ended one more.
+    // Guards against servers whose repair stays unnoticed, and against trials of every router that
+    // crash one more server each.
     @Test
     void onlyTheRouterThatSawTheLastCrashMakesTrials() {
         CrashTable second = table("r2");
@@ -222,12 +224,12 @@
         assertThat(second.isQuarantined(KEY)).isFalse();
     }
 
-    // Processes that had the same messages in another order disagreed for good.
+    // Guards against processes that disagree after receiving the same messages in different orders.
     @Property(tries = 300, seed = "3301")
     void processesThatExchangedEverythingAgree(@ForAll long seed) {
         Random random = new Random(seed);
         List<CrashTable> tables = List.of(table("r1"), table("r2"), table("c1"));
-        Instant now = NOW;
+        Instant now = START;
         for (int step = 0; step < 60; step++) {
             now = now.plusMillis(random.nextInt(500));
             CrashTable t = tables.get(random.nextInt(tables.size()));
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/CrashingRequestTest.java
@@ -12,15 +12,17 @@
 import org.laurelweir.fleet.FleetRouter;
 import org.laurelweir.lib.ResultCode;
 
-/** What becomes of a request that ends whichever backend server runs it, and of all others. */
+/**
+ * Tests the quarantine of a request that crashes every backend server, and its effect on others.
+ */
 class CrashingRequestTest {
-    /** Time in which all routers have to know. */
+    /** Time within which all routers have to learn of a crash. */
     private static final long PROPAGATION_MILLIS = 3000;
 
-    /** Ends after which a request counts as the cause. */
+    /** Number of crashes that quarantines a request. */
     private static final int QUARANTINE_CRASHES = 3;
 
-    /** Sends that the whole fleet may still make after that, as trials. */
+    /** Maximum number of trials that the whole fleet may make afterwards. */
     private static final int MAX_TRIALS = 3;
 
     private static final int CRASHING_INTERVAL_MILLIS = 400;
@@ -33,7 +35,7 @@
     private static final Route RESUMABLE = RoutedFleet.route(false, true, true);
     private static final List<Route> ROUTES = List.of(IDEMPOTENT, STREAM, RESUMABLE);
 
-    /** What callers other than that of the crashing request were told. */
+    /** Results of all requests except the crashing one. */
     private final List<ResultCode> mOtherResults = new ArrayList<>();
 
     private void sendCrashing(RoutedFleet fleet, Route route) {
@@ -51,16 +53,18 @@
         fleet.submit(route, FleetServers.INVALID_ANSWER_BODY, mOtherResults::add);
     }
 
-    /** Sends of the crashing request from the time on at which all routers have to know. */
+    /** Returns how often the crashing request was sent after all routers had to know of it. */
     private static long lateSends(RoutedFleet fleet) {
-        List<Long> ends = fleet.mServers.crashTimes();
-        assertThat(ends).hasSizeGreaterThanOrEqualTo(QUARANTINE_CRASHES);
-        long known = ends.get(QUARANTINE_CRASHES - 1) + PROPAGATION_MILLIS;
-        return fleet.mServers.crashingArrivalTimes().stream().filter(at -> at > known).count();
+        List<Long> crashTimes = fleet.mServers.crashTimes();
+        assertThat(crashTimes).hasSizeGreaterThanOrEqualTo(QUARANTINE_CRASHES);
+        long propagated = crashTimes.get(QUARANTINE_CRASHES - 1) + PROPAGATION_MILLIS;
+        return fleet.mServers.crashingArrivalTimes().stream()
+                .filter(time -> time > propagated)
+                .count();
     }
 
-    // One request ended every server that ran it, for as long as it came, and each time cut all
-    // others there.
+    // Guards against a request that crashes one server after the other, as long as it is sent, and
+    // each time cuts all other requests there.
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void crashingRequestIsQuarantined(long seed) {
@@ -73,7 +77,7 @@
         }
     }
 
-    // A server that ended after the head of an answer that can't be taken was no end to anyone.
+    // Guards against missing the crash of a server that has sent the head of an invalid answer.
     @ParameterizedTest
     @ValueSource(longs = {71, 72, 73, 74, 75})
     void crashingRequestWithInvalidHeadsIsQuarantined(long seed) {
@@ -87,7 +91,7 @@
         }
     }
 
-    // Servers that spoil their answers and live on were taken for ended, and a request refused.
+    // Guards against quarantining a request because live servers send invalid answers to it.
     @ParameterizedTest
     @ValueSource(longs = {81, 82, 83, 84, 85})
     void requestWithInvalidAnswersOfLiveServersIsNotQuarantined(long seed) {
@@ -101,7 +105,7 @@
         }
     }
 
-    // The same, where live servers also cut the connections of such answers.
+    // As above, but live servers also cut the connections of some invalid answers.
     @ParameterizedTest
     @ValueSource(longs = {91, 92, 93, 94, 95})
     void requestWithInvalidAnswersCutByLiveServersIsNotQuarantined(long seed) {
@@ -117,7 +121,7 @@
         }
     }
 
-    // Others that were at the same servers were refused as if they had ended them.
+    // Guards against quarantining other requests that were running on the crashed servers.
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15})
     void otherRequestsAtTheSameServersAreNotQuarantined(long seed) {
@@ -135,7 +139,7 @@
         }
     }
 
-    // A request that many callers send was refused after servers had ended by chance.
+    // Guards against quarantining a frequent request after unrelated crashes of servers.
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25})
     void frequentRequestIsNotQuarantinedForUnrelatedCrashes(long seed) {
@@ -153,7 +157,7 @@
         }
     }
 
-    // What control knew was lost with its processes, and the request was sent again.
+    // Guards against sending the request again after all control instances have lost their records.
     @ParameterizedTest
     @ValueSource(longs = {31, 32, 33, 34, 35})
     void restartedControlInstancesLearnTheQuarantine(long seed) {
@@ -174,7 +178,7 @@
         assertThat(lateSends(fleet)).isZero();
     }
 
-    // A router that had just started knew nothing and tried once more.
+    // Guards against a restarted router that sends the request because it has no records.
     @ParameterizedTest
     @ValueSource(longs = {41, 42, 43, 44, 45})
     void restartedRoutersLearnTheQuarantine(long seed) {
@@ -191,7 +195,7 @@
         assertThat(lateSends(fleet)).isZero();
     }
 
-    // After its servers were mended a request stayed refused on routers other than the one asked.
+    // Guards against a release that does not reach all routers.
     @ParameterizedTest
     @ValueSource(longs = {61, 62, 63, 64, 65})
     void releaseByAnOperatorReachesEveryRouter(long seed) {
@@ -200,11 +204,11 @@
         fleet.mTime.advance(10_000);
         fleet.mServers.repair();
         RequestKey key = RoutedFleet.requestKey(IDEMPOTENT, FleetServers.CRASHING_BODY);
-        ControlEffect.Answer[] told = new ControlEffect.Answer[1];
+        ControlEffect.Answer[] answer = new ControlEffect.Answer[1];
         fleet.mControls.call(
-                0, call -> new ControlEvent.ReleaseRequested(call, key, "op"), a -> told[0] = a);
+                0, call -> new ControlEvent.ReleaseRequested(call, key, "op"), a -> answer[0] = a);
         fleet.mTime.advance(PROPAGATION_MILLIS);
-        assertThat(told[0]).isInstanceOf(ControlEffect.AnswerReleased.class);
+        assertThat(answer[0]).isInstanceOf(ControlEffect.AnswerReleased.class);
         sendOthers(fleet, IDEMPOTENT);
         int before = fleet.mServers.crashingArrivalTimes().size();
         fleet.mTime.advance(10_000);
@@ -212,7 +216,7 @@
                 .isGreaterThanOrEqualTo(10_000 / CRASHING_INTERVAL_MILLIS - 1);
     }
 
-    // While one control instance is down its routers take some time to find another one.
+    // While a control instance is down, its routers need some time to switch to another one.
     @ParameterizedTest
     @ValueSource(longs = {51, 52, 53, 54, 55})
     void quarantineReachesAllRoutersWithAControlInstanceDown(long seed) {
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/FleetServers.java
@@ -19,14 +19,16 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * Backend servers at fixed addresses. One that begins to run a crashing request ends with all that
- * it runs, and another one starts at its address some seconds later.
+ * Simulated backend servers at fixed addresses in virtual time. A server that runs the crashing
+ * request crashes with all its requests, and a new server starts at its address some seconds later.
  */
 final class FleetServers implements FleetBackends {
     static final String SERVICE = "svc";
+
+    /** Body of the request that crashes servers. */
     static final String CRASHING_BODY = "crash";
 
-    /** A request whose answers can't be taken, of servers that live on. */
+    /** Body of a request to which servers send invalid answers without crashing. */
     static final String INVALID_ANSWER_BODY = "spoil";
 
     private static final int ANNOUNCE_INTERVAL_MILLIS = 1200;
@@ -64,32 +66,32 @@
         time.every(ANNOUNCE_INTERVAL_MILLIS, () -> mByAddress.values().forEach(this::announce));
     }
 
-    /** From now on the crashing request is run like any other. */
+    /** From now on, servers run the crashing request like any other. */
     void repair() {
         mRepaired = true;
     }
 
-    /** From now on a server that ends has first sent the head of an answer that can't be taken. */
+    /** From now on, a server sends the head of an invalid answer before it crashes. */
     void invalidateCrashingAnswers() {
         mCrashingMetadata = INVALID;
     }
 
-    /** From now on a share of the spoiled answers is cut by the servers, which live on. */
+    /** From now on, live servers cut this share of the invalid answers. */
     void cutInvalidAnswers(int percent) {
         mInvalidAnswerCutPercent = percent;
     }
 
-    /** When servers ended under the crashing request, in milliseconds. */
+    /** Returns the times of the crashes under the crashing request, in milliseconds. */
     List<Long> crashTimes() {
         return mCrashes;
     }
 
-    /** When the crashing request reached servers, in milliseconds. */
+    /** Returns the times at which the crashing request reached servers, in milliseconds. */
     List<Long> crashingArrivalTimes() {
         return mCrashingArrivals;
     }
 
-    /** One server ends by itself. */
+    /** Crashes a random server independent of its requests. */
     void crashOne() {
         List<Server> all = List.copyOf(mByAddress.values());
         if (!all.isEmpty()) {
@@ -155,9 +157,9 @@
     private void answer(
             DirectEffect.BeginCall call,
             int status,
-            AnswerMetadata facts,
+            AnswerMetadata metadata,
             Consumer<DirectEvent> events) {
-        DirectEvent head = new DirectEvent.HeadReceived(call.call(), status, List.of(), facts);
+        DirectEvent head = new DirectEvent.HeadReceived(call.call(), status, List.of(), metadata);
         transit(() -> events.accept(head));
     }
 
@@ -191,7 +193,7 @@
         }
     }
 
-    /** The server ends the connection alone, and goes on with all else. */
+    /** Closes the connection of one call; the server continues with all other calls. */
     private void cutConnection(Server s, CallId id) {
         if (s.mCalls.remove(id)) {
             transit(() -> id.events().accept(connectionLost(id)));
@@ -203,7 +205,7 @@
         return new DirectEvent.Failed(id.call(), failure, "the connection ended");
     }
 
-    /** One whose answer is spoiled is beyond saving, whether its router waits or not. */
+    /** A server crashes after an invalid answer even if its router has cancelled the call. */
     private void crashUnder(Server s, CallId id) {
         boolean runs = s.mCalls.contains(id) || !mCrashingMetadata.genuine();
         if (runs && mByAddress.get(s.mAddress) == s) {
@@ -214,16 +216,16 @@
 
     private void crash(Server s) {
         if (mByAddress.remove(s.mAddress, s)) {
-            List<CallId> cut = List.copyOf(s.mCalls);
+            List<CallId> calls = List.copyOf(s.mCalls);
             s.mCalls.clear();
-            for (CallId id : cut) {
+            for (CallId id : calls) {
                 transit(() -> id.events().accept(connectionLost(id)));
             }
             mTime.after(DOWN_MILLIS, () -> start(s.mAddress));
         }
     }
 
-    /** A call of a router, which its events go back to. */
+    /** Identifies a call by its number and the receiver of its events. */
     private record CallId(Consumer<DirectEvent> events, long call) {}
 
     private static final class Server {
--- a/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/quarantine/RoutedFleet.java
@@ -15,7 +15,7 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.RouteShare;
 
-/** Control instances, routers and backend servers in virtual time, and callers that ask them. */
+/** A fleet in virtual time: control instances, routers, backend servers, and callers. */
 final class RoutedFleet {
     static final int ROUTER_COUNT = 9;
     static final int CONTROL_COUNT = 3;
@@ -42,7 +42,7 @@
         mTime.advance(START_MILLIS);
     }
 
-    /** A route with two attempts. */
+    /** Returns a route with two attempts. */
     static Route route(boolean idempotent, boolean streamed, boolean resumable) {
         return new Route(
                 "r",
@@ -65,13 +65,13 @@
         return new AttemptRequest.Call("POST", "/x/1", List.of(), bytes, route.streamed());
     }
 
-    /** What a request is known by, whoever of the account sends it. */
+    /** Returns the key of a request, which does not depend on the caller. */
     static RequestKey requestKey(Route route, String body) {
         return RequestKey.of(ACCOUNT, call(route, body));
     }
 
-    /** A caller asks any router. */
-    void submit(Route route, String body, Consumer<ResultCode> answer) {
+    /** Sends a request to a random router. */
+    void submit(Route route, String body, Consumer<ResultCode> result) {
         RoutedRequest request =
                 new RoutedRequest(
                         "q" + ++mRequests,
@@ -81,22 +81,22 @@
                         TIMEOUT,
                         call(route, body),
                         Prompt.NONE);
-        mRouters.get(mTime.random().nextInt(ROUTER_COUNT)).submit(request, answer);
+        mRouters.get(mTime.random().nextInt(ROUTER_COUNT)).submit(request, result);
     }
 
-    /** A caller asks with a body that nobody else sends, and comes again once if it fails. */
-    void submitUnique(Route route, Consumer<ResultCode> answer) {
+    /** Sends a request with a unique body, and sends it again once if it fails. */
+    void submitUnique(Route route, Consumer<ResultCode> result) {
         String body = "body " + mRequests;
         submit(
                 route,
                 body,
                 code -> {
-                    answer.accept(code);
+                    result.accept(code);
                     if (code != ResultCode.OK) {
                         mTime.afterRandomDelay(
                                 MIN_RETRY_MILLIS,
                                 MAX_RETRY_MILLIS,
-                                () -> submit(route, body, answer));
+                                () -> submit(route, body, result));
                     }
                 });
     }
