--- /dev/null
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ActiveRequest.java
@@ -0,0 +1,110 @@
+package org.laurelweir.direct;
+
+import java.io.ByteArrayOutputStream;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.laurelweir.attempt.Header;
+import org.laurelweir.lib.BackendRef;
+import org.laurelweir.quarantine.RequestKey;
+
+/** State of a caller's request from its arrival to its final answer, with the current call. */
+final class ActiveRequest {
+    private static final BackendRef NO_BACKEND = new BackendRef("", 0);
+
+    final long mCaller;
+    final RoutedRequest mRequest;
+    final String mService;
+    final Instant mDeadline;
+    final EventFramer mFramer = new EventFramer();
+
+    /** Ids of the backend servers that were called, including the current one. */
+    final Set<String> mTriedServers = new HashSet<>();
+
+    /** The current call to a backend server, or 0 if there is none. */
+    long mCall;
+
+    /** The backend server of the current or, if there is none, of the last call. */
+    BackendRef mBackend = NO_BACKEND;
+
+    /** Start of the current or, if there is none, of the last call. */
+    Instant mCallStart = Instant.MIN;
+
+    /** Start of the time of silence after which the call counts as stalled. */
+    Instant mLastActivity = Instant.MIN;
+
+    /** Number of calls that may have reached a backend server. */
+    int mAttemptCount;
+
+    /** Whether any backend server may have run the request. */
+    boolean mMayHaveRun;
+
+    /**
+     * Whether the last call reached another server than intended, because its address was reused.
+     */
+    boolean mMisdirected;
+
+    /** Whether the head of the current call's answer has arrived. */
+    boolean mHeadReceived;
+
+    /** Whether the head of a streamed answer has been sent to the caller. */
+    boolean mHeadSent;
+
+    /** Whether the caller has disconnected while the call continues; its answer is dropped. */
+    boolean mDetached;
+
+    int mStatus;
+    List<Header> mHeaders = List.of();
+    ByteArrayOutputStream mBody = new ByteArrayOutputStream();
+    private RequestKey mKey;
+
+    ActiveRequest(long caller, RoutedRequest request, String service, Instant now) {
+        mCaller = caller;
+        mRequest = request;
+        mService = service;
+        mDeadline = now.plus(request.timeLeft());
+    }
+
+    Route route() {
+        return mRequest.route();
+    }
+
+    /** Returns the key that identifies the request when a caller sends it again. */
+    RequestKey key() {
+        if (mKey == null) {
+            mKey = RequestKey.of(mRequest.account(), mRequest.call());
+        }
+        return mKey;
+    }
+
+    /** Returns the id of the prompt's shared part, or 0 if the request has no prompt. */
+    long sharedPartId() {
+        Prompt prompt = mRequest.prompt();
+        return prompt.isPresent() ? prompt.sharedPart().id() : 0;
+    }
+
+    Duration timeLeft(Instant now) {
+        return Duration.between(now, mDeadline);
+    }
+
+    /** Returns whether the current answer is a successful stream, forwarded event by event. */
+    boolean isStreaming() {
+        return route().streamed() && mStatus / 100 == 2;
+    }
+
+    /** Records the start of a call and resets the state of the previous answer. */
+    void startCall(long call, BackendRef backend, Instant now) {
+        mCall = call;
+        mBackend = backend;
+        mCallStart = now;
+        mTriedServers.add(backend.id());
+        mLastActivity = now;
+        mHeadReceived = false;
+        mMisdirected = false;
+        mStatus = 0;
+        mBody.reset();
+        mFramer.takeIncomplete();
+    }
+}
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -14,65 +14,68 @@
 import org.laurelweir.quarantine.CrashTable;
 
 /**
- * Decides for requests that are routed without sidecars: the router itself chooses the backend
- * server, follows its answer and repeats what may be repeated.
+ * Routes requests to backend servers that have no sidecar: the router chooses the backend server,
+ * forwards its answer, and retries the request where the route permits it.
  */
 public final class DirectRouting implements Reducer<DirectEvent, DirectEffect> {
-    /** How often requests in flight are looked at; what they are held to is ten times as long. */
+    /**
+     * Interval of the checks for deadlines and stalls. The times that are checked are ten times as
+     * long or longer.
+     */
     private static final Duration SCAN_INTERVAL = Duration.ofMillis(10);
 
     private static final Duration PRUNE_INTERVAL = Duration.ofSeconds(30);
 
-    private final BackendSource mSource;
+    private final BackendSource mBackends;
     private final ServerTable mServers = new ServerTable();
     private final LoadEstimator mLoads;
     private final ServerChoice mChoice;
     private final PartHolders mHolders = new PartHolders();
-    private final FleetBudget mBudget;
+    private final FleetRetryBudget mBudget;
     private final Attempts mAttempts;
-    private final Reports mReports;
-    private final ErrorAnswers mErrors;
-    private final Stalls mStalls = new Stalls();
-    private final CrashGuard mGuard;
-    private final SpoiledCalls mSpoiled;
+    private final RequestDecisions mDecisions;
+    private final ErrorAnswers mErrorAnswers;
+    private final StallDetector mStallDetector = new StallDetector();
+    private final CrashGuard mCrashGuard;
+    private final InvalidAnswerCalls mInvalidAnswers;
     private final SplittableRandom mRandom;
-    private final Long2ObjectHashMap<ActiveCall> mByCaller = new Long2ObjectHashMap<>();
+    private final Long2ObjectHashMap<ActiveRequest> mByCaller = new Long2ObjectHashMap<>();
     private Instant mNextScan = Instant.MIN;
     private Instant mNextPrune = Instant.MIN;
     private Instant mNow;
     private Consumer<? super DirectEffect> mEffects;
 
     /**
-     * Creates the routing of a router that has just started.
+     * Creates the routing without any request.
      *
-     * @param source the backend servers as the router knows them
-     * @param routers how many routers serve, 0 if not known
-     * @param limits what the fleet may repeat
-     * @param crashes under which requests backend servers ended
-     * @param loads what is believed of the backend servers' load
-     * @param seed of random choices
+     * @param backends the backend servers that the router knows
+     * @param routerCount supplies the number of routers in the fleet, 0 if unknown
+     * @param limits limits of the retries of all routers
+     * @param crashes the crashes of backend servers and the requests that were running then
+     * @param loads the estimated loads of the backend servers
+     * @param seed seed of the random choices
      */
     public DirectRouting(
-            BackendSource source,
-            IntSupplier routers,
+            BackendSource backends,
+            IntSupplier routerCount,
             RetryLimits limits,
             CrashTable crashes,
             LoadEstimator loads,
             long seed) {
-        mSource = source;
+        mBackends = backends;
         mLoads = loads;
-        mGuard = new CrashGuard(crashes);
-        mChoice = new ServerChoice(source, mServers, loads, seed);
-        mBudget = new FleetBudget(limits, routers);
+        mCrashGuard = new CrashGuard(crashes);
+        mChoice = new ServerChoice(backends, mServers, loads, seed);
+        mBudget = new FleetRetryBudget(limits, routerCount);
         mRandom = new SplittableRandom(seed + 1);
-        mReports = new Reports();
-        mSpoiled = new SpoiledCalls(loads, mGuard, mReports);
-        FetchSource fetches = new FetchSource(source, mServers, mHolders);
-        mAttempts = new Attempts(source, loads, mChoice, fetches, mBudget, mReports);
-        mErrors = new ErrorAnswers(mChoice, mAttempts, mReports, new Refusals(seed + 2));
+        mDecisions = new RequestDecisions();
+        mInvalidAnswers = new InvalidAnswerCalls(loads, mCrashGuard, mDecisions);
+        FetchSource fetchSource = new FetchSource(backends, mServers, mHolders);
+        mAttempts = new Attempts(backends, loads, mChoice, fetchSource, mBudget, mDecisions);
+        mErrorAnswers = new ErrorAnswers(mChoice, mAttempts, mDecisions, new RetryDelays(seed + 2));
     }
 
-    /** Returns whether no request is under way. */
+    /** Returns whether no request is in flight. */
     public boolean isIdle() {
         return mByCaller.isEmpty();
     }
@@ -81,9 +84,9 @@
     public void step(Instant now, DirectEvent event, Consumer<? super DirectEffect> effects) {
         mNow = now;
         mEffects = effects;
-        mAttempts.enter(now, effects);
-        mErrors.enter(now, effects);
-        mSpoiled.enter(now, effects);
+        mAttempts.beginStep(now, effects);
+        mErrorAnswers.beginStep(now, effects);
+        mInvalidAnswers.beginStep(now, effects);
         if (event instanceof DirectEvent.Tick) {
             onTick();
         } else if (event instanceof DirectEvent.Arrived e) {
@@ -91,19 +94,19 @@
         } else if (event instanceof DirectEvent.CallerGone e) {
             withRequest(mByCaller.get(e.caller()), this::onCallerGone);
         } else if (event instanceof DirectEvent.HeadReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onAnswered(r, e));
+            withRequest(mAttempts.requestOf(e.call()), r -> onHeadReceived(r, e));
         } else if (event instanceof DirectEvent.DataReceived e) {
-            withRequest(mAttempts.byCall(e.call()), r -> onReceived(r, e.bytes()));
+            withRequest(mAttempts.requestOf(e.call()), r -> onDataReceived(r, e.bytes()));
         } else if (event instanceof DirectEvent.Finished e) {
-            mSpoiled.finished(e.call());
-            withRequest(mAttempts.byCall(e.call()), this::onFinished);
+            mInvalidAnswers.onFinished(e.call());
+            withRequest(mAttempts.requestOf(e.call()), this::onFinished);
         } else if (event instanceof DirectEvent.Failed e) {
-            mSpoiled.failed(e.call(), e.failure());
-            withRequest(mAttempts.byCall(e.call()), r -> onFailed(r, e));
+            mInvalidAnswers.onFailed(e.call(), e.failure());
+            withRequest(mAttempts.requestOf(e.call()), r -> onFailed(r, e));
         }
     }
 
-    private static void withRequest(ActiveCall r, Consumer<ActiveCall> action) {
+    private static void withRequest(ActiveRequest r, Consumer<ActiveRequest> action) {
         if (r != null) {
             action.accept(r);
         }
@@ -115,77 +118,78 @@
 
     private void onArrived(DirectEvent.Arrived e) {
         String service = chooseService(e.request().route());
-        ActiveCall r = new ActiveCall(e.caller(), e.request(), service, mNow);
+        ActiveRequest r = new ActiveRequest(e.caller(), e.request(), service, mNow);
         mByCaller.put(e.caller(), r);
         mBudget.onRequest(service, mNow);
-        if (mGuard.bars(r, mNow)) {
-            end(r, mErrors::quarantined);
-        } else if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.refused(c, "no backend server has room"));
+        if (mCrashGuard.shouldReject(r, mNow)) {
+            end(r, mErrorAnswers::quarantined);
+        } else if (!mAttempts.startNext(r)) {
+            end(r, c -> mErrorAnswers.rejected(c, "no backend server has room"));
         }
     }
 
     private String chooseService(Route route) {
         double sum = route.shares().stream().mapToDouble(s -> s.weight()).sum();
-        double at = mRandom.nextDouble() * sum;
+        double remaining = mRandom.nextDouble() * sum;
         for (var share : route.shares()) {
-            at -= share.weight();
-            if (at < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
         return route.shares().get(route.shares().size() - 1).service();
     }
 
-    private void onAnswered(ActiveCall r, DirectEvent.HeadReceived e) {
-        r.mHeard = mNow;
-        e.facts().load().ifPresent(l -> loadTold(r.mBackend, l));
-        if (e.facts().notRun()) {
+    private void onHeadReceived(ActiveRequest r, DirectEvent.HeadReceived e) {
+        r.mLastActivity = mNow;
+        e.metadata().load().ifPresent(l -> onReportedLoad(r.mBackend, l));
+        if (e.metadata().notRun()) {
             onNotRun(r, e);
             return;
         }
-        if (!e.facts().genuine()) {
-            onSpoiled(r);
+        if (!e.metadata().genuine()) {
+            onInvalidAnswer(r);
             return;
         }
-        mGuard.answered(r, mNow);
-        r.mAnswered = true;
+        mCrashGuard.onHeadReceived(r, mNow);
+        r.mHeadReceived = true;
         r.mStatus = e.status();
         r.mHeaders = e.headers();
         if (isFailure(e.status())) {
             onFailureStatus(r);
         } else {
-            mServers.succeeded(r.mService, r.mBackend);
-            noteHolder(r);
+            mServers.onSuccess(r.mService, r.mBackend);
+            recordHolder(r);
             beginStream(r);
         }
     }
 
-    private void loadTold(BackendRef backend, AnswerMetadata.ReportedLoad load) {
-        mServers.slotsTold(backend, load.slots());
-        mLoads.heard(mNow, backend, load.running() + load.waiting());
+    private void onReportedLoad(BackendRef backend, AnswerMetadata.ReportedLoad load) {
+        mServers.onReportedSlots(backend, load.slots());
+        mLoads.onReportedLoad(mNow, backend, load.running() + load.waiting());
     }
 
     /**
-     * The answer is nobody's. Its server may be about to end, of which the next one would know
-     * nothing: only one more gets the request before that is told.
+     * Handles an answer that does not belong to the request. Its server may be about to crash under
+     * the request. The call stays open to find out, and until then at most one more server gets the
+     * request.
      */
-    private void onSpoiled(ActiveCall r) {
-        boolean harmless = !mSpoiled.isWatched(r) && !mGuard.isSuspect(r);
+    private void onInvalidAnswer(ActiveRequest r) {
+        boolean mayRetry = !mInvalidAnswers.isWatched(r) && !mCrashGuard.isSuspect(r);
         long call = r.mCall;
-        mAttempts.leave(r);
-        mSpoiled.watch(r, call);
-        serverFailed(r);
-        afterUnknown(r, harmless, "the answer belongs to another request, or to none");
+        mAttempts.end(r);
+        mInvalidAnswers.watch(r, call);
+        recordServerFailure(r);
+        onUnknownOutcome(r, mayRetry, "the answer belongs to another request, or to none");
     }
 
-    private void noteHolder(ActiveCall r) {
+    private void recordHolder(ActiveRequest r) {
         if (r.mRequest.prompt().isPresent()) {
-            mHolders.read(r.mRequest.prompt().sharedPart().id(), r.mBackend);
+            mHolders.recordHolder(r.mRequest.prompt().sharedPart().id(), r.mBackend);
         }
     }
 
-    private void beginStream(ActiveCall r) {
+    private void beginStream(ActiveRequest r) {
         if (!r.isStreaming() || r.mHeadSent) {
             return;
         }
@@ -200,38 +204,38 @@
     }
 
     /**
-     * The server ran the request and failed: another may do better where that is harmless. Where
-     * nobody else takes it, the server's own answer is passed on after all.
+     * Handles a 5xx answer: the server ran the request and failed. A repeatable request is sent to
+     * another server. If none accepts it, the 5xx answer is forwarded.
      */
-    private void onFailureStatus(ActiveCall r) {
-        serverFailed(r);
+    private void onFailureStatus(ActiveRequest r) {
+        recordServerFailure(r);
         r.mMayHaveRun = true;
         if (r.route().isRepeatable()) {
-            mAttempts.moveOn(r);
+            mAttempts.switchServer(r);
         }
     }
 
-    private void serverFailed(ActiveCall r) {
-        mServers.failed(r.mService, r.mBackend, mChoice.size(r.mService), mNow);
+    private void recordServerFailure(ActiveRequest r) {
+        mServers.onFailure(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
     }
 
-    /** The server says that it did not run the request and will not. */
-    private void onNotRun(ActiveCall r, DirectEvent.HeadReceived e) {
-        if (e.facts().misdirected()) {
-            mServers.replaced(r.mBackend, mNow);
+    /** Handles the statement of a server that it did not run the request and will not. */
+    private void onNotRun(ActiveRequest r, DirectEvent.HeadReceived e) {
+        if (e.metadata().misdirected()) {
+            mServers.onReplaced(r.mBackend, mNow);
         } else {
-            mServers.full(r.mBackend, mNow);
+            mServers.onFull(r.mBackend, mNow);
         }
-        emit(mReports.said(r, "not_run_" + e.status(), mNow));
+        emit(mDecisions.withReason(r, "not_run_" + e.status(), mNow));
         mAttempts.cancel(r);
-        r.mMisdirected = e.facts().misdirected();
-        if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.gaveUp(c, "the backend servers did not take the request"));
+        r.mMisdirected = e.metadata().misdirected();
+        if (!mAttempts.startNext(r)) {
+            end(r, c -> mErrorAnswers.noServerAccepts(c, "no backend server accepted the request"));
         }
     }
 
-    private void onReceived(ActiveCall r, byte[] bytes) {
-        r.mHeard = mNow;
+    private void onDataReceived(ActiveRequest r, byte[] bytes) {
+        r.mLastActivity = mNow;
         if (!r.isStreaming()) {
             r.mBody.writeBytes(bytes);
             return;
@@ -242,80 +246,84 @@
         }
     }
 
-    private void onFinished(ActiveCall r) {
-        mAttempts.leave(r);
+    private void onFinished(ActiveRequest r) {
+        mAttempts.end(r);
         if (r.isStreaming()) {
-            byte[] rest = r.mFramer.takeRest();
-            if (rest.length > 0) {
-                emitIfWanted(r, new DirectEffect.AnswerData(r.mCaller, rest));
+            byte[] incomplete = r.mFramer.takeIncomplete();
+            if (incomplete.length > 0) {
+                emitUnlessDetached(r, new DirectEffect.AnswerData(r.mCaller, incomplete));
             }
-            emitIfWanted(r, new DirectEffect.AnswerEnd(r.mCaller));
+            emitUnlessDetached(r, new DirectEffect.AnswerEnd(r.mCaller));
         } else if (r.mHeadSent) {
-            end(r, c -> mErrors.failed(c, "the stream could not be resumed"));
+            end(r, c -> mErrorAnswers.failed(c, "the stream could not be resumed"));
             return;
         } else {
-            emitIfWanted(
+            emitUnlessDetached(
                     r,
                     new DirectEffect.AnswerWhole(
                             r.mCaller, r.mStatus, r.mHeaders, r.mBody.toByteArray()));
         }
-        emit(mReports.answered(r, mNow));
+        emit(mDecisions.answered(r, mNow));
         if (!isFailure(r.mStatus)) {
-            mGuard.served(r, mNow);
-            mSpoiled.served(r);
+            mCrashGuard.onServed(r, mNow);
+            mInvalidAnswers.onServed(r);
         }
         mByCaller.remove(r.mCaller);
     }
 
-    private void emitIfWanted(ActiveCall r, DirectEffect effect) {
+    private void emitUnlessDetached(ActiveRequest r, DirectEffect effect) {
         if (!r.mDetached) {
             emit(effect);
         }
     }
 
-    private void onFailed(ActiveCall r, DirectEvent.Failed e) {
-        mAttempts.leave(r);
+    private void onFailed(ActiveRequest r, DirectEvent.Failed e) {
+        mAttempts.end(r);
         if (e.failure() != DirectEvent.Failure.NOT_SENT) {
-            serverFailed(r);
-            boolean lost = e.failure() == DirectEvent.Failure.CONNECTION_LOST;
-            afterUnknown(r, !lost || mGuard.lost(r, r.mBackend, mNow), e.message());
+            recordServerFailure(r);
+            boolean connectionLost = e.failure() == DirectEvent.Failure.CONNECTION_LOST;
+            onUnknownOutcome(
+                    r,
+                    !connectionLost || mCrashGuard.onConnectionLost(r, r.mBackend, mNow),
+                    e.message());
             return;
         }
-        mServers.unreachable(r.mService, r.mBackend, mChoice.size(r.mService), mNow);
-        // It never arrived, so that it does not count as sent.
-        r.mArrivals--;
-        emit(mReports.said(r, "not_sent", mNow));
-        if (!mAttempts.next(r)) {
-            end(r, c -> mErrors.gaveUp(c, e.message()));
+        mServers.onUnreachable(r.mService, r.mBackend, mChoice.servingCount(r.mService), mNow);
+        // The request never reached the server and does not count as an attempt.
+        r.mAttemptCount--;
+        emit(mDecisions.withReason(r, "not_sent", mNow));
+        if (!mAttempts.startNext(r)) {
+            end(r, c -> mErrorAnswers.noServerAccepts(c, e.message()));
         }
     }
 
     /**
-     * The server may have run the request: it is repeated only where that is harmless.
+     * Handles a call after which the server may have run the request. Only a repeatable request is
+     * sent to another server.
      *
-     * @param harmless whether it is to the next server; to the caller it is by the route
+     * @param mayRetry whether the crash guard permits a retry; the route has to permit it too
      */
-    private void afterUnknown(ActiveCall r, boolean harmless, String message) {
+    private void onUnknownOutcome(ActiveRequest r, boolean mayRetry, String message) {
         r.mMayHaveRun = true;
-        emit(mReports.outcomeUnknown(r, message, mNow));
-        if (harmless && r.route().isRepeatable() && mAttempts.next(r)) {
+        emit(mDecisions.outcomeUnknown(r, message, mNow));
+        if (mayRetry && r.route().isRepeatable() && mAttempts.startNext(r)) {
             return;
         }
-        end(r, c -> mErrors.failed(c, message));
+        end(r, c -> mErrorAnswers.failed(c, message));
     }
 
-    /** Ends a request whose caller gets an error. */
-    private void end(ActiveCall r, Consumer<ActiveCall> tell) {
-        tell.accept(r);
+    /** Ends a request with an error answer. */
+    private void end(ActiveRequest r, Consumer<ActiveRequest> errorAnswer) {
+        errorAnswer.accept(r);
         mByCaller.remove(r.mCaller);
     }
 
     /**
-     * Ends what nobody waits for. A plain call that may not be repeated is left to finish: stopped
-     * half way, nobody would ever learn its outcome.
+     * Ends a request whose caller has disconnected. A non-idempotent call without a stream is left
+     * to finish: if it were cancelled half way, its outcome would stay unknown.
      */
-    private void onCallerGone(ActiveCall r) {
-        emit(mReports.said(r, "caller_gone", mNow));
+    private void onCallerGone(ActiveRequest r) {
+        emit(mDecisions.withReason(r, "caller_gone", mNow));
         if (r.mCall != 0 && !r.route().streamed() && !r.route().idempotent()) {
             r.mDetached = true;
             return;
@@ -329,37 +337,37 @@
             return;
         }
         mNextScan = mNow.plus(SCAN_INTERVAL);
-        List<ActiveCall> all = new ArrayList<>(mByCaller.values());
-        all.forEach(this::check);
-        mSpoiled.check();
+        List<ActiveRequest> all = new ArrayList<>(mByCaller.values());
+        all.forEach(this::checkTimeouts);
+        mInvalidAnswers.cancelExpired();
         if (!mNow.isBefore(mNextPrune)) {
             mNextPrune = mNow.plus(PRUNE_INTERVAL);
-            mServers.prune(mSource);
+            mServers.prune(mBackends);
         }
     }
 
-    private void check(ActiveCall r) {
+    private void checkTimeouts(ActiveRequest r) {
         if (!mNow.isBefore(r.mDeadline)) {
             expire(r);
-        } else if (mStalls.isStalled(r, mNow) && !r.mDetached) {
+        } else if (mStallDetector.isStalled(r, mNow) && !r.mDetached) {
             onStalled(r);
         }
     }
 
-    private void expire(ActiveCall r) {
-        if (!r.mAnswered && r.mCall != 0) {
-            serverFailed(r);
+    private void expire(ActiveRequest r) {
+        if (!r.mHeadReceived && r.mCall != 0) {
+            recordServerFailure(r);
         }
-        end(r, mErrors::expired);
+        end(r, mErrorAnswers::expired);
     }
 
-    /** Tries another server; where nobody else takes it, a late answer is better than none. */
-    private void onStalled(ActiveCall r) {
-        emit(mReports.stalled(r, mNow));
-        serverFailed(r);
+    /** Tries another server. If none accepts the request, the current call continues. */
+    private void onStalled(ActiveRequest r) {
+        emit(mDecisions.stalled(r, mNow));
+        recordServerFailure(r);
         r.mMayHaveRun = true;
-        if (!mAttempts.moveOn(r)) {
-            r.mHeard = mNow;
+        if (!mAttempts.switchServer(r)) {
+            r.mLastActivity = mNow;
         }
     }
 }
--- /dev/null
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/RequestDecisions.java
@@ -0,0 +1,77 @@
+package org.laurelweir.direct;
+
+import java.time.Instant;
+import java.util.List;
+import org.laurelweir.lib.BackendRef;
+import org.laurelweir.lib.Decision;
+
+/** Creates the decision log entries about requests, each under the request id of the caller. */
+final class RequestDecisions {
+    private static final String PROGRAM = "router";
+
+    DirectEffect.LogDecision serverChosen(
+            ActiveRequest r, ServerChoice.Choice c, String fetchFrom, Instant now) {
+        String placement = r.mAttemptCount > 1 ? "retry_" + c.reason() : c.reason();
+        String reason = fetchFrom.isEmpty() ? placement : placement + "_fetching from " + fetchFrom;
+        return new DirectEffect.LogDecision(
+                builder(r, now)
+                        .candidates(c.candidates())
+                        .choice(c.server().id(), reason)
+                        .load(c.load(), c.bound())
+                        .loadAgeMillis(c.loadAgeMillis())
+                        .build());
+    }
+
+    DirectEffect.LogDecision withReason(ActiveRequest r, String reason, Instant now) {
+        return decision(r, now, List.of(), r.mBackend.id(), reason);
+    }
+
+    /**
+     * Returns the entry of a call whose outcome is unknown. The fingerprint in it identifies the
+     * request in other servers' crashes too.
+     *
+     * @param why what the router observed: a lost connection, or an answer that it cannot accept
+     */
+    DirectEffect.LogDecision outcomeUnknown(ActiveRequest r, String why, Instant now) {
+        return withReason(r, "outcome_unknown of " + r.key().fingerprintText() + ": " + why, now);
+    }
+
+    /**
+     * Returns the entry of a server that crashed after the head of an invalid answer. The request
+     * may be at another server by now, so the server is given.
+     */
+    DirectEffect.LogDecision crashedAfterInvalidHead(
+            ActiveRequest r, BackendRef server, Instant now) {
+        String reason = "ended_after_bad_head of " + r.key().fingerprintText();
+        return decision(r, now, List.of(), server.id(), reason);
+    }
+
+    /** Returns the entry of a stalled call, whose later outcome the router does not observe. */
+    DirectEffect.LogDecision stalled(ActiveRequest r, Instant now) {
+        return withReason(r, "stalled of " + r.key().fingerprintText(), now);
+    }
+
+    DirectEffect.LogDecision answered(ActiveRequest r, Instant now) {
+        return decision(r, now, List.of(), r.mBackend.id(), "answered_" + r.mStatus);
+    }
+
+    DirectEffect.LogDecision errorAnswered(
+            ActiveRequest r, DirectEffect.AnswerError e, Instant now) {
+        String reason = "given_up: " + e.message();
+        return decision(r, now, List.copyOf(r.mTriedServers), e.code().name(), reason);
+    }
+
+    private static DirectEffect.LogDecision decision(
+            ActiveRequest r, Instant now, List<String> candidates, String choice, String reason) {
+        return new DirectEffect.LogDecision(
+                builder(r, now).candidates(candidates).choice(choice, reason).build());
+    }
+
+    private static Decision.Builder builder(ActiveRequest r, Instant now) {
+        return Decision.builder(now, PROGRAM)
+                .request(r.mRequest.id())
+                .chat(r.sharedPartId())
+                .account(r.mRequest.account())
+                .service(r.mService);
+    }
+}
--- a/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/load/SharedCounts.java
@@ -9,83 +9,90 @@
 import java.util.function.BiConsumer;
 
 /**
- * Numbers that add up over many sources: some report here, others to peers, which pass on their
- * sums. Each tells its present state and no changes of it, so that a lost message is made good by
- * the next one.
+ * Counts that are summed over many sources. Some sources report here; others report to peers, which
+ * send their sums. Messages carry current counts and not differences, so that the next message
+ * repairs a lost one.
  *
- * @param <K> what is counted
+ * @param <K> the type of the keys of the counts
  */
 final class SharedCounts<K> {
     private final Map<String, Map<K, Integer>> mSources = new HashMap<>();
-    private final Map<String, Map<K, Told>> mPeers = new HashMap<>();
-    private final Map<K, Integer> mOwn = new HashMap<>();
-    private final Map<K, Integer> mAll = new HashMap<>();
+    private final Map<String, Map<K, PeerCount>> mPeers = new HashMap<>();
+    private final Map<K, Integer> mLocalSums = new HashMap<>();
+    private final Map<K, Integer> mTotals = new HashMap<>();
 
-    /** Of which peers lack the present number. */
-    private final Set<K> mUntold = new HashSet<>();
+    /** Keys whose current local sum has not been sent to the peers. */
+    private final Set<K> mPending = new HashSet<>();
 
-    /** What a peer told, and when. */
-    private record Told(int count, Instant at) {}
+    /** A count that a peer sent, and the time of its arrival. */
+    private record PeerCount(int count, Instant time) {}
 
-    /** Takes all numbers of a source that reports here. */
-    void put(String source, Map<K, Integer> counts) {
+    /** Replaces all counts of a source that reports here. */
+    void replace(String source, Map<K, Integer> counts) {
         Map<K, Integer> before = mSources.getOrDefault(source, Map.of());
-        before.forEach((key, n) -> addOwn(key, counts.getOrDefault(key, 0) - n));
-        counts.forEach((key, n) -> addOwn(key, before.containsKey(key) ? 0 : n));
+        before.forEach((key, n) -> addLocal(key, counts.getOrDefault(key, 0) - n));
+        counts.forEach((key, n) -> addLocal(key, before.containsKey(key) ? 0 : n));
         mSources.put(source, new HashMap<>(counts));
     }
 
-    /** Takes the numbers of a source that have changed. */
-    void change(String source, Map<K, Integer> counts) {
+    /** Updates the counts of a source that have changed; 0 removes a count. */
+    void update(String source, Map<K, Integer> counts) {
         Map<K, Integer> known = mSources.computeIfAbsent(source, s -> new HashMap<>());
         counts.forEach(
                 (key, n) -> {
                     Integer before = n == 0 ? known.remove(key) : known.put(key, n);
-                    addOwn(key, n - (before == null ? 0 : before));
+                    addLocal(key, n - (before == null ? 0 : before));
                 });
     }
 
-    /** Drops all that a source told. */
-    void forgetSource(String source) {
-        put(source, Map.of());
+    /** Removes all counts of a source. */
+    void removeSource(String source) {
+        replace(source, Map.of());
         mSources.remove(source);
     }
 
-    private void addOwn(K key, int change) {
+    private void addLocal(K key, int change) {
         if (change != 0) {
-            add(mOwn, key, change);
-            add(mAll, key, change);
-            mUntold.add(key);
+            add(mLocalSums, key, change);
+            add(mTotals, key, change);
+            mPending.add(key);
         }
     }
 
-    /** Takes a peer's sum. */
-    void putOfPeer(Instant now, String peer, K key, int count) {
-        Map<K, Told> told = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
-        Told before = count == 0 ? told.remove(key) : told.put(key, new Told(count, now));
-        add(mAll, key, count - (before == null ? 0 : before.count()));
+    /** Sets the sum of a peer for a key; 0 removes it. */
+    void putPeerCount(Instant now, String peer, K key, int count) {
+        Map<K, PeerCount> peerCounts = mPeers.computeIfAbsent(peer, p -> new HashMap<>());
+        PeerCount before =
+                count == 0
+                        ? peerCounts.remove(key)
+                        : peerCounts.put(key, new PeerCount(count, now));
+        add(mTotals, key, count - (before == null ? 0 : before.count()));
     }
 
-    /** Drops all that a peer told. */
-    void forgetPeer(String peer) {
-        Map<K, Told> told = mPeers.remove(peer);
-        if (told != null) {
-            told.forEach((key, t) -> add(mAll, key, -t.count()));
+    /** Removes all sums of a peer. */
+    void removePeer(String peer) {
+        Map<K, PeerCount> peerCounts = mPeers.remove(peer);
+        if (peerCounts != null) {
+            peerCounts.forEach((key, c) -> add(mTotals, key, -c.count()));
         }
     }
 
-    /** Drops peers' sums that were not told again for a time. */
-    void forget(Instant now, Duration after) {
-        mPeers.values().forEach(told -> told.entrySet().removeIf(e -> isDropped(e, now, after)));
+    /** Removes the sums that peers have not repeated within a timeout. */
+    void expire(Instant now, Duration timeout) {
+        mPeers.values()
+                .forEach(
+                        peerCounts ->
+                                peerCounts.entrySet().removeIf(e -> expireCount(e, now, timeout)));
         mPeers.values().removeIf(Map::isEmpty);
     }
 
-    private boolean isDropped(Map.Entry<K, Told> e, Instant now, Duration after) {
-        Told told = e.getValue();
-        if (now.isBefore(told.at().plus(after))) {
+    /** Subtracts a count from the totals if it has expired; returns whether it has. */
+    private boolean expireCount(Map.Entry<K, PeerCount> e, Instant now, Duration timeout) {
+        PeerCount peerCount = e.getValue();
+        if (now.isBefore(peerCount.time().plus(timeout))) {
             return false;
         }
-        add(mAll, e.getKey(), -told.count());
+        add(mTotals, e.getKey(), -peerCount.count());
         return true;
     }
 
@@ -95,32 +102,32 @@
         }
     }
 
-    /** Has peers told all sums again. */
-    void tellAll() {
-        mUntold.addAll(mOwn.keySet());
+    /** Marks all local sums as pending for the peers. */
+    void markAllPending() {
+        mPending.addAll(mLocalSums.keySet());
     }
 
-    boolean isAllTold() {
-        return mUntold.isEmpty();
+    boolean isNothingPending() {
+        return mPending.isEmpty();
     }
 
-    /** Gives, once, the sums over the sources here that peers lack. */
-    void takeUntold(BiConsumer<K, Integer> taker) {
-        mUntold.forEach(key -> taker.accept(key, mOwn.getOrDefault(key, 0)));
-        mUntold.clear();
+    /** Passes the pending local sums to a consumer; they are not pending afterwards. */
+    void takePending(BiConsumer<K, Integer> consumer) {
+        mPending.forEach(key -> consumer.accept(key, mLocalSums.getOrDefault(key, 0)));
+        mPending.clear();
     }
 
-    /** Returns the sum over all sources. */
+    /** Returns the sum over all sources, including those of the peers. */
     int get(K key) {
-        return mAll.getOrDefault(key, 0);
+        return mTotals.getOrDefault(key, 0);
     }
 
-    /** Returns of how many there is any. */
+    /** Returns the number of keys with a sum other than 0. */
     int size() {
-        return mAll.size();
+        return mTotals.size();
     }
 
-    void forEach(BiConsumer<K, Integer> taker) {
-        mAll.forEach(taker);
+    void forEach(BiConsumer<K, Integer> consumer) {
+        mTotals.forEach(consumer);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/CrashEntry.java
@@ -8,35 +8,43 @@
 import java.util.function.Predicate;
 import org.laurelweir.lib.BackendRef;
 
-/** The ends of backend servers under one request, as one process knows them. */
+/** The crashes of backend servers under one request that one process knows. */
 final class CrashEntry {
-    /** Ends without an excuse from which on a request is kept away from backend servers. */
-    static final int QUARANTINED_FROM = 3;
+    /** Number of crashes without an excuse that quarantines a request. */
+    static final int QUARANTINE_CRASHES = 3;
 
-    static final int MOST_CRASHES = 8;
+    /** Maximum number of recorded crashes of a request. */
+    static final int MAX_CRASHES = 8;
 
-    /** Ends from which on nobody tries again by itself: three more than quarantine takes. */
-    private static final int TRIED_BELOW = QUARANTINED_FROM + 3;
+    /** From this number of crashes on there are no trials; it allows three of them. */
+    private static final int TRIAL_CRASH_LIMIT = QUARANTINE_CRASHES + 3;
 
-    /** From the last end to the first trial; doubles with each. */
-    private static final Duration TRIAL_AFTER = Duration.ofMinutes(10);
+    /** Time from the last crash to the first trial; it doubles with each failed trial. */
+    private static final Duration FIRST_TRIAL_DELAY = Duration.ofMinutes(10);
 
-    /** Chance ends of backend servers under one request are rarer than this. */
-    private static final Duration SUSPECTED_FOR = Duration.ofMinutes(10);
+    /**
+     * How long crashes under a request that is not quarantined are kept. Unrelated crashes under
+     * one request are rarer than this.
+     */
+    private static final Duration SUSPECT_RETENTION = Duration.ofMinutes(10);
 
-    /** Long against the ends that it costs until the request is known again. */
-    private static final Duration QUARANTINED_FOR = Duration.ofDays(1);
+    /**
+     * How long a request stays quarantined after its last crash. The crashes that it takes to
+     * quarantine it again are acceptable at most once in this time.
+     */
+    private static final Duration QUARANTINE_RETENTION = Duration.ofDays(1);
 
     /**
-     * A backend server takes longer to start again. One that does so under its name may be sent
-     * requests as the run that ended, until routers are told, and its answers prove nothing.
+     * Minimum time of a restart of a backend server; later answers do not excuse a crash. After a
+     * restart under the same id, routers address the server as the earlier incarnation until they
+     * learn of the restart, so its answers do not prove that there was no crash.
      */
-    private static final Duration LEAST_RESTART = Duration.ofSeconds(1);
+    private static final Duration MIN_RESTART_TIME = Duration.ofSeconds(1);
 
     private final RequestKey mKey;
     private final String mService;
-    private final List<Known> mCrashes = new ArrayList<>();
-    private Instant mTried = Instant.MIN;
+    private final List<KnownCrash> mCrashes = new ArrayList<>();
+    private Instant mLastTrial = Instant.MIN;
 
     /** The table's version in which this entry changed last. */
     long mVersion;
@@ -50,31 +58,29 @@
         return mKey;
     }
 
-    /**
-     * Adds ends and excuses that another process, or this one, tells; returns whether any is new.
-     */
+    /** Adds crashes and excuses from this or another process; returns whether any is new. */
     boolean add(Instant now, List<Crash> crashes) {
         boolean changed = false;
         for (Crash c : crashes) {
-            changed |= c.age().compareTo(QUARANTINED_FOR) < 0 && add(now, c);
+            changed |= c.age().compareTo(QUARANTINE_RETENTION) < 0 && add(now, c);
         }
         return changed;
     }
 
     private boolean add(Instant now, Crash c) {
-        for (Known k : mCrashes) {
+        for (KnownCrash k : mCrashes) {
             if (k.mServer.equals(c.server())) {
                 return k.merge(c);
             }
         }
-        if (mCrashes.size() >= MOST_CRASHES && !dropExcused()) {
+        if (mCrashes.size() >= MAX_CRASHES && !removeExcused()) {
             return false;
         }
-        mCrashes.add(new Known(c, now));
+        mCrashes.add(new KnownCrash(c, now));
         return true;
     }
 
-    private boolean dropExcused() {
+    private boolean removeExcused() {
         return mCrashes.stream()
                 .filter(k -> k.mExcused)
                 .findFirst()
@@ -82,23 +88,23 @@
                 .orElse(false);
     }
 
-    /** Excuses every end; returns whether any was not excused. */
+    /** Excuses all crashes; returns whether any was not excused. */
     boolean excuseAll() {
         return excuse(k -> true);
     }
 
     /**
-     * Excuses the end of a backend server that answered what it was asked after it; returns whether
-     * that was new.
+     * Excuses the supposed crash of a backend server that answered a request sent after it; returns
+     * whether any crash was not excused.
      */
-    boolean excuse(BackendRef server, Instant asked) {
-        return excuse(k -> k.mServer.equals(server) && k.isDisprovedBy(asked));
+    boolean excuse(BackendRef server, Instant requestTime) {
+        return excuse(k -> k.mServer.equals(server) && k.isDisprovedBy(requestTime));
     }
 
-    private boolean excuse(Predicate<Known> which) {
+    private boolean excuse(Predicate<KnownCrash> condition) {
         boolean changed = false;
-        for (Known k : mCrashes) {
-            if (!k.mExcused && which.test(k)) {
+        for (KnownCrash k : mCrashes) {
+            if (!k.mExcused && condition.test(k)) {
                 k.mExcused = true;
                 changed = true;
             }
@@ -106,66 +112,69 @@
         return changed;
     }
 
-    int unexcused() {
+    int unexcusedCount() {
         return (int) mCrashes.stream().filter(k -> !k.mExcused).count();
     }
 
     boolean isQuarantined() {
-        return unexcused() >= QUARANTINED_FROM;
+        return unexcusedCount() >= QUARANTINE_CRASHES;
     }
 
-    /** Returns whether the process may send the request once, and notes that it does. */
+    /**
+     * Returns whether the process may send the quarantined request once, and records that trial.
+     */
     boolean takeTrial(Instant now, String self) {
-        int ends = unexcused();
-        Known last = last();
-        boolean tried = ends >= QUARANTINED_FROM && ends < TRIED_BELOW;
-        if (!tried || !last.mRouter.equals(self)) {
+        int crashes = unexcusedCount();
+        KnownCrash last = lastCrash();
+        boolean allowsTrial = crashes >= QUARANTINE_CRASHES && crashes < TRIAL_CRASH_LIMIT;
+        if (!allowsTrial || !last.mRouter.equals(self)) {
             return false;
         }
-        Instant latest = mTried.isAfter(last.mAt) ? mTried : last.mAt;
-        Duration wait = TRIAL_AFTER.multipliedBy(1L << (ends - QUARANTINED_FROM));
-        if (now.isBefore(latest.plus(wait))) {
+        Instant lastSent = mLastTrial.isAfter(last.mTime) ? mLastTrial : last.mTime;
+        Duration delay = FIRST_TRIAL_DELAY.multipliedBy(1L << (crashes - QUARANTINE_CRASHES));
+        if (now.isBefore(lastSent.plus(delay))) {
             return false;
         }
-        mTried = now;
+        mLastTrial = now;
         return true;
     }
 
-    private Known last() {
-        return mCrashes.stream().max(Comparator.comparing(k -> k.mAt)).orElseThrow();
+    private KnownCrash lastCrash() {
+        return mCrashes.stream().max(Comparator.comparing(k -> k.mTime)).orElseThrow();
     }
 
-    Instant lastAt() {
-        return last().mAt;
+    Instant lastCrashTime() {
+        return lastCrash().mTime;
     }
 
-    boolean isOld(Instant now) {
-        Duration kept = isQuarantined() ? QUARANTINED_FOR : SUSPECTED_FOR;
-        return lastAt().plus(kept).isBefore(now);
+    boolean isExpired(Instant now) {
+        Duration retention = isQuarantined() ? QUARANTINE_RETENTION : SUSPECT_RETENTION;
+        return lastCrashTime().plus(retention).isBefore(now);
     }
 
     List<BackendRef> servers() {
         return mCrashes.stream().map(k -> k.mServer).toList();
     }
 
-    CrashRecord record(Instant now) {
-        return new CrashRecord(mKey, mService, mCrashes.stream().map(k -> k.crash(now)).toList());
+    CrashRecord toRecord(Instant now) {
+        return new CrashRecord(mKey, mService, mCrashes.stream().map(k -> k.toCrash(now)).toList());
     }
 
-    private static final class Known {
+    /** A crash with the time at which it was observed, by the clock of this process. */
+    private static final class KnownCrash {
         private final BackendRef mServer;
-        private final Instant mAt;
+        private final Instant mTime;
         private String mRouter;
         private boolean mExcused;
 
-        Known(Crash c, Instant now) {
+        KnownCrash(Crash c, Instant now) {
             mServer = c.server();
-            mAt = now.minus(c.age());
+            mTime = now.minus(c.age());
             mRouter = c.router();
             mExcused = c.excused();
         }
 
-        /** Takes what another process knows of the same end; returns whether it was new. */
+        /** Merges a record of the same crash; returns whether it changed this one. */
         boolean merge(Crash c) {
             boolean excuses = c.excused() && !mExcused;
             boolean precedes = c.router().compareTo(mRouter) < 0;
@@ -174,13 +183,16 @@
             return excuses || precedes;
         }
 
-        /** Returns whether an answer to what was asked then shows that there was no end. */
-        boolean isDisprovedBy(Instant asked) {
-            return mAt.isBefore(asked) && asked.isBefore(mAt.plus(LEAST_RESTART));
+        /**
+         * Returns whether the answer to a request sent at that time proves that there was no crash.
+         */
+        boolean isDisprovedBy(Instant requestTime) {
+            return mTime.isBefore(requestTime)
+                    && requestTime.isBefore(mTime.plus(MIN_RESTART_TIME));
         }
 
-        Crash crash(Instant now) {
-            return new Crash(mServer, mRouter, Duration.between(mAt, now), mExcused);
+        Crash toCrash(Instant now) {
+            return new Crash(mServer, mRouter, Duration.between(mTime, now), mExcused);
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
@@ -19,14 +19,14 @@
 import org.laurelweir.quarantine.CrashTable;
 import org.laurelweir.settings.RouteShare;
 
-/** Drives the routing without sidecars event by event, with one service of a few servers. */
-final class DirectDriver implements BackendSource {
+/** Drives {@link DirectRouting} event by event, with one service of a few backend servers. */
+final class DirectRoutingDriver implements BackendSource {
     static final String SERVICE = "svc";
     static final AnswerMetadata GENUINE = new AnswerMetadata(false, false, true, Optional.empty());
     static final AnswerMetadata NOT_RUN = new AnswerMetadata(true, false, true, Optional.empty());
-    static final AnswerMetadata OTHER_SERVER =
+    static final AnswerMetadata MISDIRECTED =
             new AnswerMetadata(true, true, true, Optional.empty());
-    static final AnswerMetadata CROSSED = new AnswerMetadata(false, false, false, Optional.empty());
+    static final AnswerMetadata INVALID = new AnswerMetadata(false, false, false, Optional.empty());
     static final RetryLimits LIMITS = new RetryLimits(0.2, 64, Duration.ofSeconds(10), 1, 1);
 
     final List<DirectEffect> mEffects = new ArrayList<>();
@@ -38,11 +38,11 @@
     private Instant mNow = Instant.EPOCH;
     private long mVersion;
 
-    DirectDriver(int servers) {
+    DirectRoutingDriver(int servers) {
         this(servers, LIMITS, 1);
     }
 
-    DirectDriver(int servers, RetryLimits limits, long seed) {
+    DirectRoutingDriver(int servers, RetryLimits limits, long seed) {
         for (int i = 0; i < servers; i++) {
             join("s" + i);
         }
@@ -53,7 +53,7 @@
         join(new BackendRef(id, 0));
     }
 
-    /** The server crashes and starts again under its name. */
+    /** Restarts a server after a crash: the same id with a higher incarnation. */
     void restart(String id) {
         join(new BackendRef(id, mBackends.get(id).ref().incarnation() + 1));
     }
@@ -65,7 +65,7 @@
         apply(new ViewChange.Join(new Candidate(ref, "dc", 6)));
     }
 
-    /** The server says that it leaves; it still answers. */
+    /** Makes a server drain; it still answers requests. */
     void drain(String id) {
         mBackends.computeIfPresent(id, (i, b) -> b.withState(Backend.State.DRAINING));
         apply(new ViewChange.Drain(id));
@@ -90,7 +90,10 @@
         return mBackends.get(id);
     }
 
-    /** A route of the given kind with three attempts, a second in all and 100 ms to be prompt. */
+    /**
+     * Returns a route with three attempts, a timeout of one second, and 100 ms as objective and as
+     * maximum pause.
+     */
     static Route route(boolean idempotent, boolean streamed, boolean resumable) {
         return route(idempotent, streamed, resumable, 3);
     }
@@ -116,12 +119,12 @@
         arrive(caller, route, Prompt.NONE);
     }
 
-    /** A request that differs from those of other callers. */
+    /** Sends a request with a body that differs from those of other callers. */
     void arrive(long caller, Route route, Prompt prompt) {
         arrive(caller, route, prompt, "body of " + caller);
     }
 
-    /** A request that comes again, from whichever caller, has the same body. */
+    /** Sends a request with the given body; requests with equal bodies have the same key. */
     void arrive(long caller, Route route, Prompt prompt, String body) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call(
@@ -130,7 +133,7 @@
                         List.of(),
                         body.getBytes(StandardCharsets.UTF_8),
                         route.streamed());
-        give(
+        step(
                 new DirectEvent.Arrived(
                         caller,
                         new RoutedRequest(
@@ -143,17 +146,17 @@
                                 prompt)));
     }
 
-    void give(DirectEvent event) {
+    void step(DirectEvent event) {
         mRouting.step(mNow, event, mEffects::add);
     }
 
-    void pass(Duration time) {
+    void advance(Duration time) {
         mNow = mNow.plus(time);
-        give(new DirectEvent.Tick());
+        step(new DirectEvent.Tick());
     }
 
-    void answer(long call, int status, AnswerMetadata facts) {
-        give(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), facts));
+    void answer(long call, int status, AnswerMetadata metadata) {
+        step(new DirectEvent.HeadReceived(call, status, List.of(new Header("x", "y")), metadata));
     }
 
     boolean isIdle() {
@@ -167,16 +170,17 @@
     <E extends DirectEffect> E last(Class<E> type) {
         List<E> all = all(type);
         if (all.isEmpty()) {
-            throw new AssertionError("no " + type.getSimpleName() + " in " + mEffects);
+            throw new AssertionError(
+                    "expected an effect " + type.getSimpleName() + " in " + mEffects);
         }
         return all.get(all.size() - 1);
     }
 
-    DirectEffect.BeginCall call() {
+    DirectEffect.BeginCall lastCall() {
         return last(DirectEffect.BeginCall.class);
     }
 
-    int calls() {
+    int callCount() {
         return all(DirectEffect.BeginCall.class).size();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/RouteTableTest.java
@@ -9,7 +9,7 @@
 import org.laurelweir.settings.SettingsNode;
 import org.laurelweir.settings.SettingsTree;
 
-/** Which route takes a request. */
+/** Tests which route a request takes, and which routes stay cached. */
 class RouteTableTest {
     private static SettingsNode route(String name, String host, String prefix) {
         return SettingsNode.of(
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void theLongestPrefixOfTheHostWins() {
+    void longestPrefixOfTheHostWins() {
         assertThat(find("h", "/a/x")).isEqualTo("a");
         assertThat(find("h", "/a/b/x")).isEqualTo("ab");
         assertThat(find("h", "/a/b")).isEqualTo("a");
@@ -46,9 +46,9 @@
     }
 
     @Test
-    void aChangeLeavesTheOtherRoutesAsTheyWereRead() {
-        // Many large changes in a row: each touches a few of some thousand routes. Read anew with
-        // each change, they hold up the requests that come next, on every router.
+    void unchangedRoutesStayCached() {
+        // Each change of the settings concerns a few of some thousand routes. If all routes were
+        // read again after each change, the next requests at every router would be delayed.
         SettingsTree before =
                 SettingsTree.of(
                         1,
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aPrefixIsWholePartsOfThePath() {
+    void prefixMatchesWholePathSegments() {
         assertThat(find("h", "/ab/x")).isEmpty();
         assertThat(find("h", "/a")).isEmpty();
         assertThat(find("j", "/a/x")).isEmpty();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void tellsWhetherThereIsAnyOtherWay() {
+    void knowsWhetherAllServicesAreRouted() {
         assertThat(mTable.allServicesRouted()).isTrue();
         SettingsTree mixed = SettingsTree.of(1, List.of(service("model")));
         assertThat(RouteTable.empty().withTree(mixed).allServicesRouted()).isFalse();
--- a/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/FleetEngines.java
@@ -21,50 +21,52 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * Engines that read one prompt after the other, generate for all at once, and tell their load in
- * the head of each answer, which they send with the first token.
+ * Simulated engines in virtual time. An engine reads (prefills) one prompt after the other and
+ * generates tokens for all requests concurrently. It sends the head of an answer with the first
+ * token, and reports its load in it.
  */
 final class FleetEngines implements FleetBackends {
     static final String SERVICE = "engines";
 
-    private static final int ANNOUNCE_MILLIS = 1200;
+    private static final int ANNOUNCE_INTERVAL_MILLIS = 1200;
     private static final int SLOTS = 64;
 
-    /** Also the requests that a router gives an engine whose slots it has not been told. */
+    /** Weight of an engine; also the slots that a router assumes until the engine reports them. */
     private static final int WEIGHT = 20;
 
-    private static final int MOST_TRANSIT_MILLIS = 3;
-    private static final double READ_TOKENS_A_MILLI = 44;
+    private static final int MAX_TRANSIT_MILLIS = 3;
+    private static final double PREFILL_TOKENS_PER_MILLI = 44;
 
-    /** A part that another engine holds arrives this much faster than it is read. */
+    /** Fetching a part from another engine is faster than reading it by this factor. */
     private static final double FETCH_SPEEDUP = 6;
 
-    /** What an engine may hold: this multiple of the mean, and a few more. */
+    /** The load bound of an engine is this multiple of the mean load plus {@link #BOUND_EXTRA}. */
     private static final double BOUND_FACTOR = 2;
 
     private static final double BOUND_EXTRA = 3;
 
-    /** Time for a token while nothing else runs, and what each other request adds to it. */
-    private static final double TOKEN_MILLIS = 4;
+    /** Time per token without any request. */
+    private static final double MILLIS_PER_TOKEN = 4;
 
-    private static final double TOKEN_MILLIS_BESIDE = 0.25;
+    /** Additional time per token for each request of the engine. */
+    private static final double MILLIS_PER_TOKEN_PER_REQUEST = 0.25;
 
     private final VirtualTime mTime;
     private final FleetControls mControls;
     private final Map<String, Engine> mByAddress = new HashMap<>();
     private final List<Arrival> mArrivals = new ArrayList<>();
-    private long mTokensRead;
+    private long mPrefilledTokens;
 
     /**
      * A request that reached an engine.
      *
-     * @param atMillis when
-     * @param held requests that the engine had already
-     * @param mean requests that an engine had on the mean
+     * @param atMillis time of the arrival
+     * @param requests number of requests that the engine already had
+     * @param mean mean number of requests per engine
      */
-    record Arrival(long atMillis, int held, double mean) {
+    record Arrival(long atMillis, int requests, double mean) {
         boolean isOverBound() {
-            return held > BOUND_FACTOR * mean + BOUND_EXTRA;
+            return requests > BOUND_FACTOR * mean + BOUND_EXTRA;
         }
     }
 
@@ -76,23 +78,23 @@
             mByAddress.put(e.mAddress, e);
             announce(e);
         }
-        time.every(ANNOUNCE_MILLIS, () -> mByAddress.values().forEach(this::announce));
+        time.every(ANNOUNCE_INTERVAL_MILLIS, () -> mByAddress.values().forEach(this::announce));
     }
 
-    /** One engine reads nothing for a while; what has begun goes on. */
+    /** Makes a random engine read no prompt for some time; it still generates tokens. */
     void stall(int millis) {
         Engine e = mByAddress.get(address(mTime.random().nextInt(mByAddress.size())));
         e.mStalledUntil = mTime.millis() + millis;
     }
 
-    /** Returns every request that reached an engine, in order. */
+    /** Returns the requests that reached engines, in order of arrival. */
     List<Arrival> arrivals() {
         return mArrivals;
     }
 
-    /** Returns the tokens of shared parts that engines read or fetched so far. */
-    long tokensRead() {
-        return mTokensRead;
+    /** Returns the number of tokens of shared parts that engines have read or fetched so far. */
+    long prefilledTokens() {
+        return mPrefilledTokens;
     }
 
     private static String address(int number) {
@@ -115,92 +117,94 @@
 
     @Override
     public void call(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
-        transit(() -> arrive(mByAddress.get(call.address()), new Run(call, events)));
+        transit(() -> arrive(mByAddress.get(call.address()), new EngineCall(call, events)));
     }
 
     @Override
     public void cancel(long call, Consumer<DirectEvent> events) {
         for (Engine e : mByAddress.values()) {
-            e.mHeld.removeIf(r -> r.is(call, events));
-            e.mWaiting.removeIf(r -> r.is(call, events));
+            e.mRequests.removeIf(r -> r.matches(call, events));
+            e.mWaiting.removeIf(r -> r.matches(call, events));
         }
     }
 
     private void transit(Runnable arrival) {
-        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
+        mTime.afterRandomDelay(1, MAX_TRANSIT_MILLIS, arrival);
     }
 
-    private void arrive(Engine e, Run r) {
-        double mean = mByAddress.values().stream().mapToInt(Engine::held).average().orElse(0);
-        mArrivals.add(new Arrival(mTime.millis(), e.held(), mean));
-        e.mHeld.add(r);
+    private void arrive(Engine e, EngineCall r) {
+        double mean =
+                mByAddress.values().stream().mapToInt(Engine::requestCount).average().orElse(0);
+        mArrivals.add(new Arrival(mTime.millis(), e.requestCount(), mean));
+        e.mRequests.add(r);
         e.mWaiting.add(r);
-        if (!e.mReading) {
-            readNext(e);
+        if (!e.mPrefilling) {
+            prefillNext(e);
         }
     }
 
-    private void readNext(Engine e) {
-        Run r = e.mWaiting.poll();
-        e.mReading = r != null;
+    private void prefillNext(Engine e) {
+        EngineCall r = e.mWaiting.poll();
+        e.mPrefilling = r != null;
         if (r != null) {
             long start = Math.max(mTime.millis(), e.mStalledUntil);
-            mTime.after(start - mTime.millis() + readMillis(e, r), () -> begin(e, r));
+            mTime.after(start - mTime.millis() + prefillMillis(e, r), () -> startGenerating(e, r));
         }
     }
 
-    private long readMillis(Engine e, Run r) {
+    private long prefillMillis(Engine e, EngineCall r) {
         Prompt prompt = r.mCall.request().prompt();
         int shared = prompt.sharedTokens();
         double tokens = prompt.inputTokens() - shared;
-        if (e.mParts.add(prompt.sharedPart().id())) {
-            mTokensRead += shared;
+        if (e.mCachedParts.add(prompt.sharedPart().id())) {
+            mPrefilledTokens += shared;
             tokens += isFetched(r, prompt) ? shared / FETCH_SPEEDUP : shared;
         }
-        return Math.max(1, Math.round(tokens / READ_TOKENS_A_MILLI));
+        return Math.max(1, Math.round(tokens / PREFILL_TOKENS_PER_MILLI));
     }
 
-    private boolean isFetched(Run r, Prompt prompt) {
+    private boolean isFetched(EngineCall r, Prompt prompt) {
         Engine holder = mByAddress.get(r.mCall.fetchFrom());
-        return holder != null && holder.mParts.contains(prompt.sharedPart().id());
+        return holder != null && holder.mCachedParts.contains(prompt.sharedPart().id());
     }
 
-    private void begin(Engine e, Run r) {
-        readNext(e);
-        if (!e.mHeld.contains(r)) {
+    private void startGenerating(Engine e, EngineCall r) {
+        prefillNext(e);
+        if (!e.mRequests.contains(r)) {
             return;
         }
         AnswerMetadata.ReportedLoad load =
                 new AnswerMetadata.ReportedLoad(
-                        e.held() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
-        AnswerMetadata facts = new AnswerMetadata(false, false, true, Optional.of(load));
-        r.tell(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), facts));
-        double token = TOKEN_MILLIS + TOKEN_MILLIS_BESIDE * e.held();
+                        e.requestCount() - e.mWaiting.size(), e.mWaiting.size(), SLOTS);
+        AnswerMetadata metadata = new AnswerMetadata(false, false, true, Optional.of(load));
+        r.send(new DirectEvent.HeadReceived(r.mCall.call(), 200, List.of(), metadata));
+        double millisPerToken = MILLIS_PER_TOKEN + MILLIS_PER_TOKEN_PER_REQUEST * e.requestCount();
         mTime.after(
-                Math.round(token * r.mCall.request().prompt().outputTokens()), () -> finish(e, r));
+                Math.round(millisPerToken * r.mCall.request().prompt().outputTokens()),
+                () -> finish(e, r));
     }
 
-    private void finish(Engine e, Run r) {
-        if (e.mHeld.remove(r)) {
-            r.tell(new DirectEvent.Finished(r.mCall.call()));
+    private void finish(Engine e, EngineCall r) {
+        if (e.mRequests.remove(r)) {
+            r.send(new DirectEvent.Finished(r.mCall.call()));
         }
     }
 
-    /** A call of a router, which its events go back to. */
-    private final class Run {
+    /** A call of a router, with the receiver of its events. */
+    private final class EngineCall {
         private final DirectEffect.BeginCall mCall;
         private final Consumer<DirectEvent> mEvents;
 
-        Run(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
+        EngineCall(DirectEffect.BeginCall call, Consumer<DirectEvent> events) {
             mCall = call;
             mEvents = events;
         }
 
-        boolean is(long call, Consumer<DirectEvent> events) {
+        boolean matches(long call, Consumer<DirectEvent> events) {
             return mCall.call() == call && mEvents == events;
         }
 
-        void tell(DirectEvent event) {
+        void send(DirectEvent event) {
             transit(() -> mEvents.accept(event));
         }
     }
@@ -208,10 +212,10 @@
     private static final class Engine {
         private final BackendRef mRef;
         private final String mAddress;
-        private final Set<Run> mHeld = new HashSet<>();
-        private final Deque<Run> mWaiting = new ArrayDeque<>();
-        private final Set<Long> mParts = new HashSet<>();
-        private boolean mReading;
+        private final Set<EngineCall> mRequests = new HashSet<>();
+        private final Deque<EngineCall> mWaiting = new ArrayDeque<>();
+        private final Set<Long> mCachedParts = new HashSet<>();
+        private boolean mPrefilling;
         private long mStalledUntil;
         private int mAnnouncements;
 
@@ -220,8 +224,8 @@
             mAddress = address;
         }
 
-        int held() {
-            return mHeld.size();
+        int requestCount() {
+            return mRequests.size();
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/load/LoadedFleet.java
@@ -15,17 +15,17 @@
 import org.laurelweir.settings.RouteShare;
 
 /**
- * Many routers before many engines in virtual time, so that each router meets an engine once in
- * some seconds, and callers whose prompts share parts.
+ * A fleet in virtual time with many routers, many engines, and callers whose prompts share parts. A
+ * router calls a single engine only every few seconds.
  */
 final class LoadedFleet {
     private static final int START_MILLIS = 2000;
-    private static final int CONTROLS = 5;
-    private static final int MOST_ARRIVING_TOGETHER = 5;
+    private static final int CONTROL_COUNT = 5;
+    private static final int MAX_BURST = 5;
     private static final Duration TIMEOUT = Duration.ofSeconds(12);
 
-    /** Popularity of a kind's parts falls with this power of their rank. */
-    private static final double SKEW = 0.3;
+    /** The popularity of the parts of a kind falls with this power of their rank. */
+    private static final double POPULARITY_EXPONENT = 0.3;
 
     private static final List<Kind> KINDS =
             List.of(
@@ -54,23 +54,29 @@
     final FleetEngines mEngines;
     final List<FleetRouter> mRouters = new ArrayList<>();
     private double mHotShare;
-    private int mAsked;
+    private int mRequests;
 
     /**
      * A kind of request.
      *
-     * @param number tells its parts from those of other kinds
-     * @param parts shared parts that its prompts are about
-     * @param shared tokens of such a part
-     * @param own tokens of a prompt beyond it
-     * @param output tokens that are generated
-     * @param weight its share of all requests
+     * @param number distinguishes its shared parts from those of other kinds
+     * @param parts number of shared parts
+     * @param sharedTokens tokens of a shared part
+     * @param ownTokens tokens of a prompt without its shared part
+     * @param outputTokens tokens to generate
+     * @param weight share of the kind in all requests
      */
-    private record Kind(int number, int parts, int shared, int own, int output, double weight) {}
+    private record Kind(
+            int number,
+            int parts,
+            int sharedTokens,
+            int ownTokens,
+            int outputTokens,
+            double weight) {}
 
     LoadedFleet(long seed, int routers, int engines) {
         mTime = new VirtualTime(seed);
-        mControls = new FleetControls(mTime, CONTROLS);
+        mControls = new FleetControls(mTime, CONTROL_COUNT);
         mEngines = new FleetEngines(mTime, mControls, engines);
         for (int i = 0; i < routers; i++) {
             mRouters.add(new FleetRouter(mTime, mControls, mEngines, i));
@@ -78,18 +84,18 @@
         mTime.advance(START_MILLIS);
     }
 
-    /** Callers ask from now on, several at the same moment. */
-    void load(double requestsASecond) {
-        int together = random().nextInt(MOST_ARRIVING_TOGETHER) + 1;
-        for (int i = 0; i < together; i++) {
-            ask(kind());
+    /** Starts to submit requests in bursts of random size, at the given mean rate. */
+    void startLoad(double requestsPerSecond) {
+        int burst = random().nextInt(MAX_BURST) + 1;
+        for (int i = 0; i < burst; i++) {
+            submit(randomKind());
         }
-        double pause = -Math.log(1 - random().nextDouble()) * 1000 * together / requestsASecond;
-        mTime.after(Math.round(pause), () -> load(requestsASecond));
+        double pause = -Math.log(1 - random().nextDouble()) * 1000 * burst / requestsPerSecond;
+        mTime.after(Math.round(pause), () -> startLoad(requestsPerSecond));
     }
 
-    /** From now on this share of the longest prompts is about one and the same part. */
-    void heat(double share) {
+    /** Gives this share of the following requests of the first kind the same shared part. */
+    void makeHot(double share) {
         mHotShare = share;
     }
 
@@ -97,39 +103,39 @@
         return mTime.random();
     }
 
-    private Kind kind() {
-        double at = random().nextDouble();
+    private Kind randomKind() {
+        double remaining = random().nextDouble();
         for (Kind k : KINDS) {
-            at -= k.weight();
-            if (at < 0) {
+            remaining -= k.weight();
+            if (remaining < 0) {
                 return k;
             }
         }
         return KINDS.get(0);
     }
 
-    private void ask(Kind k) {
-        int part = part(k);
+    private void submit(Kind k) {
+        int part = randomPart(k);
         Prompt prompt =
                 new Prompt(
                         List.of(
-                                new Prompt.Part(k.number() * 1000L + part, k.shared()),
-                                new Prompt.Part(1_000_000L + ++mAsked, k.own())),
-                        k.shared() + k.own(),
-                        k.output());
-        byte[] body = ("body " + mAsked).getBytes(StandardCharsets.UTF_8);
+                                new Prompt.Part(k.number() * 1000L + part, k.sharedTokens()),
+                                new Prompt.Part(1_000_000L + ++mRequests, k.ownTokens())),
+                        k.sharedTokens() + k.ownTokens(),
+                        k.outputTokens());
+        byte[] body = ("body " + mRequests).getBytes(StandardCharsets.UTF_8);
         AttemptRequest.Call call = new AttemptRequest.Call("POST", "/x/1", List.of(), body, true);
         RoutedRequest request =
-                new RoutedRequest("q" + mAsked, ROUTE, "acme", 5, TIMEOUT, call, prompt);
+                new RoutedRequest("q" + mRequests, ROUTE, "acme", 5, TIMEOUT, call, prompt);
         mRouters.get(random().nextInt(mRouters.size())).submit(request, code -> {});
     }
 
-    private int part(Kind k) {
+    private int randomPart(Kind k) {
         if (k.number() == 1 && random().nextDouble() < mHotShare) {
             return 0;
         }
-        // The inverse of the sum of a power law, close enough for many parts.
-        double at = Math.pow(random().nextDouble(), 1 / (1 - SKEW));
-        return (int) (at * k.parts());
+        // Approximates the inverse of the distribution function of a power law.
+        double rank = Math.pow(random().nextDouble(), 1 / (1 - POPULARITY_EXPONENT));
+        return (int) (rank * k.parts());
     }
 }
