--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
@@ -21,12 +21,12 @@
     private final String mSelf;
     private final FairQueue mQueue = new FairQueue();
     private final RunningLoad mLoad;
-    private final RunTimes mTimes;
-    private final NextInRank mNext;
-    private final DecisionReport mReport;
-    private final Endings mEndings;
+    private final RunTimes mRunTimes;
+    private final RedirectRanking mRedirectRanking;
+    private final DecisionLogger mDecisionLogger;
+    private final AttemptFinisher mFinisher;
     private final Execution mExecution;
-    private final FrameSender mFrames;
+    private final FrameSender mFrameSender;
     private SidecarSettings mSettings;
     private BoundPolicy mPolicy;
 
@@ -34,18 +34,18 @@
             String self,
             RunningLoad load,
             RunTimes times,
-            NextInRank next,
-            Endings endings,
+            RedirectRanking next,
+            AttemptFinisher endings,
             Execution execution,
             FrameSender frames) {
         mSelf = self;
         mLoad = load;
-        mTimes = times;
-        mNext = next;
-        mReport = new DecisionReport(load, next);
-        mEndings = endings;
+        mRunTimes = times;
+        mRedirectRanking = next;
+        mDecisionLogger = new DecisionLogger(load, next);
+        mFinisher = endings;
         mExecution = execution;
-        mFrames = frames;
+        mFrameSender = frames;
     }
 
     void setSettings(SidecarSettings settings) {
@@ -57,22 +57,22 @@
         return server.equals(mSelf);
     }
 
-    int waiting() {
+    int waitingCount() {
         return mQueue.size();
     }
 
     /** Forgets an attempt that was ended by others while it waited. */
-    void forget(Attempt attempt) {
+    void removeWaiting(Attempt attempt) {
         mQueue.remove(attempt);
     }
 
     /** Decides about an attempt that has just arrived, given what of its prompt is cached here. */
-    void place(Step step, Attempt attempt, int cachedTokens) {
+    void decide(Step step, Attempt attempt, int cachedTokens) {
         AttemptRequest request = attempt.request();
         WorkEstimate work = estimate(request, cachedTokens);
         attempt.setWork(Math.max(1, work.units(mSettings.bound().prefillWeight())));
-        boolean reachable = !isHopeless(step, attempt, Duration.ZERO);
-        String next = next(attempt);
+        boolean reachable = !isDeadlineUnreachable(step, attempt, Duration.ZERO);
+        String next = redirectTarget(attempt);
         BoundQuery query =
                 new BoundQuery(work, request.redirects(), !next.isEmpty(), false, reachable);
         BoundDecision decision = mPolicy.decide(query, mLoad.work(), mLoad.mean(step.now()));
@@ -81,12 +81,12 @@
             case WAIT -> enqueue(step, attempt);
             default -> {
                 String choice = decision == BoundDecision.REDIRECT ? next : "";
-                refuseUnplaced(step, attempt, reachable, choice);
+                refuseNotAdmitted(step, attempt, reachable, choice);
             }
         }
     }
 
-    private void refuseUnplaced(Step step, Attempt attempt, boolean reachable, String next) {
+    private void refuseNotAdmitted(Step step, Attempt attempt, boolean reachable, String next) {
         if (reachable) {
             refuse(step, attempt, ResultCode.OVERLOADED, AdmissionReason.OVER_BOUND, next);
             return;
@@ -115,39 +115,45 @@
     }
 
     private void enqueue(Step step, Attempt attempt) {
-        if (isHopeless(step, attempt, mTimes.untilEnded(mQueue.size() + 1, mLoad.running()))) {
+        if (isDeadlineUnreachable(
+                step, attempt, mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running()))) {
             refuse(
                     step,
                     attempt,
                     ResultCode.DEADLINE_UNREACHABLE,
                     AdmissionReason.DEADLINE,
-                    next(attempt));
+                    redirectTarget(attempt));
             return;
         }
         mQueue.add(step.now(), attempt);
-        Attempt excess = mQueue.overflow(mSettings.queue());
+        Attempt excess = mQueue.findExcess(mSettings.queue());
         while (excess != null) {
             mQueue.remove(excess);
-            refuse(step, excess, ResultCode.OVERLOADED, AdmissionReason.QUEUE_FULL, next(excess));
-            excess = mQueue.overflow(mSettings.queue());
+            refuse(
+                    step,
+                    excess,
+                    ResultCode.OVERLOADED,
+                    AdmissionReason.QUEUE_FULL,
+                    redirectTarget(excess));
+            excess = mQueue.findExcess(mSettings.queue());
         }
-        if (mQueue.all().contains(attempt)) {
-            report(step, attempt, mSelf, AdmissionReason.QUEUED);
-            mFrames.send(step, attempt, new Frame.Accepted(mQueue.size()));
+        if (mQueue.attempts().contains(attempt)) {
+            logDecision(step, attempt, mSelf, AdmissionReason.QUEUED);
+            mFrameSender.send(step, attempt, new Frame.Accepted(mQueue.size()));
         }
     }
 
     /** Starts those that wait, in their order, while they fit under the bound. */
     void admitWaiting(Step step) {
-        Attempt next = mQueue.next();
-        while (next != null && fits(step, next)) {
+        Attempt next = mQueue.peek();
+        while (next != null && fitsUnderBound(step, next)) {
             mQueue.take();
             start(step, next, AdmissionReason.WAITED);
-            next = mQueue.next();
+            next = mQueue.peek();
         }
     }
 
-    private boolean fits(Step step, Attempt attempt) {
+    private boolean fitsUnderBound(Step step, Attempt attempt) {
         return LoadBound.admits(
                 mLoad.work(),
                 attempt.work(),
@@ -157,13 +163,13 @@
     }
 
     /** Refuses what has waited too long or can't be answered in time any more. */
-    void expire(Step step) {
-        for (Attempt a : mQueue.waitingSince(step.now().minus(mSettings.queue().age()))) {
+    void refuseExpired(Step step) {
+        for (Attempt a : mQueue.enqueuedUntil(step.now().minus(mSettings.queue().age()))) {
             mQueue.remove(a);
-            refuse(step, a, ResultCode.OVERLOADED, AdmissionReason.QUEUE_AGE, next(a));
+            refuse(step, a, ResultCode.OVERLOADED, AdmissionReason.QUEUE_AGE, redirectTarget(a));
         }
-        for (Attempt a : mQueue.all()) {
-            if (isHopeless(step, a, Duration.ZERO)) {
+        for (Attempt a : mQueue.attempts()) {
+            if (isDeadlineUnreachable(step, a, Duration.ZERO)) {
                 mQueue.remove(a);
                 refuse(step, a, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, "");
             }
@@ -171,49 +177,49 @@
     }
 
     /** Refuses an attempt because nothing new is taken, and names who may take it. */
-    void turnAway(Step step, Attempt attempt, ResultCode code, AdmissionReason reason) {
+    void refuseNewWork(Step step, Attempt attempt, ResultCode code, AdmissionReason reason) {
         mQueue.remove(attempt);
-        refuse(step, attempt, code, reason, next(attempt));
+        refuse(step, attempt, code, reason, redirectTarget(attempt));
     }
 
     /** Refuses all that waits because nothing new is taken. */
-    void turnAllAway(Step step, ResultCode code, AdmissionReason reason) {
-        mQueue.all().forEach(a -> turnAway(step, a, code, reason));
+    void refuseAllWaiting(Step step, ResultCode code, AdmissionReason reason) {
+        mQueue.attempts().forEach(a -> refuseNewWork(step, a, code, reason));
     }
 
     /** Sends an attempt to the backend server that holds its chat's history. */
-    void sendElsewhere(Step step, Attempt attempt, String server) {
+    void redirectToChat(Step step, Attempt attempt, String server) {
         refuse(step, attempt, ResultCode.CHAT_ELSEWHERE, AdmissionReason.CHAT_ELSEWHERE, server);
     }
 
     private void start(Step step, Attempt attempt, AdmissionReason reason) {
-        report(step, attempt, mSelf, reason);
+        logDecision(step, attempt, mSelf, reason);
         mExecution.start(step, attempt);
     }
 
     private void refuse(
             Step step, Attempt attempt, ResultCode code, AdmissionReason reason, String next) {
-        report(step, attempt, next.isEmpty() ? code.name() : next, reason);
+        logDecision(step, attempt, next.isEmpty() ? code.name() : next, reason);
         Duration retryAfter = next.isEmpty() ? retryAfter(attempt) : Duration.ZERO;
-        mEndings.refuse(step, attempt, new Frame.Refused(code, reason.text(), next, retryAfter));
+        mFinisher.refuse(step, attempt, new Frame.Refused(code, reason.text(), next, retryAfter));
     }
 
-    private void report(Step step, Attempt attempt, String choice, AdmissionReason reason) {
+    private void logDecision(Step step, Attempt attempt, String choice, AdmissionReason reason) {
         double bound =
                 LoadBound.bound(
                         mLoad.mean(step.now()),
                         mSettings.bound().effectiveFactor(),
                         mSettings.bound().capacityFloor());
-        mReport.decided(step, attempt.request(), choice, reason, bound);
+        mDecisionLogger.log(step, attempt.request(), choice, reason, bound);
     }
 
-    private String next(Attempt attempt) {
-        return mNext.next(attempt.request(), mSettings.bound().maxRedirects());
+    private String redirectTarget(Attempt attempt) {
+        return mRedirectRanking.redirectTarget(attempt.request(), mSettings.bound().maxRedirects());
     }
 
-    private boolean isHopeless(Step step, Attempt attempt, Duration wait) {
+    private boolean isDeadlineUnreachable(Step step, Attempt attempt, Duration wait) {
         Duration left = Duration.between(step.now(), attempt.deadline());
-        return mTimes.isHopeless(attempt.work(), wait, left);
+        return mRunTimes.isDeadlineUnreachable(attempt.work(), wait, left);
     }
 
     /**
@@ -221,7 +227,7 @@
      * to the same time again, so that callers refused together don't return together.
      */
     private Duration retryAfter(Attempt attempt) {
-        Duration busy = mTimes.untilEnded(mQueue.size() + 1, mLoad.running());
+        Duration busy = mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running());
         Duration base = busy.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : busy;
         long spread = Math.floorMod(attempt.id().hashCode(), base.toMillis());
         Duration whole = base.plusMillis(spread);
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Announcer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Announcer.java
@@ -17,13 +17,13 @@
     private final SidecarIdentity mSelf;
     private Backend.State mState = Backend.State.SERVING;
     private int mSession = 1;
-    private Instant mNext = Instant.MIN;
+    private Instant mNextTime = Instant.MIN;
 
     Announcer(SidecarIdentity self) {
         mSelf = self;
     }
 
-    /** Notes the present state; a change is announced with the next {@link #announce}. */
+    /** Notes the present state; a change is announced with the next {@link #announceIfDue}. */
     void setState(Backend.State state) {
         if (state == mState) {
             return;
@@ -32,15 +32,15 @@
             mSession++;
         }
         mState = state;
-        mNext = Instant.MIN;
+        mNextTime = Instant.MIN;
     }
 
     /** Announces if it is time to. */
-    void announce(Step step, RunningLoad load, int waiting, MembershipCursor cursor) {
-        if (step.now().isBefore(mNext)) {
+    void announceIfDue(Step step, RunningLoad load, int waiting, MembershipCursor cursor) {
+        if (step.now().isBefore(mNextTime)) {
             return;
         }
-        mNext = step.now().plus(INTERVAL);
+        mNextTime = step.now().plus(INTERVAL);
         Backend self = mSelf.announcement(mState, mSession);
         SidecarReport report = new SidecarReport(self, load.work(), load.running(), waiting);
         step.emit(new SidecarEffect.SendExchange(report, cursor));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
@@ -27,20 +27,20 @@
     private double mWork;
     private long mStream = NO_STREAM;
     private boolean mResumed;
-    private Instant mLastFrame;
-    private Instant mFollowedUntil;
-    private Instant mStarted;
-    private Instant mEnded;
+    private Instant mLastFrameTime;
+    private Instant mUnfollowedSince;
+    private Instant mStartTime;
+    private Instant mEndTime;
     private Frame.Head mHead;
-    private Frame mEnding;
-    private boolean mEndingSent;
+    private Frame mFinalFrame;
+    private boolean mFinalFrameSent;
 
     Attempt(AttemptRequest request, Instant now, OutputTotal total) {
         mRequest = request;
         mDeadline = now.plus(request.timeLeft());
         mOutput = new OutputBuffer(!request.outputKeepTime().isZero(), total);
-        mFollowedUntil = now;
-        mLastFrame = now;
+        mUnfollowedSince = now;
+        mLastFrameTime = now;
     }
 
     AttemptId id() {
@@ -101,31 +101,31 @@
     void unfollow(Instant now) {
         mStream = NO_STREAM;
         mResumed = false;
-        mFollowedUntil = now;
+        mUnfollowedSince = now;
     }
 
     /** Returns since when nobody follows; only where nobody does. */
-    Instant followedUntil() {
-        return mFollowedUntil;
+    Instant unfollowedSince() {
+        return mUnfollowedSince;
     }
 
-    Instant lastFrame() {
-        return mLastFrame;
+    Instant lastFrameTime() {
+        return mLastFrameTime;
     }
 
-    void setLastFrame(Instant at) {
-        mLastFrame = at;
+    void setLastFrameTime(Instant at) {
+        mLastFrameTime = at;
     }
 
     /** Notes that the request was sent, with its body, which is not kept. */
     void start(Instant now) {
         mRequest = mRequest.withoutBody();
         mPhase = Phase.RUNNING;
-        mStarted = now;
+        mStartTime = now;
     }
 
-    Instant started() {
-        return mStarted;
+    Instant startTime() {
+        return mStartTime;
     }
 
     Frame.Head head() {
@@ -138,24 +138,24 @@
 
     void end(Instant now, Frame ending) {
         mPhase = Phase.ENDED;
-        mEnded = now;
-        mEnding = ending;
+        mEndTime = now;
+        mFinalFrame = ending;
     }
 
-    Instant ended() {
-        return mEnded;
+    Instant endTime() {
+        return mEndTime;
     }
 
-    Frame ending() {
-        return mEnding;
+    Frame finalFrame() {
+        return mFinalFrame;
     }
 
     /** Returns whether the ending went out on some stream. */
-    boolean isEndingSent() {
-        return mEndingSent;
+    boolean isFinalFrameSent() {
+        return mFinalFrameSent;
     }
 
-    void setEndingSent() {
-        mEndingSent = true;
+    void setFinalFrameSent() {
+        mFinalFrameSent = true;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Arrivals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptDeduplicator.java
@@ -12,26 +12,26 @@
  * Takes what routers say about attempts and tells whether each is new, held, or past, so that none
  * ever runs twice and none runs after it was denied.
  */
-final class Arrivals {
+final class AttemptDeduplicator {
     private final BackendRef mSelf;
     private final AttemptTable mTable;
     private final AttemptMemory mMemory;
-    private final Followers mFollowers;
-    private final FrameSender mFrames;
+    private final FollowingStreams mStreams;
+    private final FrameSender mFrameSender;
     private final OutputTotal mOutputTotal;
 
-    Arrivals(
+    AttemptDeduplicator(
             BackendRef self,
             AttemptTable table,
             AttemptMemory memory,
-            Followers followers,
+            FollowingStreams followers,
             FrameSender frames,
             OutputTotal outputTotal) {
         mSelf = self;
         mTable = table;
         mMemory = memory;
-        mFollowers = followers;
-        mFrames = frames;
+        mStreams = followers;
+        mFrameSender = frames;
         mOutputTotal = outputTotal;
     }
 
@@ -47,12 +47,12 @@
         }
         Attempt held = mTable.find(request.id());
         if (held != null) {
-            mFollowers.followAgain(step, held, stream);
+            mStreams.followOnRepeatedRequest(step, held, stream);
             return null;
         }
-        AttemptMemory.Past past = mMemory.find(request.id());
-        if (past != AttemptMemory.Past.UNKNOWN) {
-            answerPast(step, stream, request.id(), past);
+        AttemptMemory.Outcome past = mMemory.find(request.id());
+        if (past != AttemptMemory.Outcome.UNKNOWN) {
+            replyFromMemory(step, stream, request.id(), past);
             return null;
         }
         Attempt attempt = new Attempt(request, step.now(), mOutputTotal);
@@ -65,22 +65,22 @@
     void resume(Step step, SidecarEvent.AttemptResumed event) {
         AttemptId id = event.attempt();
         if (!event.target().equals(mSelf)) {
-            answerPast(step, event.stream(), id, AttemptMemory.Past.FORGOTTEN);
+            replyFromMemory(step, event.stream(), id, AttemptMemory.Outcome.FORGOTTEN);
             return;
         }
         Attempt held = mTable.find(id);
         if (held != null) {
-            mFollowers.resume(step, held, event.stream(), event.offset());
+            mStreams.resume(step, held, event.stream(), event.offset());
             return;
         }
-        AttemptMemory.Past past = mMemory.find(id);
-        if (past == AttemptMemory.Past.UNKNOWN) {
+        AttemptMemory.Outcome past = mMemory.find(id);
+        if (past == AttemptMemory.Outcome.UNKNOWN) {
             // The message that begins it may still be under way on the connection that was given
             // up. Saying "not run" has to make it true.
-            mMemory.put(step.now(), id, AttemptMemory.Past.NEVER_STARTED);
-            past = AttemptMemory.Past.NEVER_STARTED;
+            mMemory.put(step.now(), id, AttemptMemory.Outcome.NEVER_STARTED);
+            past = AttemptMemory.Outcome.NEVER_STARTED;
         }
-        answerPast(step, event.stream(), id, past);
+        replyFromMemory(step, event.stream(), id, past);
     }
 
     /**
@@ -91,11 +91,13 @@
     Attempt revoke(Step step, SidecarEvent.AttemptRevoked event) {
         AttemptId id = event.attempt();
         Attempt held = event.target().equals(mSelf) ? mTable.find(id) : null;
-        step.emit(new SidecarEffect.AnswerRevoke(event.call(), revoked(step, event, held), mSelf));
+        step.emit(
+                new SidecarEffect.AnswerRevoke(
+                        event.call(), revokedState(step, event, held), mSelf));
         return held != null && held.phase() == Attempt.Phase.WAITING ? held : null;
     }
 
-    private AttemptState revoked(Step step, SidecarEvent.AttemptRevoked event, Attempt held) {
+    private AttemptState revokedState(Step step, SidecarEvent.AttemptRevoked event, Attempt held) {
         if (!event.target().equals(mSelf)) {
             return AttemptState.OTHER_INCARNATION;
         }
@@ -106,9 +108,9 @@
                 case ENDED -> AttemptState.FINISHED;
             };
         }
-        AttemptMemory.Past past = mMemory.find(event.attempt());
-        if (past == AttemptMemory.Past.UNKNOWN) {
-            mMemory.put(step.now(), event.attempt(), AttemptMemory.Past.NEVER_STARTED);
+        AttemptMemory.Outcome past = mMemory.find(event.attempt());
+        if (past == AttemptMemory.Outcome.UNKNOWN) {
+            mMemory.put(step.now(), event.attempt(), AttemptMemory.Outcome.NEVER_STARTED);
         }
         return switch (past) {
             case UNKNOWN, NEVER_STARTED -> AttemptState.NEVER_STARTED;
@@ -117,14 +119,14 @@
         };
     }
 
-    private void answerPast(Step step, long stream, AttemptId id, AttemptMemory.Past past) {
+    private void replyFromMemory(Step step, long stream, AttemptId id, AttemptMemory.Outcome past) {
         switch (past) {
             case NEVER_STARTED -> refuse(step, stream, id, ResultCode.REVOKED);
-            case RAN -> mFollowers.refuseOffset(step, id, stream);
+            case RAN -> mStreams.sendOutputNotKept(step, id, stream);
             default -> {
                 String message = "this sidecar can't tell whether the attempt ran";
                 Frame unknown = new Frame.Failed(ResultCode.OUTCOME_UNKNOWN, message);
-                mFrames.sendLast(step, stream, id, unknown);
+                mFrameSender.sendLast(step, stream, id, unknown);
             }
         }
     }
@@ -132,6 +134,6 @@
     private void refuse(Step step, long stream, AttemptId id, ResultCode code) {
         String message = "refused by " + mSelf.id() + " in incarnation " + mSelf.incarnation();
         Frame refused = new Frame.Refused(code, message, "", Duration.ZERO);
-        mFrames.sendLast(step, stream, id, refused);
+        mFrameSender.sendLast(step, stream, id, refused);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Endings.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptFinisher.java
@@ -4,26 +4,26 @@
 import org.laurelweir.attempt.Frame;
 
 /** Ends attempts, each exactly once, and tells whoever follows them. */
-final class Endings {
+final class AttemptFinisher {
     private final AttemptTable mTable;
     private final AttemptMemory mMemory;
     private final RunningLoad mLoad;
-    private final FrameSender mFrames;
-    private final RunTimes mTimes;
-    private final ChatHomes mHomes;
+    private final FrameSender mFrameSender;
+    private final RunTimes mRunTimes;
+    private final ChatLocations mHomes;
 
-    Endings(
+    AttemptFinisher(
             AttemptTable table,
             AttemptMemory memory,
             RunningLoad load,
             FrameSender frames,
             RunTimes times,
-            ChatHomes homes) {
+            ChatLocations homes) {
         mTable = table;
         mMemory = memory;
         mLoad = load;
-        mFrames = frames;
-        mTimes = times;
+        mFrameSender = frames;
+        mRunTimes = times;
         mHomes = homes;
     }
 
@@ -32,9 +32,9 @@
      * message that begins it arrives again.
      */
     void refuse(Step step, Attempt attempt, Frame.Refused refusal) {
-        release(attempt);
-        mMemory.put(step.now(), attempt.id(), AttemptMemory.Past.NEVER_STARTED);
-        mFrames.send(step, attempt, refusal);
+        removeLoad(attempt);
+        mMemory.put(step.now(), attempt.id(), AttemptMemory.Outcome.NEVER_STARTED);
+        mFrameSender.send(step, attempt, refusal);
         if (attempt.isFollowed()) {
             step.emit(new SidecarEffect.CloseStream(attempt.stream()));
         }
@@ -42,30 +42,30 @@
     }
 
     /** Ends an attempt that was started; its output stays for a while. */
-    void end(Step step, Attempt attempt, Frame ending) {
-        release(attempt);
+    void finish(Step step, Attempt attempt, Frame ending) {
+        removeLoad(attempt);
         if (ending instanceof Frame.End e && isSuccess(attempt)) {
-            mHomes.answered(attempt.request(), e.usage());
-            mTimes.add(attempt.work(), Duration.between(attempt.started(), step.now()));
+            mHomes.onAnswered(attempt.request(), e.usage());
+            mRunTimes.add(attempt.work(), Duration.between(attempt.startTime(), step.now()));
         }
         attempt.end(step.now(), ending);
-        mTable.changed(attempt);
+        mTable.markChanged(attempt);
         if (attempt.isFollowed()) {
-            sendEnding(step, attempt);
+            sendFinalFrame(step, attempt);
         }
     }
 
     /** Sends the ending to the stream that follows an ended attempt, and closes the stream. */
-    void sendEnding(Step step, Attempt attempt) {
-        mFrames.send(step, attempt, attempt.ending());
-        attempt.setEndingSent();
+    void sendFinalFrame(Step step, Attempt attempt) {
+        mFrameSender.send(step, attempt, attempt.finalFrame());
+        attempt.setFinalFrameSent();
         step.emit(new SidecarEffect.CloseStream(attempt.stream()));
         mTable.unfollow(step, attempt);
     }
 
     /** Drops an ended attempt whose output is no longer kept. */
     void drop(Step step, Attempt attempt) {
-        mMemory.put(step.now(), attempt.id(), AttemptMemory.Past.RAN);
+        mMemory.put(step.now(), attempt.id(), AttemptMemory.Outcome.RAN);
         mTable.remove(attempt);
     }
 
@@ -73,7 +73,7 @@
         return attempt.head().status() / 100 == 2;
     }
 
-    private void release(Attempt attempt) {
+    private void removeLoad(Attempt attempt) {
         if (attempt.phase() == Attempt.Phase.RUNNING) {
             mLoad.remove(attempt.work());
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptMemory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptMemory.java
@@ -26,7 +26,7 @@
  */
 final class AttemptMemory {
     /** What is remembered of an attempt. */
-    enum Past {
+    enum Outcome {
         /** It never started and never will. */
         NEVER_STARTED,
         /** It ran, or may have. */
@@ -39,14 +39,14 @@
 
     private record RouterRun(String router, long incarnation) {}
 
-    private record Entry(AttemptId id, Instant until) {}
+    private record Entry(AttemptId id, Instant expiry) {}
 
-    private final Duration mKeep;
+    private final Duration mRetention;
     private final int mMaxAttempts;
     private final int mMaxRouterRuns;
-    private final Map<AttemptId, Past> mPasts = new HashMap<>();
-    private final Deque<Entry> mByAge = new ArrayDeque<>();
-    private final LinkedHashMap<RouterRun, Long> mFloors = new LinkedHashMap<>();
+    private final Map<AttemptId, Outcome> mOutcomes = new HashMap<>();
+    private final Deque<Entry> mEntriesByAge = new ArrayDeque<>();
+    private final LinkedHashMap<RouterRun, Long> mHighestForgotten = new LinkedHashMap<>();
 
     /**
      * Creates an empty memory.
@@ -56,49 +56,49 @@
      * @param maxRouterRuns most floors
      */
     AttemptMemory(Duration keep, int maxAttempts, int maxRouterRuns) {
-        mKeep = keep;
+        mRetention = keep;
         mMaxAttempts = maxAttempts;
         mMaxRouterRuns = maxRouterRuns;
     }
 
     /** Remembers what became of an attempt; what was remembered first stays. */
-    void put(Instant now, AttemptId id, Past past) {
-        if (mPasts.putIfAbsent(id, past) != null) {
+    void put(Instant now, AttemptId id, Outcome past) {
+        if (mOutcomes.putIfAbsent(id, past) != null) {
             return;
         }
-        mByAge.add(new Entry(id, now.plus(mKeep)));
-        if (mByAge.size() > mMaxAttempts) {
-            forget(mByAge.remove().id());
+        mEntriesByAge.add(new Entry(id, now.plus(mRetention)));
+        if (mEntriesByAge.size() > mMaxAttempts) {
+            forget(mEntriesByAge.remove().id());
         }
     }
 
     /** Returns what is known of an attempt. */
-    Past find(AttemptId id) {
-        Past past = mPasts.get(id);
+    Outcome find(AttemptId id) {
+        Outcome past = mOutcomes.get(id);
         if (past != null) {
             return past;
         }
-        Long floor = mFloors.get(new RouterRun(id.router(), id.routerIncarnation()));
-        return floor != null && id.request() <= floor ? Past.FORGOTTEN : Past.UNKNOWN;
+        Long floor = mHighestForgotten.get(new RouterRun(id.router(), id.routerIncarnation()));
+        return floor != null && id.request() <= floor ? Outcome.FORGOTTEN : Outcome.UNKNOWN;
     }
 
     /** Forgets what is old enough. */
     void expire(Instant now) {
-        while (!mByAge.isEmpty() && !mByAge.peek().until().isAfter(now)) {
-            forget(mByAge.remove().id());
+        while (!mEntriesByAge.isEmpty() && !mEntriesByAge.peek().expiry().isAfter(now)) {
+            forget(mEntriesByAge.remove().id());
         }
     }
 
     int size() {
-        return mPasts.size();
+        return mOutcomes.size();
     }
 
     private void forget(AttemptId id) {
-        mPasts.remove(id);
+        mOutcomes.remove(id);
         RouterRun run = new RouterRun(id.router(), id.routerIncarnation());
-        mFloors.merge(run, id.request(), Math::max);
-        if (mFloors.size() > mMaxRouterRuns) {
-            mFloors.remove(mFloors.keySet().iterator().next());
+        mHighestForgotten.merge(run, id.request(), Math::max);
+        if (mHighestForgotten.size() > mMaxRouterRuns) {
+            mHighestForgotten.remove(mHighestForgotten.keySet().iterator().next());
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptTable.java
@@ -21,7 +21,7 @@
     }
 
     /** Notes that an attempt's phase changed. */
-    void changed(Attempt attempt) {
+    void markChanged(Attempt attempt) {
         mChanged.add(attempt);
     }
 
@@ -35,7 +35,7 @@
     }
 
     /** Returns whether an attempt is still held. */
-    boolean holds(Attempt attempt) {
+    boolean contains(Attempt attempt) {
         return mById.get(attempt.id()) == attempt;
     }
 
@@ -81,7 +81,7 @@
     }
 
     /** Returns all attempts in the order of their arrival, safe against changes meanwhile. */
-    List<Attempt> all() {
+    List<Attempt> attempts() {
         return new ArrayList<>(mById.values());
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/CachedChats.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/CachedChats.java
@@ -16,7 +16,7 @@
     private final int mMaxChats;
     private final Map<Long, Integer> mTokens = new LinkedHashMap<>(16, 0.75f, true);
     private long mMaxTokens = Long.MAX_VALUE;
-    private long mTotal;
+    private long mTotalTokens;
 
     /**
      * Creates an empty table.
@@ -35,14 +35,14 @@
 
     void put(long chat, int tokens) {
         Integer previous = mTokens.put(chat, tokens);
-        mTotal += tokens - (previous == null ? 0 : previous);
+        mTotalTokens += tokens - (previous == null ? 0 : previous);
         evict();
     }
 
     private void evict() {
         Iterator<Integer> eldest = mTokens.values().iterator();
-        while (mTokens.size() > 1 && (mTokens.size() > mMaxChats || mTotal > mMaxTokens)) {
-            mTotal -= eldest.next();
+        while (mTokens.size() > 1 && (mTokens.size() > mMaxChats || mTotalTokens > mMaxTokens)) {
+            mTotalTokens -= eldest.next();
             eldest.remove();
         }
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionLogger.java
@@ -4,15 +4,15 @@
 import org.laurelweir.lib.Decision;
 
 /** Reports each admission decision with its inputs. */
-final class DecisionReport {
+final class DecisionLogger {
     private static final String PROGRAM = "sidecar";
 
     private final RunningLoad mLoad;
-    private final NextInRank mNext;
+    private final RedirectRanking mRedirectRanking;
 
-    DecisionReport(RunningLoad load, NextInRank next) {
+    DecisionLogger(RunningLoad load, RedirectRanking next) {
         mLoad = load;
-        mNext = next;
+        mRedirectRanking = next;
     }
 
     /**
@@ -22,7 +22,7 @@
      * @param reason why
      * @param bound the load above which the request would not be taken
      */
-    void decided(
+    void log(
             Step step,
             AttemptRequest request,
             String choice,
@@ -35,7 +35,7 @@
                                 .chat(request.chat())
                                 .account(request.account())
                                 .service(request.service())
-                                .candidates(mNext.candidates(request))
+                                .candidates(mRedirectRanking.topCandidates(request))
                                 .choice(choice, reason.text())
                                 .load(mLoad.work(), bound)
                                 .build()));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
@@ -12,69 +12,69 @@
 final class Drain {
     private final AttemptTable mTable;
     private final Admission mAdmission;
-    private final ChatQuestions mQuestions;
-    private final ChatHomes mHomes;
+    private final PendingChatLookups mLookups;
+    private final ChatLocations mChatLocations;
     private final Execution mExecution;
     private boolean mOrdered;
-    private Instant mStopRequested;
+    private Instant mStopRequestTime;
     private boolean mStopped;
 
     Drain(
             AttemptTable table,
             Admission admission,
-            ChatQuestions questions,
-            ChatHomes homes,
+            PendingChatLookups questions,
+            ChatLocations homes,
             Execution execution) {
         mTable = table;
         mAdmission = admission;
-        mQuestions = questions;
-        mHomes = homes;
+        mLookups = questions;
+        mChatLocations = homes;
         mExecution = execution;
     }
 
     /** Takes the operator's wish, as control repeats it with every exchange. */
-    void order(Step step, boolean drain) {
+    void setOrdered(Step step, boolean drain) {
         boolean before = isDraining();
         mOrdered = drain;
-        changed(step, before);
+        onDrainingChanged(step, before);
     }
 
     /** Takes the wish that the process stops. */
-    void stop(Step step) {
+    void requestStop(Step step) {
         boolean before = isDraining();
-        if (mStopRequested == null) {
-            mStopRequested = step.now();
+        if (mStopRequestTime == null) {
+            mStopRequestTime = step.now();
         }
-        changed(step, before);
+        onDrainingChanged(step, before);
     }
 
-    private void changed(Step step, boolean before) {
+    private void onDrainingChanged(Step step, boolean before) {
         if (isDraining() && !before) {
-            mHomes.handOver(step);
-            mQuestions.all().forEach(a -> turnAway(step, a));
-            mAdmission.turnAllAway(step, code(), AdmissionReason.DRAINING);
+            mChatLocations.handOverDirectory(step);
+            mLookups.waitingAttempts().forEach(a -> refuse(step, a));
+            mAdmission.refuseAllWaiting(step, refusalCode(), AdmissionReason.DRAINING);
         }
         if (!isDraining() && before) {
-            mHomes.joined(step.now());
+            mChatLocations.onJoined(step.now());
         }
     }
 
     /** Refuses an attempt that has not started. */
-    void turnAway(Step step, Attempt attempt) {
-        mQuestions.forget(attempt);
-        mAdmission.turnAway(step, attempt, code(), AdmissionReason.DRAINING);
+    void refuse(Step step, Attempt attempt) {
+        mLookups.remove(attempt);
+        mAdmission.refuseNewWork(step, attempt, refusalCode(), AdmissionReason.DRAINING);
     }
 
     boolean isDraining() {
-        return mOrdered || mStopRequested != null;
+        return mOrdered || mStopRequestTime != null;
     }
 
     boolean isStopped() {
         return mStopped;
     }
 
-    private ResultCode code() {
-        return mStopRequested != null ? ResultCode.SHUTTING_DOWN : ResultCode.DRAINING;
+    private ResultCode refusalCode() {
+        return mStopRequestTime != null ? ResultCode.SHUTTING_DOWN : ResultCode.DRAINING;
     }
 
     /**
@@ -82,23 +82,23 @@
      *
      * @return whether the stop has ended just now
      */
-    boolean endStop(Step step, Duration timeout) {
-        if (mStopped || mStopRequested == null) {
+    boolean finishStop(Step step, Duration timeout) {
+        if (mStopped || mStopRequestTime == null) {
             return false;
         }
-        if (!mStopRequested.plus(timeout).isAfter(step.now())) {
-            giveUpRunning(step);
+        if (!mStopRequestTime.plus(timeout).isAfter(step.now())) {
+            abortRunning(step);
         }
-        mStopped = mTable.all().stream().allMatch(Attempt::isEndingSent);
+        mStopped = mTable.attempts().stream().allMatch(Attempt::isFinalFrameSent);
         return mStopped;
     }
 
-    private void giveUpRunning(Step step) {
-        for (Attempt a : mTable.all()) {
+    private void abortRunning(Step step) {
+        for (Attempt a : mTable.attempts()) {
             if (a.phase() == Attempt.Phase.RUNNING) {
-                mExecution.cancel(step, a, ResultCode.OUTCOME_UNKNOWN, "the sidecar had to stop");
+                mExecution.abort(step, a, ResultCode.OUTCOME_UNKNOWN, "the sidecar had to stop");
             }
-            a.setEndingSent();
+            a.setFinalFrameSent();
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
@@ -10,37 +10,37 @@
  */
 final class Execution {
     private final AttemptTable mTable;
-    private final Endings mEndings;
-    private final Followers mFollowers;
-    private final FrameSender mFrames;
+    private final AttemptFinisher mFinisher;
+    private final FollowingStreams mStreams;
+    private final FrameSender mFrameSender;
     private final RunningLoad mLoad;
-    private final OutputControl mOutput;
+    private final OutputLimiter mOutputLimiter;
 
     Execution(
             AttemptTable table,
-            Endings endings,
-            Followers followers,
+            AttemptFinisher endings,
+            FollowingStreams followers,
             FrameSender frames,
             RunningLoad load,
-            OutputControl output) {
+            OutputLimiter output) {
         mTable = table;
-        mEndings = endings;
-        mFollowers = followers;
-        mFrames = frames;
+        mFinisher = endings;
+        mStreams = followers;
+        mFrameSender = frames;
         mLoad = load;
-        mOutput = output;
+        mOutputLimiter = output;
     }
 
     /** Sends a waiting attempt to the backend server. */
     void start(Step step, Attempt attempt) {
         step.emit(new SidecarEffect.StartEngineCall(attempt.request()));
         attempt.start(step.now());
-        mTable.changed(attempt);
+        mTable.markChanged(attempt);
         mLoad.add(attempt.work());
-        mFrames.send(step, attempt, new Frame.Accepted(0));
+        mFrameSender.send(step, attempt, new Frame.Accepted(0));
     }
 
-    void answered(Step step, SidecarEvent.EngineHeadReceived event, SidecarSettings settings) {
+    void onHead(Step step, SidecarEvent.EngineHeadReceived event, SidecarSettings settings) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null) {
             return;
@@ -48,10 +48,10 @@
         if (isRefusal(a, event.status(), settings)) {
             step.emit(new SidecarEffect.CancelEngineCall(a.id()));
             String message = "the backend server answered " + event.status();
-            mEndings.refuse(step, a, refusal(message));
+            mFinisher.refuse(step, a, refusal(message));
             return;
         }
-        mFollowers.sendHead(step, a, event.status(), event.headers());
+        mStreams.sendHead(step, a, event.status(), event.headers());
     }
 
     /**
@@ -63,17 +63,17 @@
         return attempt.request().idempotent() && settings.refusalStatuses().contains(status);
     }
 
-    void sent(Step step, SidecarEvent.EngineDataReceived event, SidecarSettings settings) {
+    void onData(Step step, SidecarEvent.EngineDataReceived event, SidecarSettings settings) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null || a.head() == null || event.bytes().length == 0) {
             return;
         }
         Frame.Data piece = a.output().append(event.bytes());
-        mFrames.send(step, a, piece);
-        mOutput.grown(step, a, settings.output());
+        mFrameSender.send(step, a, piece);
+        mOutputLimiter.onOutputAdded(step, a, settings.output());
     }
 
-    void finished(Step step, SidecarEvent.EngineFinished event) {
+    void onFinished(Step step, SidecarEvent.EngineFinished event) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null) {
             return;
@@ -82,16 +82,16 @@
             fail(step, a, ResultCode.BACKEND_FAILED, "the backend server did not answer");
             return;
         }
-        mEndings.end(step, a, new Frame.End(a.output().end(), event.usage()));
+        mFinisher.finish(step, a, new Frame.End(a.output().end(), event.usage()));
     }
 
-    void failed(Step step, SidecarEvent.EngineFailed event) {
+    void onFailed(Step step, SidecarEvent.EngineFailed event) {
         Attempt a = mTable.findRunning(event.attempt());
         if (a == null) {
             return;
         }
         if (!event.possiblySent() && a.head() == null) {
-            mEndings.refuse(step, a, refusal(event.message()));
+            mFinisher.refuse(step, a, refusal(event.message()));
             return;
         }
         ResultCode code = a.head() == null ? ResultCode.BACKEND_FAILED : ResultCode.ANSWER_CUT;
@@ -99,13 +99,13 @@
     }
 
     /** Gives up an attempt that runs. */
-    void cancel(Step step, Attempt attempt, ResultCode code, String message) {
+    void abort(Step step, Attempt attempt, ResultCode code, String message) {
         step.emit(new SidecarEffect.CancelEngineCall(attempt.id()));
         fail(step, attempt, code, message);
     }
 
     private void fail(Step step, Attempt attempt, ResultCode code, String message) {
-        mEndings.end(step, attempt, new Frame.Failed(code, message));
+        mFinisher.finish(step, attempt, new Frame.Failed(code, message));
     }
 
     private static Frame.Refused refusal(String message) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/FairQueue.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FairQueue.java
@@ -21,10 +21,10 @@
  * excess, and a small account finds room in a full queue.
  */
 final class FairQueue {
-    private static final int OLDEST_EVERY = 8;
-    private static final int MAX_IDLE_TAGS = 1024;
+    private static final int OLDEST_PRIORITY_INTERVAL = 8;
+    private static final int MAX_ACCOUNT_TAGS = 1024;
 
-    private record Entry(Attempt attempt, Instant since, double tag, long order) {
+    private record Entry(Attempt attempt, Instant enqueueTime, double tag, long sequence) {
         int priority() {
             return attempt.request().priority();
         }
@@ -34,45 +34,45 @@
         }
 
         /** Returns the work for the account's weight. */
-        double share() {
-            return shareOf(attempt);
+        double weightedWork() {
+            return weightedWorkOf(attempt);
         }
     }
 
-    private static final Comparator<Entry> TURN =
+    private static final Comparator<Entry> TURN_ORDER =
             Comparator.comparingInt((Entry e) -> -e.priority())
                     .thenComparingDouble(Entry::tag)
-                    .thenComparingLong(Entry::order);
+                    .thenComparingLong(Entry::sequence);
 
     private final List<Entry> mEntries = new ArrayList<>();
     private final Map<String, Double> mNextTags = new HashMap<>();
     private double mVirtualTime;
     private long mBytes;
-    private long mOrders;
-    private long mTurns;
+    private long mNextSequence;
+    private long mTurnCount;
 
-    /** Adds an attempt, even over the bounds; {@link #overflow} tells what has to go. */
+    /** Adds an attempt, even over the bounds; {@link #findExcess} tells what has to go. */
     void add(Instant now, Attempt attempt) {
         String account = attempt.request().account();
         double tag = Math.max(mVirtualTime, mNextTags.getOrDefault(account, 0.0));
-        mNextTags.put(account, tag + shareOf(attempt));
-        mEntries.add(new Entry(attempt, now, tag, mOrders++));
+        mNextTags.put(account, tag + weightedWorkOf(attempt));
+        mEntries.add(new Entry(attempt, now, tag, mNextSequence++));
         mBytes += bodyBytes(attempt);
     }
 
     /** Returns the attempt whose turn it is, or null where none waits. */
-    Attempt next() {
-        Entry e = nextEntry();
+    Attempt peek() {
+        Entry e = peekEntry();
         return e == null ? null : e.attempt();
     }
 
     /** Takes the attempt whose turn it is out. */
     Attempt take() {
-        Entry e = nextEntry();
-        mTurns++;
+        Entry e = peekEntry();
+        mTurnCount++;
         mVirtualTime = Math.max(mVirtualTime, e.tag());
         remove(e);
-        if (mNextTags.size() > MAX_IDLE_TAGS) {
+        if (mNextTags.size() > MAX_ACCOUNT_TAGS) {
             mNextTags.values().removeIf(t -> t <= mVirtualTime);
         }
         return e.attempt();
@@ -89,7 +89,7 @@
     }
 
     /** Returns the attempt that has to go for the queue to come within bounds, or null. */
-    Attempt overflow(SidecarSettings.QueueLimits limits) {
+    Attempt findExcess(SidecarSettings.QueueLimits limits) {
         if (mEntries.size() <= limits.requests() && mBytes <= limits.bytes()) {
             return null;
         }
@@ -97,25 +97,28 @@
         Map<String, Double> shares = new HashMap<>();
         for (Entry e : mEntries) {
             if (e.priority() == least) {
-                shares.merge(e.account(), e.share(), Double::sum);
+                shares.merge(e.account(), e.weightedWork(), Double::sum);
             }
         }
         return mEntries.stream()
                 .filter(e -> e.priority() == least)
                 .max(
                         Comparator.comparingDouble((Entry e) -> shares.get(e.account()))
-                                .thenComparingLong(Entry::order))
+                                .thenComparingLong(Entry::sequence))
                 .orElseThrow()
                 .attempt();
     }
 
     /** Returns the attempts that have waited since a time or longer, in the order of arrival. */
-    List<Attempt> waitingSince(Instant time) {
-        return mEntries.stream().filter(e -> !e.since().isAfter(time)).map(Entry::attempt).toList();
+    List<Attempt> enqueuedUntil(Instant time) {
+        return mEntries.stream()
+                .filter(e -> !e.enqueueTime().isAfter(time))
+                .map(Entry::attempt)
+                .toList();
     }
 
     /** Returns all attempts in the order of arrival. */
-    List<Attempt> all() {
+    List<Attempt> attempts() {
         return mEntries.stream().map(Entry::attempt).toList();
     }
 
@@ -127,16 +130,16 @@
         return mBytes;
     }
 
-    private Entry nextEntry() {
+    private Entry peekEntry() {
         if (mEntries.isEmpty()) {
             return null;
         }
-        if (mTurns % OLDEST_EVERY != OLDEST_EVERY - 1) {
-            return mEntries.stream().min(TURN).orElseThrow();
+        if (mTurnCount % OLDEST_PRIORITY_INTERVAL != OLDEST_PRIORITY_INTERVAL - 1) {
+            return mEntries.stream().min(TURN_ORDER).orElseThrow();
         }
         // By the shares within that priority, or accounts with large requests would gain.
         int oldest = mEntries.get(0).priority();
-        return mEntries.stream().filter(e -> e.priority() == oldest).min(TURN).orElseThrow();
+        return mEntries.stream().filter(e -> e.priority() == oldest).min(TURN_ORDER).orElseThrow();
     }
 
     private void remove(Entry entry) {
@@ -144,7 +147,7 @@
         mBytes -= bodyBytes(entry.attempt());
     }
 
-    private static double shareOf(Attempt attempt) {
+    private static double weightedWorkOf(Attempt attempt) {
         double weight = attempt.request().accountWeight();
         return attempt.work() / (weight > 0 ? weight : 1);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Followers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FollowingStreams.java
@@ -13,19 +13,19 @@
  * where its messages arrive first; among streams that resume the last to arrive counts, and a
  * router that was wronged by that resumes again.
  */
-final class Followers {
+final class FollowingStreams {
     private final AttemptTable mTable;
-    private final Endings mEndings;
-    private final FrameSender mFrames;
+    private final AttemptFinisher mFinisher;
+    private final FrameSender mFrameSender;
 
-    Followers(AttemptTable table, Endings endings, FrameSender frames) {
+    FollowingStreams(AttemptTable table, AttemptFinisher endings, FrameSender frames) {
         mTable = table;
-        mEndings = endings;
-        mFrames = frames;
+        mFinisher = endings;
+        mFrameSender = frames;
     }
 
     /** Follows an attempt by a stream that would have begun it, had it not been begun already. */
-    void followAgain(Step step, Attempt attempt, long stream) {
+    void followOnRepeatedRequest(Step step, Attempt attempt, long stream) {
         if (attempt.isResumed()) {
             step.emit(new SidecarEffect.CloseStream(stream));
             return;
@@ -39,45 +39,45 @@
     }
 
     private void follow(Step step, Attempt attempt, long stream, long offset, boolean resumed) {
-        if (!attempt.output().reaches(offset)) {
-            refuseOffset(step, attempt.id(), stream);
+        if (!attempt.output().holdsFrom(offset)) {
+            sendOutputNotKept(step, attempt.id(), stream);
             return;
         }
         if (attempt.isFollowed() && attempt.stream() != stream) {
             step.emit(new SidecarEffect.CloseStream(attempt.stream()));
         }
         mTable.follow(attempt, stream, resumed);
-        sendKept(step, attempt, offset);
+        sendOutput(step, attempt, offset);
     }
 
     /** Tells a stream that the output it asks for is gone. */
-    void refuseOffset(Step step, AttemptId attempt, long stream) {
+    void sendOutputNotKept(Step step, AttemptId attempt, long stream) {
         Frame gone = new Frame.Failed(ResultCode.OUTPUT_NOT_KEPT, "output is no longer kept");
-        mFrames.sendLast(step, stream, attempt, gone);
+        mFrameSender.sendLast(step, stream, attempt, gone);
     }
 
-    private void sendKept(Step step, Attempt attempt, long offset) {
+    private void sendOutput(Step step, Attempt attempt, long offset) {
         if (attempt.head() == null) {
-            mFrames.send(step, attempt, new Frame.Accepted(0));
+            mFrameSender.send(step, attempt, new Frame.Accepted(0));
         } else if (offset == 0) {
-            mFrames.send(step, attempt, attempt.head());
+            mFrameSender.send(step, attempt, attempt.head());
         }
-        for (Frame.Data d : attempt.output().from(offset)) {
-            mFrames.send(step, attempt, d);
+        for (Frame.Data d : attempt.output().piecesFrom(offset)) {
+            mFrameSender.send(step, attempt, d);
         }
         if (attempt.phase() == Attempt.Phase.ENDED) {
-            mEndings.sendEnding(step, attempt);
+            mFinisher.sendFinalFrame(step, attempt);
         }
     }
 
     /** Passes the head of an answer on. */
     void sendHead(Step step, Attempt attempt, int status, List<Header> headers) {
         attempt.setHead(new Frame.Head(status, headers));
-        mFrames.send(step, attempt, attempt.head());
+        mFrameSender.send(step, attempt, attempt.head());
     }
 
     /** Forgets a stream; its attempt goes on. */
-    void closed(Step step, long stream) {
+    void onStreamClosed(Step step, long stream) {
         Attempt attempt = mTable.findByStream(stream);
         if (attempt != null) {
             mTable.unfollow(step, attempt);
@@ -86,8 +86,8 @@
 
     /** Breaks the silence on a stream if nothing was sent for a while. */
     void sendProgress(Step step, Attempt attempt, Duration interval) {
-        if (!attempt.lastFrame().plus(interval).isAfter(step.now())) {
-            mFrames.send(step, attempt, new Frame.Progress(attempt.output().end()));
+        if (!attempt.lastFrameTime().plus(interval).isAfter(step.now())) {
+            mFrameSender.send(step, attempt, new Frame.Progress(attempt.output().end()));
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/FrameSender.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FrameSender.java
@@ -27,7 +27,7 @@
         if (!attempt.isFollowed()) {
             return;
         }
-        attempt.setLastFrame(step.now());
+        attempt.setLastFrameTime(step.now());
         send(step, attempt.stream(), attempt.id(), frame);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/LaterRun.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/LaterIncarnationDetector.java
@@ -11,20 +11,20 @@
  * well; it is what a restart usually finds. The look is repeated until this run can go on as a
  * later one, for an instance that was cut off may tell of the earlier run only when work runs here.
  */
-final class LaterRun {
+final class LaterIncarnationDetector {
     private final BackendRef mSelf;
-    private long mNewest;
+    private long mLatestIncarnation;
 
-    LaterRun(BackendRef self) {
+    LaterIncarnationDetector(BackendRef self) {
         mSelf = self;
-        mNewest = self.incarnation();
+        mLatestIncarnation = self.incarnation();
     }
 
     /** Notes what a control instance knows of this sidecar's runs. */
-    void heard(MembershipDelta delta) {
+    void onMembership(MembershipDelta delta) {
         for (Backend b : delta.backends()) {
             if (b.ref().id().equals(mSelf.id())) {
-                mNewest = Math.max(mNewest, b.ref().incarnation());
+                mLatestIncarnation = Math.max(mLatestIncarnation, b.ref().incarnation());
             }
         }
     }
@@ -34,9 +34,9 @@
      *
      * @param idle whether nothing runs or waits here
      */
-    void tell(Step step, boolean idle) {
-        if (mNewest > mSelf.incarnation()) {
-            step.emit(new SidecarEffect.Superseded(mNewest, idle));
+    void reportLater(Step step, boolean idle) {
+        if (mLatestIncarnation > mSelf.incarnation()) {
+            step.emit(new SidecarEffect.Superseded(mLatestIncarnation, idle));
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Members.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Members.java
@@ -41,11 +41,11 @@
         for (Backend b : delta.backends()) {
             if (b.service().equals(mService)) {
                 present.add(b.ref().id());
-                change(b, changes);
+                addChange(b, changes);
             }
         }
         if (delta.full()) {
-            leaveAbsent(present, changes);
+            removeAbsent(present, changes);
         }
         mCursor = delta.cursor();
         if (changes.isEmpty()) {
@@ -55,7 +55,7 @@
         return true;
     }
 
-    private void change(Backend backend, List<ViewChange> changes) {
+    private void addChange(Backend backend, List<ViewChange> changes) {
         String id = backend.ref().id();
         if (backend.state() == Backend.State.LEFT) {
             mAddresses.remove(id);
@@ -71,7 +71,7 @@
         }
     }
 
-    private void leaveAbsent(Set<String> present, List<ViewChange> changes) {
+    private void removeAbsent(Set<String> present, List<ViewChange> changes) {
         for (Candidate c : mView.candidates()) {
             if (!present.contains(c.id())) {
                 mAddresses.remove(c.id());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Orders.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OrderFencing.java
@@ -11,27 +11,27 @@
  * so it passes nothing until a control instance that is sure to be up to date has told the highest
  * number issued: every order passed before the restart had one of those.
  */
-final class Orders {
-    private long mHighest;
-    private boolean mHeard;
+final class OrderFencing {
+    private long mHighestToken;
+    private boolean mInitialized;
 
     /** Notes the highest number issued for this backend server, as control vouches for it. */
-    void heard(long fence) {
-        mHeard = true;
-        mHighest = Math.max(mHighest, fence);
+    void setHighestIssued(long fence) {
+        mInitialized = true;
+        mHighestToken = Math.max(mHighestToken, fence);
     }
 
     /** Passes an order on or refuses it. */
-    void received(Step step, SidecarEvent.OrderReceived order) {
-        if (!mHeard) {
+    void onOrder(Step step, SidecarEvent.OrderReceived order) {
+        if (!mInitialized) {
             refuse(step, order, ResultCode.POSSIBLY_STALE, "no fencing number heard since start");
             return;
         }
-        if (order.fence() < mHighest) {
-            refuse(step, order, ResultCode.STALE_FENCE, "the highest number is " + mHighest);
+        if (order.fence() < mHighestToken) {
+            refuse(step, order, ResultCode.STALE_FENCE, "the highest number is " + mHighestToken);
             return;
         }
-        mHighest = order.fence();
+        mHighestToken = order.fence();
         step.emit(
                 new SidecarEffect.PassOrder(
                         order.call(), order.kind(), order.argument(), order.fence()));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputBuffer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputBuffer.java
@@ -74,12 +74,12 @@
     }
 
     /** Returns whether all output from an offset on is here. */
-    boolean reaches(long offset) {
+    boolean holdsFrom(long offset) {
         return offset >= mStart && offset <= mEnd;
     }
 
-    /** Returns the output from an offset on, which {@link #reaches} has to allow. */
-    List<Frame.Data> from(long offset) {
+    /** Returns the output from an offset on, which {@link #holdsFrom} has to allow. */
+    List<Frame.Data> piecesFrom(long offset) {
         List<Frame.Data> pieces = new ArrayList<>();
         for (Frame.Data p : mPieces) {
             if (p.offset() >= offset) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputControl.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputLimiter.java
@@ -9,30 +9,30 @@
  * go whole answers kept for a resend, the oldest first, then what readers of running attempts have
  * acknowledged; after that the backend server's answers are read no further until there is room.
  */
-final class OutputControl {
+final class OutputLimiter {
     private final AttemptTable mTable;
-    private final Endings mEndings;
+    private final AttemptFinisher mFinisher;
     private final OutputTotal mTotal;
     private final Set<Attempt> mPaused = new LinkedHashSet<>();
 
-    OutputControl(AttemptTable table, Endings endings, OutputTotal total) {
+    OutputLimiter(AttemptTable table, AttemptFinisher endings, OutputTotal total) {
         mTable = table;
         mTotal = total;
-        mEndings = endings;
+        mFinisher = endings;
     }
 
     /** Acts on a bound that an attempt's new output may have passed. */
-    void grown(Step step, Attempt attempt, SidecarSettings.OutputLimits limits) {
+    void onOutputAdded(Step step, Attempt attempt, SidecarSettings.OutputLimits limits) {
         boolean ownFull = attempt.output().unacknowledgedBytes() >= limits.attemptBytes();
-        if (ownFull || !hasRoom(step, limits)) {
+        if (ownFull || !makeRoom(step, limits)) {
             pause(step, attempt);
         }
     }
 
     /** Reads on where there is room again. */
-    void readOn(Step step, SidecarSettings.OutputLimits limits) {
+    void resumeReading(Step step, SidecarSettings.OutputLimits limits) {
         mPaused.removeIf(a -> a.phase() != Attempt.Phase.RUNNING);
-        if (mPaused.isEmpty() || !hasRoom(step, limits)) {
+        if (mPaused.isEmpty() || !makeRoom(step, limits)) {
             return;
         }
         Iterator<Attempt> paused = mPaused.iterator();
@@ -52,18 +52,18 @@
         }
     }
 
-    private boolean hasRoom(Step step, SidecarSettings.OutputLimits limits) {
+    private boolean makeRoom(Step step, SidecarSettings.OutputLimits limits) {
         if (mTotal.bytes() < limits.totalBytes()) {
             return true;
         }
-        for (Attempt a : mTable.all()) {
-            boolean delivered = a.phase() == Attempt.Phase.ENDED && a.isEndingSent();
+        for (Attempt a : mTable.attempts()) {
+            boolean delivered = a.phase() == Attempt.Phase.ENDED && a.isFinalFrameSent();
             if (delivered && mTotal.bytes() >= limits.totalBytes()) {
-                mEndings.drop(step, a);
+                mFinisher.drop(step, a);
             }
         }
         if (mTotal.bytes() >= limits.totalBytes()) {
-            mTable.all().forEach(a -> a.output().dropAcknowledged());
+            mTable.attempts().forEach(a -> a.output().dropAcknowledged());
         }
         return mTotal.bytes() < limits.totalBytes();
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatQuestions.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/PendingChatLookups.java
@@ -13,26 +13,26 @@
  * Attempts held for a moment while other sidecars are asked where their chats sit. The first answer
  * that knows decides; without one the attempt goes on here.
  */
-final class ChatQuestions {
+final class PendingChatLookups {
     /** A round trip between data centres of one region takes a few milliseconds. */
     private static final Duration MAX_WAIT = Duration.ofMillis(100);
 
-    private static final class Question {
+    private static final class Lookup {
         private final Attempt mAttempt;
-        private final Instant mUntil;
-        private int mUnanswered;
+        private final Instant mDeadline;
+        private int mPendingReplies;
 
-        Question(Attempt attempt, Instant until) {
+        Lookup(Attempt attempt, Instant until) {
             mAttempt = attempt;
-            mUntil = until;
+            mDeadline = until;
         }
     }
 
     private final Members mMembers;
-    private final Long2ObjectHashMap<Question> mQuestions = new Long2ObjectHashMap<>();
-    private long mCount;
+    private final Long2ObjectHashMap<Lookup> mLookups = new Long2ObjectHashMap<>();
+    private long mLastQuestion;
 
-    ChatQuestions(Members members) {
+    PendingChatLookups(Members members) {
         mMembers = members;
     }
 
@@ -41,18 +41,18 @@
      *
      * @return whether anybody could be asked, so that the attempt has to wait
      */
-    boolean ask(Step step, Attempt attempt, List<Candidate> candidates) {
-        Question question = new Question(attempt, step.now().plus(MAX_WAIT));
+    boolean askPeers(Step step, Attempt attempt, List<Candidate> candidates) {
+        Lookup question = new Lookup(attempt, step.now().plus(MAX_WAIT));
         for (Candidate c : candidates) {
             String address = mMembers.address(c.id());
             if (address != null) {
-                mQuestions.put(++mCount, question);
-                question.mUnanswered++;
+                mLookups.put(++mLastQuestion, question);
+                question.mPendingReplies++;
                 List<Long> chats = List.of(attempt.request().chat());
-                step.emit(new SidecarEffect.LocateChats(mCount, address, chats));
+                step.emit(new SidecarEffect.LocateChats(mLastQuestion, address, chats));
             }
         }
-        return question.mUnanswered > 0;
+        return question.mPendingReplies > 0;
     }
 
     /**
@@ -60,27 +60,27 @@
      *
      * @return the attempt that can go on with it, or null where others may still know
      */
-    Attempt answered(long question, Map<Long, String> locations) {
-        Question q = mQuestions.remove(question);
+    Attempt onChatsLocated(long question, Map<Long, String> locations) {
+        Lookup q = mLookups.remove(question);
         if (q == null) {
             return null;
         }
-        q.mUnanswered--;
+        q.mPendingReplies--;
         boolean known = locations.containsKey(q.mAttempt.request().chat());
-        if (!known && q.mUnanswered > 0) {
+        if (!known && q.mPendingReplies > 0) {
             return null;
         }
-        forget(q.mAttempt);
+        remove(q.mAttempt);
         return q.mAttempt;
     }
 
     /** Takes out the attempts that have waited long enough for an answer. */
     List<Attempt> expire(Instant now) {
         List<Attempt> expired = new ArrayList<>();
-        Iterator<Question> all = mQuestions.values().iterator();
+        Iterator<Lookup> all = mLookups.values().iterator();
         while (all.hasNext()) {
-            Question q = all.next();
-            if (!q.mUntil.isAfter(now)) {
+            Lookup q = all.next();
+            if (!q.mDeadline.isAfter(now)) {
                 all.remove();
                 if (!expired.contains(q.mAttempt)) {
                     expired.add(q.mAttempt);
@@ -91,12 +91,12 @@
     }
 
     /** Takes an attempt out that waits no more. */
-    void forget(Attempt attempt) {
-        mQuestions.values().removeIf(q -> q.mAttempt == attempt);
+    void remove(Attempt attempt) {
+        mLookups.values().removeIf(q -> q.mAttempt == attempt);
     }
 
     /** Returns the attempts that wait for an answer. */
-    List<Attempt> all() {
-        return mQuestions.values().stream().map(q -> q.mAttempt).distinct().toList();
+    List<Attempt> waitingAttempts() {
+        return mLookups.values().stream().map(q -> q.mAttempt).distinct().toList();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/RunningLoad.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/RunningLoad.java
@@ -16,7 +16,7 @@
     private double mWork;
     private int mRunning;
     private double mMean;
-    private Instant mMeanAt = Instant.MIN;
+    private Instant mMeanTime = Instant.MIN;
 
     /**
      * Creates the load of an idle server.
@@ -41,7 +41,7 @@
     /** Notes the service's mean work per unit of weight. */
     void setMean(Instant now, double meanPerWeight) {
         mMean = meanPerWeight * mWeight;
-        mMeanAt = now;
+        mMeanTime = now;
     }
 
     double work() {
@@ -54,7 +54,7 @@
 
     /** Returns the mean for a server of this weight, or 0 where none is known. */
     double mean(Instant now) {
-        boolean known = mMeanAt != Instant.MIN && !mMeanAt.plus(MEAN_MAX_AGE).isBefore(now);
+        boolean known = mMeanTime != Instant.MIN && !mMeanTime.plus(MEAN_MAX_AGE).isBefore(now);
         return known ? mMean : 0;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -15,30 +15,30 @@
  */
 public final class SidecarReducer implements Reducer<SidecarEvent, SidecarEffect> {
     /** Longer than any caller's deadline: deadline.max can't be set above an hour. */
-    private static final Duration MEMORY_KEEP = Duration.ofMinutes(65);
+    private static final Duration MEMORY_RETENTION = Duration.ofMinutes(65);
 
-    private static final int MAX_REMEMBERED = 50_000;
+    private static final int MAX_REMEMBERED_ATTEMPTS = 50_000;
     private static final int MAX_ROUTER_RUNS = 10_000;
 
     private final SidecarIdentity mSelf;
     private final RunningLoad mLoad;
     private final Members mMembers;
     private final Announcer mAnnouncer;
-    private final LaterRun mLaterRun;
-    private final Orders mOrders = new Orders();
+    private final LaterIncarnationDetector mLaterIncarnations;
+    private final OrderFencing mOrderFencing = new OrderFencing();
     private final AttemptTable mTable = new AttemptTable();
     private final AttemptMemory mMemory =
-            new AttemptMemory(MEMORY_KEEP, MAX_REMEMBERED, MAX_ROUTER_RUNS);
-    private final ChatHomes mHomes;
-    private final ChatQuestions mQuestions;
-    private final Followers mFollowers;
-    private final Endings mEndings;
-    private final OutputControl mOutput;
+            new AttemptMemory(MEMORY_RETENTION, MAX_REMEMBERED_ATTEMPTS, MAX_ROUTER_RUNS);
+    private final ChatLocations mChatLocations;
+    private final PendingChatLookups mLookups;
+    private final FollowingStreams mStreams;
+    private final AttemptFinisher mFinisher;
+    private final OutputLimiter mOutputLimiter;
     private final Execution mExecution;
     private final Timeouts mTimeouts;
-    private final Arrivals mArrivals;
+    private final AttemptDeduplicator mDeduplicator;
     private final Admission mAdmission;
-    private final Seating mSeating;
+    private final ChatRedirector mRedirector;
     private final Drain mDrain;
     private SidecarSettings mSettings = SidecarSettings.DEFAULT;
     private boolean mReachable = true;
@@ -55,24 +55,25 @@
         mLoad = new RunningLoad(self.weight());
         mMembers = new Members(self.service());
         mAnnouncer = new Announcer(self);
-        mLaterRun = new LaterRun(self.ref());
-        mHomes = new ChatHomes(name, mMembers);
-        mHomes.setCacheTokens(mSettings.cacheTokens());
-        mQuestions = new ChatQuestions(mMembers);
+        mLaterIncarnations = new LaterIncarnationDetector(self.ref());
+        mChatLocations = new ChatLocations(name, mMembers);
+        mChatLocations.setCacheTokens(mSettings.cacheTokens());
+        mLookups = new PendingChatLookups(mMembers);
         RunTimes times = new RunTimes();
         OutputTotal total = new OutputTotal();
-        FrameSender frames = new FrameSender(mLoad, this::isClosed);
-        mEndings = new Endings(mTable, mMemory, mLoad, frames, times, mHomes);
-        mFollowers = new Followers(mTable, mEndings, frames);
-        mOutput = new OutputControl(mTable, mEndings, total);
-        mExecution = new Execution(mTable, mEndings, mFollowers, frames, mLoad, mOutput);
-        mTimeouts = new Timeouts(mTable, mEndings, mExecution, mFollowers);
-        mArrivals = new Arrivals(self.ref(), mTable, mMemory, mFollowers, frames, total);
-        NextInRank next = new NextInRank(name, mMembers);
-        mAdmission = new Admission(name, mLoad, times, next, mEndings, mExecution, frames);
+        FrameSender frames = new FrameSender(mLoad, this::refusesNewWork);
+        mFinisher = new AttemptFinisher(mTable, mMemory, mLoad, frames, times, mChatLocations);
+        mStreams = new FollowingStreams(mTable, mFinisher, frames);
+        mOutputLimiter = new OutputLimiter(mTable, mFinisher, total);
+        mExecution = new Execution(mTable, mFinisher, mStreams, frames, mLoad, mOutputLimiter);
+        mTimeouts = new Timeouts(mTable, mFinisher, mExecution, mStreams);
+        mDeduplicator =
+                new AttemptDeduplicator(self.ref(), mTable, mMemory, mStreams, frames, total);
+        RedirectRanking next = new RedirectRanking(name, mMembers);
+        mAdmission = new Admission(name, mLoad, times, next, mFinisher, mExecution, frames);
         mAdmission.setSettings(mSettings);
-        mSeating = new Seating(mHomes, mQuestions, mMembers, mAdmission);
-        mDrain = new Drain(mTable, mAdmission, mQuestions, mHomes, mExecution);
+        mRedirector = new ChatRedirector(mChatLocations, mLookups, mMembers, mAdmission);
+        mDrain = new Drain(mTable, mAdmission, mLookups, mChatLocations, mExecution);
     }
 
     @Override
@@ -80,27 +81,27 @@
         Step step = new Step(now, effects);
         if (!mStarted) {
             mStarted = true;
-            mHomes.joined(now);
+            mChatLocations.onJoined(now);
         }
-        if (!takeAboutAttempt(step, event) && !takeFromEngine(step, event)) {
-            takeOther(step, event);
+        if (!handleAttemptEvent(step, event) && !handleEngineEvent(step, event)) {
+            handleOtherEvent(step, event);
         }
-        mOutput.readOn(step, mSettings.output());
+        mOutputLimiter.resumeReading(step, mSettings.output());
         mAdmission.admitWaiting(step);
-        announce(step);
+        announceAndStop(step);
     }
 
-    private boolean takeAboutAttempt(Step step, SidecarEvent event) {
+    private boolean handleAttemptEvent(Step step, SidecarEvent event) {
         if (event instanceof SidecarEvent.AttemptRequested e) {
             begin(step, e);
         } else if (event instanceof SidecarEvent.AttemptResumed e) {
-            mArrivals.resume(step, e);
+            mDeduplicator.resume(step, e);
         } else if (event instanceof SidecarEvent.OutputAcknowledged e) {
             acknowledge(e);
         } else if (event instanceof SidecarEvent.AttemptCancelled e) {
             cancel(step, e);
         } else if (event instanceof SidecarEvent.StreamClosed e) {
-            mFollowers.closed(step, e.stream());
+            mStreams.onStreamClosed(step, e.stream());
         } else if (event instanceof SidecarEvent.AttemptRevoked e) {
             revoke(step, e);
         } else {
@@ -109,72 +110,72 @@
         return true;
     }
 
-    private boolean takeFromEngine(Step step, SidecarEvent event) {
+    private boolean handleEngineEvent(Step step, SidecarEvent event) {
         if (event instanceof SidecarEvent.EngineHeadReceived e) {
-            mExecution.answered(step, e, mSettings);
+            mExecution.onHead(step, e, mSettings);
         } else if (event instanceof SidecarEvent.EngineDataReceived e) {
-            mExecution.sent(step, e, mSettings);
+            mExecution.onData(step, e, mSettings);
         } else if (event instanceof SidecarEvent.EngineFinished e) {
-            mExecution.finished(step, e);
+            mExecution.onFinished(step, e);
         } else if (event instanceof SidecarEvent.EngineFailed e) {
-            mExecution.failed(step, e);
+            mExecution.onFailed(step, e);
         } else if (event instanceof SidecarEvent.EngineReachable e) {
-            reachable(step, e.reachable());
+            setReachable(step, e.reachable());
         } else {
             return false;
         }
         return true;
     }
 
-    private void reachable(Step step, boolean reachable) {
+    private void setReachable(Step step, boolean reachable) {
         if (reachable && !mReachable) {
-            mHomes.joined(step.now());
+            mChatLocations.onJoined(step.now());
         }
         mReachable = reachable;
     }
 
-    private void takeOther(Step step, SidecarEvent event) {
+    private void handleOtherEvent(Step step, SidecarEvent event) {
         if (event instanceof SidecarEvent.Tick) {
-            tick(step);
+            onTick(step);
         } else if (event instanceof SidecarEvent.ExchangeAnswered e) {
-            exchanged(step, e);
+            onExchangeAnswered(step, e);
         } else if (event instanceof SidecarEvent.SettingsChanged e) {
             mSettings = e.settings();
             mAdmission.setSettings(mSettings);
-            mHomes.setCacheTokens(mSettings.cacheTokens());
+            mChatLocations.setCacheTokens(mSettings.cacheTokens());
         } else if (event instanceof SidecarEvent.ChatsLocated e) {
-            mSeating.answered(step, e);
+            mRedirector.onChatsLocated(step, e);
         } else if (event instanceof SidecarEvent.LocateChatsRequested e) {
-            mHomes.answer(step, e);
+            mChatLocations.answerLocateChats(step, e);
         } else if (event instanceof SidecarEvent.ChatsHandedOver e) {
-            e.locations().forEach(mHomes::located);
+            e.locations().forEach(mChatLocations::setLocation);
         } else if (event instanceof SidecarEvent.OrderReceived e) {
-            mOrders.received(step, e);
+            mOrderFencing.onOrder(step, e);
         } else if (event instanceof SidecarEvent.StopRequested) {
-            mDrain.stop(step);
+            mDrain.requestStop(step);
         }
     }
 
-    private void tick(Step step) {
+    private void onTick(Step step) {
         mMemory.expire(step.now());
-        mSeating.expire(step);
-        mAdmission.expire(step);
-        mTimeouts.check(step, mSettings);
-        mHomes.sendNotices(step);
+        mRedirector.expire(step);
+        mAdmission.refuseExpired(step);
+        mTimeouts.checkDue(step, mSettings);
+        mChatLocations.sendNotices(step);
     }
 
     private void begin(Step step, SidecarEvent.AttemptRequested event) {
-        Attempt attempt = mArrivals.begin(step, event.stream(), event.request());
+        Attempt attempt = mDeduplicator.begin(step, event.stream(), event.request());
         if (attempt == null) {
             return;
         }
         if (mDrain.isDraining()) {
-            mDrain.turnAway(step, attempt);
+            mDrain.refuse(step, attempt);
         } else if (!mReachable) {
-            mAdmission.turnAway(
+            mAdmission.refuseNewWork(
                     step, attempt, ResultCode.BACKEND_REFUSED, AdmissionReason.UNREACHABLE);
         } else {
-            mSeating.seat(step, attempt);
+            mRedirector.redirectOrPlace(step, attempt);
         }
     }
 
@@ -191,30 +192,30 @@
             return;
         }
         if (attempt.phase() == Attempt.Phase.RUNNING) {
-            mExecution.cancel(step, attempt, ResultCode.CANCELLED, "cancelled by the router");
+            mExecution.abort(step, attempt, ResultCode.CANCELLED, "cancelled by the router");
         } else if (attempt.phase() == Attempt.Phase.WAITING) {
             refuseWaiting(step, attempt);
         }
     }
 
     private void revoke(Step step, SidecarEvent.AttemptRevoked event) {
-        Attempt waiting = mArrivals.revoke(step, event);
+        Attempt waiting = mDeduplicator.revoke(step, event);
         if (waiting != null) {
             refuseWaiting(step, waiting);
         }
     }
 
     private void refuseWaiting(Step step, Attempt attempt) {
-        mQuestions.forget(attempt);
-        mAdmission.forget(attempt);
+        mLookups.remove(attempt);
+        mAdmission.removeWaiting(attempt);
         String message = "withdrawn before it started";
-        mEndings.refuse(
+        mFinisher.refuse(
                 step, attempt, new Frame.Refused(ResultCode.REVOKED, message, "", Duration.ZERO));
     }
 
-    private void exchanged(Step step, SidecarEvent.ExchangeAnswered event) {
+    private void onExchangeAnswered(Step step, SidecarEvent.ExchangeAnswered event) {
         if (mMembers.apply(event.membership())) {
-            mHomes.membersChanged();
+            mChatLocations.onMembershipChanged();
         }
         for (ServiceLoad l : event.loads()) {
             if (l.service().equals(mSelf.service())) {
@@ -224,30 +225,30 @@
         // An instance that is cut off from the others may not know of a drain yet, nor of an order.
         // Taken at its word, it would have a leaving server take new work again.
         if (event.confirmed()) {
-            mOrders.heard(event.fence());
-            mDrain.order(step, event.drain());
+            mOrderFencing.setHighestIssued(event.fence());
+            mDrain.setOrdered(step, event.drain());
         }
-        mLaterRun.heard(event.membership());
+        mLaterIncarnations.onMembership(event.membership());
         // The run that takes over would know nothing of a stop.
         if (!mDrain.isDraining()) {
-            mLaterRun.tell(step, mTable.isEmpty());
+            mLaterIncarnations.reportLater(step, mTable.isEmpty());
         }
     }
 
-    private void announce(Step step) {
+    private void announceAndStop(Step step) {
         if (mDrain.isStopped()) {
             return;
         }
-        boolean stopped = mDrain.endStop(step, mSettings.drainTimeout());
+        boolean stopped = mDrain.finishStop(step, mSettings.drainTimeout());
         mAnnouncer.setState(state());
-        mAnnouncer.announce(step, mLoad, mAdmission.waiting(), mMembers.cursor());
+        mAnnouncer.announceIfDue(step, mLoad, mAdmission.waitingCount(), mMembers.cursor());
         if (stopped) {
             step.emit(new SidecarEffect.Stopped());
         }
     }
 
     /** Returns whether nothing new is taken. */
-    private boolean isClosed() {
+    private boolean refusesNewWork() {
         return mDrain.isDraining() || !mReachable;
     }
 
@@ -255,6 +256,6 @@
         if (mDrain.isStopped()) {
             return Backend.State.LEFT;
         }
-        return isClosed() ? Backend.State.DRAINING : Backend.State.SERVING;
+        return refusesNewWork() ? Backend.State.DRAINING : Backend.State.SERVING;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
@@ -10,58 +10,62 @@
  * longer the more there are.
  */
 final class Timeouts {
-    private final DueOrder mDue = new DueOrder();
+    private final DueQueue mDueQueue = new DueQueue();
     private final AttemptTable mTable;
-    private final Endings mEndings;
+    private final AttemptFinisher mFinisher;
     private final Execution mExecution;
-    private final Followers mFollowers;
+    private final FollowingStreams mStreams;
     private SidecarSettings mSettings = SidecarSettings.DEFAULT;
 
-    Timeouts(AttemptTable table, Endings endings, Execution execution, Followers followers) {
+    Timeouts(
+            AttemptTable table,
+            AttemptFinisher endings,
+            Execution execution,
+            FollowingStreams followers) {
         mTable = table;
-        mEndings = endings;
+        mFinisher = endings;
         mExecution = execution;
-        mFollowers = followers;
+        mStreams = followers;
     }
 
-    void check(Step step, SidecarSettings settings) {
+    void checkDue(Step step, SidecarSettings settings) {
         if (!settings.equals(mSettings)) {
             mSettings = settings;
-            mTable.all().forEach(this::schedule);
+            mTable.attempts().forEach(this::schedule);
         }
         mTable.takeChanged().forEach(this::schedule);
-        for (Attempt a : mDue.take(step.now())) {
+        for (Attempt a : mDueQueue.takeDue(step.now())) {
             checkOne(step, a, settings);
             schedule(a);
         }
     }
 
     private void schedule(Attempt attempt) {
-        if (mTable.holds(attempt)) {
-            mDue.set(attempt, nextDue(attempt));
+        if (mTable.contains(attempt)) {
+            mDueQueue.schedule(attempt, nextCheckTime(attempt));
         } else {
-            mDue.remove(attempt);
+            mDueQueue.remove(attempt);
         }
     }
 
     /** Returns when to look at an attempt again, if it does not change before; never too late. */
-    private Instant nextDue(Attempt attempt) {
-        Instant next = timeout(attempt);
+    private Instant nextCheckTime(Attempt attempt) {
+        Instant next = timeoutTime(attempt);
         if (!attempt.isFollowed()) {
             return next;
         }
-        return earlier(next, attempt.lastFrame().plus(mSettings.progressInterval()));
+        return earlier(next, attempt.lastFrameTime().plus(mSettings.progressInterval()));
     }
 
-    private Instant timeout(Attempt attempt) {
+    private Instant timeoutTime(Attempt attempt) {
         if (attempt.phase() == Attempt.Phase.ENDED) {
-            return keptUntil(attempt, mSettings.output().keepTime());
+            return outputExpiry(attempt, mSettings.output().keepTime());
         }
         if (attempt.phase() == Attempt.Phase.WAITING) {
             return Instant.MAX;
         }
-        Instant latest = latestEnd(attempt, mSettings);
-        return isUnwanted(attempt) ? earlier(latest, unwantedUntil(attempt, mSettings)) : latest;
+        Instant latest = runDeadline(attempt, mSettings);
+        return isAbandoned(attempt) ? earlier(latest, abandonedExpiry(attempt, mSettings)) : latest;
     }
 
     private static Instant earlier(Instant a, Instant b) {
@@ -72,50 +76,50 @@
         if (attempt.phase() == Attempt.Phase.RUNNING) {
             checkRunning(step, attempt, settings);
         } else if (attempt.phase() == Attempt.Phase.ENDED) {
-            checkKept(step, attempt, settings.output().keepTime());
+            checkEnded(step, attempt, settings.output().keepTime());
         }
-        if (mTable.holds(attempt)) {
-            mFollowers.sendProgress(step, attempt, settings.progressInterval());
+        if (mTable.contains(attempt)) {
+            mStreams.sendProgress(step, attempt, settings.progressInterval());
         }
     }
 
     private void checkRunning(Step step, Attempt attempt, SidecarSettings settings) {
-        if (!step.now().isBefore(latestEnd(attempt, settings))) {
+        if (!step.now().isBefore(runDeadline(attempt, settings))) {
             String message = "no whole answer within the deadline";
-            mExecution.cancel(step, attempt, ResultCode.DEADLINE_EXCEEDED, message);
+            mExecution.abort(step, attempt, ResultCode.DEADLINE_EXCEEDED, message);
             return;
         }
-        if (isUnwanted(attempt) && !step.now().isBefore(unwantedUntil(attempt, settings))) {
-            mExecution.cancel(step, attempt, ResultCode.CANCELLED, "nobody follows");
+        if (isAbandoned(attempt) && !step.now().isBefore(abandonedExpiry(attempt, settings))) {
+            mExecution.abort(step, attempt, ResultCode.CANCELLED, "nobody follows");
         }
     }
 
-    private static boolean isUnwanted(Attempt attempt) {
+    private static boolean isAbandoned(Attempt attempt) {
         return !attempt.isFollowed() && attempt.isCancellable();
     }
 
     /** Returns how long an attempt that nobody follows goes on. */
-    private static Instant unwantedUntil(Attempt attempt, SidecarSettings settings) {
-        return attempt.followedUntil().plus(settings.output().keepTime());
+    private static Instant abandonedExpiry(Attempt attempt, SidecarSettings settings) {
+        return attempt.unfollowedSince().plus(settings.output().keepTime());
     }
 
     /**
      * Returns when an attempt that still runs is given up. One whose outcome a resend will ask for
      * may take as long as a drain would wait for it: its caller's deadline is not the resend's.
      */
-    private static Instant latestEnd(Attempt attempt, SidecarSettings settings) {
+    private static Instant runDeadline(Attempt attempt, SidecarSettings settings) {
         Duration extra = attempt.isCancellable() ? Duration.ZERO : settings.drainTimeout();
         return attempt.deadline().plus(extra);
     }
 
-    private void checkKept(Step step, Attempt attempt, Duration keepTime) {
-        if (!step.now().isBefore(keptUntil(attempt, keepTime))) {
-            mEndings.drop(step, attempt);
+    private void checkEnded(Step step, Attempt attempt, Duration keepTime) {
+        if (!step.now().isBefore(outputExpiry(attempt, keepTime))) {
+            mFinisher.drop(step, attempt);
         }
     }
 
-    private static Instant keptUntil(Attempt attempt, Duration keepTime) {
+    private static Instant outputExpiry(Attempt attempt, Duration keepTime) {
         Duration wanted = attempt.request().outputKeepTime();
-        return attempt.ended().plus(wanted.compareTo(keepTime) > 0 ? wanted : keepTime);
+        return attempt.endTime().plus(wanted.compareTo(keepTime) > 0 ? wanted : keepTime);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
@@ -48,51 +48,50 @@
         ARRIVE,
         END,
         MEAN,
-        PASS
+        ADVANCE
     }
 
-    private record Happening(Kind kind, int which, int how) {}
+    private record Action(Kind kind, int selector, int variant) {}
 
     @Property(tries = 1000, seed = "42002")
-    void runningWorkStaysUnderTheBoundAndNobodyWaitsLong(
-            @ForAll("surges") List<Happening> happenings) {
-        World world = new World();
-        happenings.forEach(world::happen);
+    void runningWorkQueueSizeAndWaitsStayWithinBounds(@ForAll("surges") List<Action> happenings) {
+        Simulation world = new Simulation();
+        happenings.forEach(world::perform);
     }
 
     @Provide
-    Arbitrary<List<Happening>> surges() {
+    Arbitrary<List<Action>> surges() {
         Arbitrary<Kind> kinds =
                 Arbitraries.frequency(
                         Tuple.of(8, Kind.ARRIVE),
                         Tuple.of(4, Kind.END),
                         Tuple.of(1, Kind.MEAN),
-                        Tuple.of(6, Kind.PASS));
+                        Tuple.of(6, Kind.ADVANCE));
         Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 1 << 16);
         return Combinators.combine(kinds, numbers, numbers)
-                .as(Happening::new)
+                .as(Action::new)
                 .list()
                 .ofMinSize(20)
                 .ofMaxSize(150);
     }
 
     /** One sidecar, what runs beside it by our own count, and who waits since when. */
-    private static final class World {
+    private static final class Simulation {
         private static final BackendRef SELF = new BackendRef("engine-1", 1);
 
         private final SidecarReducer mSidecar =
                 new SidecarReducer(
                         new SidecarIdentity(
                                 SELF, Requests.SERVICE, "bergen", "vestkyst", "10.0.0.1:1", 1));
-        private final Map<AttemptId, Double> mRunning = new LinkedHashMap<>();
-        private final Map<AttemptId, Instant> mWaiting = new HashMap<>();
+        private final Map<AttemptId, Double> mRunningWork = new LinkedHashMap<>();
+        private final Map<AttemptId, Instant> mWaitingSince = new HashMap<>();
         private final Map<AttemptId, Integer> mBodyBytes = new HashMap<>();
         private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
         private double mMean;
-        private Instant mMeanAt = Instant.MIN;
+        private Instant mMeanTime = Instant.MIN;
         private long mCount;
 
-        World() {
+        Simulation() {
             step(new SidecarEvent.SettingsChanged(SETTINGS));
             step(
                     new SidecarEvent.ExchangeAnswered(
@@ -104,12 +103,12 @@
                             0));
         }
 
-        void happen(Happening h) {
+        void perform(Action h) {
             switch (h.kind()) {
-                case ARRIVE -> arrive(h.which(), h.how());
-                case END -> end(h.which());
-                case MEAN -> mean(h.how() % 2000);
-                default -> pass(h.how() % 60);
+                case ARRIVE -> arrive(h.selector(), h.variant());
+                case END -> end(h.selector());
+                case MEAN -> setMean(h.variant() % 2000);
+                default -> advance(h.variant() % 60);
             }
         }
 
@@ -124,26 +123,26 @@
                             .call(Requests.call(how % 900))
                             .redirects(which % 3)
                             .timeLeft(Duration.ofMillis(100L + how % 10_000))
-                            .cost(Requests.output(tokens));
-            mWaiting.put(id, mNow);
+                            .cost(Requests.outputCost(tokens));
+            mWaitingSince.put(id, mNow);
             mBodyBytes.put(id, how % 900);
             step(new SidecarEvent.AttemptRequested(mCount, r.build()));
             checkQueue();
         }
 
         private void end(int which) {
-            List<AttemptId> running = new ArrayList<>(mRunning.keySet());
+            List<AttemptId> running = new ArrayList<>(mRunningWork.keySet());
             if (!running.isEmpty()) {
                 AttemptId id = running.get(which % running.size());
-                mRunning.remove(id);
+                mRunningWork.remove(id);
                 step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
                 step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
             }
         }
 
-        private void mean(double mean) {
+        private void setMean(double mean) {
             mMean = mean;
-            mMeanAt = mNow;
+            mMeanTime = mNow;
             step(
                     new SidecarEvent.ExchangeAnswered(
                             new MembershipDelta(MembershipCursor.NONE, false, List.of()),
@@ -153,7 +152,7 @@
                             0));
         }
 
-        private void pass(int ticks) {
+        private void advance(int ticks) {
             for (int i = 0; i < ticks; i++) {
                 mNow = mNow.plus(TICK);
                 step(new SidecarEvent.Tick());
@@ -162,27 +161,27 @@
         }
 
         private void step(SidecarEvent event) {
-            mSidecar.step(mNow, event, this::check);
+            mSidecar.step(mNow, event, this::checkEffect);
         }
 
-        private void check(SidecarEffect effect) {
+        private void checkEffect(SidecarEffect effect) {
             if (effect instanceof SidecarEffect.StartEngineCall e) {
                 double work = Math.max(1, e.request().cost().outputTokens());
                 checkBound(work);
-                mRunning.put(e.request().id(), work);
-                mWaiting.remove(e.request().id());
+                mRunningWork.put(e.request().id(), work);
+                mWaitingSince.remove(e.request().id());
             } else if (effect instanceof SidecarEffect.SendFrame f) {
                 if (f.frame().frame() instanceof Frame.Refused) {
-                    mWaiting.remove(f.frame().attempt());
+                    mWaitingSince.remove(f.frame().attempt());
                 } else if (f.frame().frame() instanceof Frame.Failed) {
-                    mRunning.remove(f.frame().attempt());
+                    mRunningWork.remove(f.frame().attempt());
                 }
             }
         }
 
         private void checkBound(double work) {
-            double before = mRunning.values().stream().mapToDouble(w -> w).sum();
-            boolean known = mMeanAt != Instant.MIN && !mMeanAt.plusSeconds(10).isBefore(mNow);
+            double before = mRunningWork.values().stream().mapToDouble(w -> w).sum();
+            boolean known = mMeanTime != Instant.MIN && !mMeanTime.plusSeconds(10).isBefore(mNow);
             double bound = Math.max(FACTOR * (known ? mMean : 0), FLOOR);
             if (before > 0) {
                 assertThat(before + work).as("running work").isLessThanOrEqualTo(bound + 1e-6);
@@ -190,13 +189,13 @@
         }
 
         private void checkQueue() {
-            assertThat(mWaiting.size()).as("waiting").isLessThanOrEqualTo(5);
-            long bytes = mWaiting.keySet().stream().mapToLong(mBodyBytes::get).sum();
+            assertThat(mWaitingSince.size()).as("waiting").isLessThanOrEqualTo(5);
+            long bytes = mWaitingSince.keySet().stream().mapToLong(mBodyBytes::get).sum();
             assertThat(bytes).as("bytes waiting").isLessThanOrEqualTo(QUEUE_BYTES);
         }
 
         private void checkWaits() {
-            mWaiting.forEach(
+            mWaitingSince.forEach(
                     (id, since) ->
                             assertThat(Duration.between(since, mNow))
                                     .as("wait of %s", id)
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
@@ -49,16 +49,16 @@
     }
 
     /** One thing that happens; the numbers choose among what there is. */
-    private record Happening(Kind kind, int which, int how) {}
+    private record Action(Kind kind, int selector, int variant) {}
 
     @Property(tries = 3000, seed = "42001")
-    void neverTwiceNeverAfterDenialAndAlwaysWhole(@ForAll("histories") List<Happening> happenings) {
-        World world = new World();
-        happenings.forEach(world::happen);
+    void attemptsRunAtMostOnceAndAnswersAreComplete(@ForAll("histories") List<Action> happenings) {
+        Simulation world = new Simulation();
+        happenings.forEach(world::perform);
     }
 
     @Provide
-    Arbitrary<List<Happening>> histories() {
+    Arbitrary<List<Action>> histories() {
         Arbitrary<Kind> kinds =
                 Arbitraries.frequency(
                         Tuple.of(8, Kind.BEGIN),
@@ -76,25 +76,25 @@
                         Tuple.of(1, Kind.MEAN));
         Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 1 << 16);
         return Combinators.combine(kinds, numbers, numbers)
-                .as(Happening::new)
+                .as(Action::new)
                 .list()
                 .ofMinSize(20)
                 .ofMaxSize(120);
     }
 
     /** Routers, a sidecar that may restart, and its engine. */
-    private static final class World {
-        private static final int REQUESTS = 3;
-        private static final int TRIES = 2;
-        private static final Duration[] WAITS = {
+    private static final class Simulation {
+        private static final int REQUEST_COUNT = 3;
+        private static final int ATTEMPTS_PER_REQUEST = 2;
+        private static final Duration[] LONG_WAITS = {
             Duration.ofSeconds(3), Duration.ofSeconds(40), Duration.ofMinutes(66)
         };
 
         private final FakeEngine mEngine = new FakeEngine();
-        private final Set<AttemptId> mDenied = new HashSet<>();
-        private final Map<AttemptId, Frame> mEndings = new HashMap<>();
+        private final Set<AttemptId> mRefused = new HashSet<>();
+        private final Map<AttemptId, Frame> mFinalFrames = new HashMap<>();
         private final Map<Long, StreamCheck> mStreams = new HashMap<>();
-        private final Map<AttemptId, Long> mBegunAt = new HashMap<>();
+        private final Map<AttemptId, Long> mRequestedIn = new HashMap<>();
         private final Set<AttemptId> mRunning = new HashSet<>();
         private boolean mDraining;
         private boolean mStopping;
@@ -102,7 +102,7 @@
         private long mIncarnation = 1;
         private SidecarReducer mSidecar = sidecar();
         private long mStreamCount;
-        private AttemptId mRevoking;
+        private AttemptId mRevokedAttempt;
 
         private SidecarReducer sidecar() {
             return new SidecarReducer(
@@ -114,7 +114,11 @@
         }
 
         private AttemptId attempt(int which) {
-            return new AttemptId("router-1", 1, which % REQUESTS, 1 + which / REQUESTS % TRIES);
+            return new AttemptId(
+                    "router-1",
+                    1,
+                    which % REQUEST_COUNT,
+                    1 + which / REQUEST_COUNT % ATTEMPTS_PER_REQUEST);
         }
 
         /** Each attempt was sent to one run of the sidecar, as routers do. */
@@ -122,34 +126,34 @@
             return new BackendRef("engine-1", id.attempt());
         }
 
-        void happen(Happening h) {
-            mNow = mNow.plusMillis(h.how() % 200);
-            AttemptId id = attempt(h.which());
+        void perform(Action h) {
+            mNow = mNow.plusMillis(h.variant() % 200);
+            AttemptId id = attempt(h.selector());
             switch (h.kind()) {
-                case BEGIN -> begin(id, h.how());
-                case RESUME -> resume(id, h.how());
-                case ACKNOWLEDGE -> acknowledge(id, h.how());
+                case BEGIN -> begin(id, h.variant());
+                case RESUME -> resume(id, h.variant());
+                case ACKNOWLEDGE -> acknowledge(id, h.variant());
                 case CANCEL -> step(new SidecarEvent.AttemptCancelled(id));
                 case REVOKE -> revoke(id);
-                case CLOSE_STREAM -> closeStream(h.how());
-                case ENGINE -> engine(id, h.how());
+                case CLOSE_STREAM -> closeStream(h.variant());
+                case ENGINE -> engine(id, h.variant());
                 case TICK -> step(new SidecarEvent.Tick());
-                case WAIT_LONG -> waitLong(h.how());
+                case WAIT_LONG -> waitLong(h.variant());
                 case RESTART -> restart();
-                case DRAIN -> exchange(h.how() % 3 == 0, 0);
+                case DRAIN -> exchange(h.variant() % 3 == 0, 0);
                 case STOP -> stop();
-                default -> exchange(false, h.how());
+                default -> exchange(false, h.variant());
             }
         }
 
         private void begin(AttemptId id, int how) {
             // A router begins an attempt once, and the connection that carries the message ends
             // with the sidecar's run: what reached one run can't reach the next one.
-            if (mBegunAt.computeIfAbsent(id, i -> mIncarnation) != mIncarnation) {
+            if (mRequestedIn.computeIfAbsent(id, i -> mIncarnation) != mIncarnation) {
                 return;
             }
             AttemptRequest.Builder request =
-                    Requests.request(id, target(id)).cost(Requests.output(5000));
+                    Requests.request(id, target(id)).cost(Requests.outputCost(5000));
             if (how % 3 == 0) {
                 request.idempotent(false)
                         .idempotencyKey("key")
@@ -174,7 +178,7 @@
         }
 
         private void revoke(AttemptId id) {
-            mRevoking = id;
+            mRevokedAttempt = id;
             step(new SidecarEvent.AttemptRevoked(0, id, target(id)));
         }
 
@@ -188,7 +192,7 @@
         }
 
         private void engine(AttemptId id, int how) {
-            SidecarEvent event = mEngine.act(id, act(how));
+            SidecarEvent event = mEngine.perform(id, engineAction(how));
             if (event != null) {
                 if (!(event instanceof SidecarEvent.EngineHeadReceived
                         || event instanceof SidecarEvent.EngineDataReceived)) {
@@ -198,15 +202,17 @@
             }
         }
 
-        private static FakeEngine.Act act(int how) {
+        private static FakeEngine.CallStep engineAction(int how) {
             if (how % 32 == 0) {
-                return FakeEngine.Act.REFUSE_CONNECTION;
+                return FakeEngine.CallStep.REFUSE_CONNECTION;
             }
-            return how % 32 == 1 ? FakeEngine.Act.BREAK : FakeEngine.Act.GO_ON;
+            return how % 32 == 1
+                    ? FakeEngine.CallStep.BREAK_CONNECTION
+                    : FakeEngine.CallStep.CONTINUE;
         }
 
         private void waitLong(int how) {
-            mNow = mNow.plus(WAITS[how % WAITS.length]);
+            mNow = mNow.plus(LONG_WAITS[how % LONG_WAITS.length]);
             step(new SidecarEvent.Tick());
         }
 
@@ -236,17 +242,17 @@
         }
 
         private void step(SidecarEvent event) {
-            mSidecar.step(mNow, event, this::check);
+            mSidecar.step(mNow, event, this::checkEffect);
         }
 
-        private void check(SidecarEffect effect) {
+        private void checkEffect(SidecarEffect effect) {
             if (effect instanceof SidecarEffect.StartEngineCall e) {
                 AttemptId id = e.request().id();
-                assertThat(mDenied).as("run after denial").doesNotContain(id);
+                assertThat(mRefused).as("run after denial").doesNotContain(id);
                 assertThat(mEngine.runCount(id)).as("runs of %s before", id).isZero();
                 assertThat(mDraining || mStopping).as("start while leaving").isFalse();
                 mRunning.add(id);
-                mEngine.called(id);
+                mEngine.startCall(id);
             } else if (effect instanceof SidecarEffect.CancelEngineCall e) {
                 mRunning.remove(e.attempt());
             } else if (effect instanceof SidecarEffect.Stopped) {
@@ -263,36 +269,36 @@
         private void checkFrame(SidecarEffect.SendFrame e) {
             StreamCheck stream = mStreams.get(e.stream());
             assertThat(stream).as("a frame on a closed stream: %s", e).isNotNull();
-            stream.take(e.frame());
+            stream.onFrame(e.frame());
             if (e.frame().frame() instanceof Frame.Refused r) {
                 assertThat(r.code().isNotRun()).isTrue();
-                deny(e.frame().attempt());
+                markRefused(e.frame().attempt());
             } else if (e.frame().frame() instanceof Frame.End
                     || e.frame().frame() instanceof Frame.Failed) {
-                checkEnding(e.frame().attempt(), e.frame().frame());
+                checkFinalFrame(e.frame().attempt(), e.frame().frame());
             }
         }
 
         /** An attempt has one ending, whichever stream it goes out on. */
-        private void checkEnding(AttemptId id, Frame ending) {
+        private void checkFinalFrame(AttemptId id, Frame ending) {
             boolean aboutStream =
                     ending instanceof Frame.Failed f
                             && (f.code() == ResultCode.OUTPUT_NOT_KEPT
                                     || f.code() == ResultCode.OUTCOME_UNKNOWN);
             if (!aboutStream) {
-                assertThat(mEndings.putIfAbsent(id, ending)).isIn(null, ending);
+                assertThat(mFinalFrames.putIfAbsent(id, ending)).isIn(null, ending);
             }
         }
 
         private void checkRevoke(SidecarEffect.AnswerRevoke e) {
             if (e.state() == AttemptState.NEVER_STARTED) {
-                deny(mRevoking);
+                markRefused(mRevokedAttempt);
             }
         }
 
-        private void deny(AttemptId id) {
+        private void markRefused(AttemptId id) {
             assertThat(mEngine.runCount(id)).as("runs of %s, denied", id).isZero();
-            mDenied.add(id);
+            mRefused.add(id);
         }
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptMemoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptMemoryTest.java
@@ -14,7 +14,7 @@
 /** What the sidecar may still say about attempts that it has forgotten. */
 class AttemptMemoryTest {
     private static final BackendRef SELF = new BackendRef("engine-1", 1);
-    private static final Duration LONG = Duration.ofMinutes(66);
+    private static final Duration RETENTION_EXCEEDED = Duration.ofMinutes(66);
     private static final AttemptId ID = Requests.id(5);
 
     private final SidecarDriver mSidecar = new SidecarDriver();
@@ -27,12 +27,12 @@
     // An attempt ran, its output was dropped, and more than any deadline later its id was dropped
     // too. A router that was stopped all the while revokes it. "Never started" would be a lie.
     @Test
-    void forgottenAttemptIsNotCalledNeverStarted() {
+    void forgottenAttemptIsNotReportedAsNeverStarted() {
         mSidecar.begin(Requests.request(5));
-        mSidecar.answer(ID, new byte[3]);
-        mSidecar.pass(LONG);
+        mSidecar.answerAttempt(ID, new byte[3]);
+        mSidecar.advance(RETENTION_EXCEEDED);
         assertThat(revoke(ID)).isEqualTo(AttemptState.FINISHED);
-        mSidecar.pass(LONG);
+        mSidecar.advance(RETENTION_EXCEEDED);
         assertThat(revoke(ID)).isEqualTo(AttemptState.OTHER_INCARNATION);
     }
 
@@ -41,7 +41,7 @@
     @Test
     void forgottenAttemptNeverStarts() {
         revoke(ID);
-        mSidecar.pass(LONG);
+        mSidecar.advance(RETENTION_EXCEEDED);
         Frame.Failed failed =
                 (Frame.Failed) mSidecar.takeLastFrame(mSidecar.begin(Requests.request(5)));
         assertThat(failed.code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
@@ -50,7 +50,7 @@
     @Test
     void newerRequestsOfTheSameRouterStart() {
         revoke(ID);
-        mSidecar.pass(LONG);
+        mSidecar.advance(RETENTION_EXCEEDED);
         mSidecar.begin(Requests.request(6));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
@@ -58,12 +58,12 @@
     // More attempts are denied than the memory holds. The oldest id goes before its time; its late
     // message must still not start it.
     @Test
-    void fullMemoryForgetsSafely() {
-        AttemptMemory memory = new AttemptMemory(LONG, 2, 10);
+    void idEvictedFromAFullMemoryCannotStart() {
+        AttemptMemory memory = new AttemptMemory(RETENTION_EXCEEDED, 2, 10);
         for (long request = 1; request <= 3; request++) {
-            memory.put(Instant.EPOCH, Requests.id(request), AttemptMemory.Past.NEVER_STARTED);
+            memory.put(Instant.EPOCH, Requests.id(request), AttemptMemory.Outcome.NEVER_STARTED);
         }
         assertThat(memory.size()).isEqualTo(2);
-        assertThat(memory.find(Requests.id(1))).isEqualTo(AttemptMemory.Past.FORGOTTEN);
+        assertThat(memory.find(Requests.id(1))).isEqualTo(AttemptMemory.Outcome.FORGOTTEN);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptOutputTest.java
@@ -20,7 +20,7 @@
     // memory is bounded: it reads no further from the engine until the router has acknowledged
     // enough.
     @Test
-    void engineIsReadNoFurtherWhileOutputIsNotAcknowledged() {
+    void engineIsNotReadWhileTooMuchOutputIsUnacknowledged() {
         mSidecar.begin(Requests.request(1));
         mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
         byte[] half = new byte[1 << 19];
@@ -38,7 +38,7 @@
     // The router's connection went silent after it had acknowledged ten bytes, and these were
     // dropped. Asked for what is gone, the sidecar says so instead of sending a shortened answer.
     @Test
-    void droppedOutputIsNotResumed() {
+    void resumeBelowDroppedOutputFails() {
         mSidecar.begin(Requests.request(1));
         mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 200, List.of()));
         mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[10]));
@@ -77,7 +77,7 @@
     // The message that begins an attempt comes late, out of a connection that its router has given
     // up; the router has resumed over a new one. The new one keeps the attempt.
     @Test
-    void lateBeginDoesNotTakeOverFromAResumption() {
+    void lateRequestDoesNotReplaceAResumedStream() {
         mSidecar.begin(Requests.request(1));
         long resumed = mSidecar.resume(ID, 0);
         long late = mSidecar.begin(Requests.request(1));
@@ -92,15 +92,15 @@
     // Kept answers fill the store while another answer is being sent. The oldest delivered one
     // makes room; the one that nobody has read yet stays, although it is older.
     @Test
-    void fullStoreDropsDeliveredAnswersFirst() {
+    void fullBufferDropsDeliveredAnswersFirst() {
         long limit = SidecarSettings.DEFAULT.output().totalBytes();
         AttemptId delivered = Requests.id(2);
         AttemptId next = Requests.id(3);
-        long lost = mSidecar.begin(Requests.order(1, "a", Duration.ofHours(1)));
+        long lost = mSidecar.begin(Requests.nonIdempotentRequest(1, "a", Duration.ofHours(1)));
         mSidecar.step(new SidecarEvent.StreamClosed(lost));
-        mSidecar.answer(ID, new byte[3]);
-        mSidecar.begin(Requests.order(2, "b", Duration.ofHours(1)));
-        mSidecar.answer(delivered, new byte[(int) limit - (1 << 19)]);
+        mSidecar.answerAttempt(ID, new byte[3]);
+        mSidecar.begin(Requests.nonIdempotentRequest(2, "b", Duration.ofHours(1)));
+        mSidecar.answerAttempt(delivered, new byte[(int) limit - (1 << 19)]);
         mSidecar.begin(Requests.request(3));
         mSidecar.step(new SidecarEvent.EngineHeadReceived(next, 200, List.of()));
         mSidecar.step(new SidecarEvent.EngineDataReceived(next, new byte[1 << 19]));
@@ -115,13 +115,13 @@
     // A caller resends an order with its key after the first router was lost. The whole first
     // answer is still there, although its first reader had acknowledged all of it.
     @Test
-    void keyedAnswerStaysForItsResend() {
-        mSidecar.begin(Requests.order(1, "order-7", Duration.ofMinutes(5)));
+    void acknowledgedAnswerWithAKeyIsKeptForAResend() {
+        mSidecar.begin(Requests.nonIdempotentRequest(1, "order-7", Duration.ofMinutes(5)));
         mSidecar.step(new SidecarEvent.EngineHeadReceived(ID, 201, List.of()));
         mSidecar.step(new SidecarEvent.EngineDataReceived(ID, new byte[10]));
         mSidecar.step(new SidecarEvent.OutputAcknowledged(ID, 10));
         mSidecar.step(new SidecarEvent.EngineFinished(ID, Frame.Usage.NONE));
-        mSidecar.pass(Duration.ofMinutes(4));
+        mSidecar.advance(Duration.ofMinutes(4));
 
         List<Frame> frames = mSidecar.takeFrames(mSidecar.resume(ID, 0));
         assertThat(frames).hasSize(3);
@@ -131,26 +131,27 @@
     // A router is lost and nobody resumes. The idempotent call is given up, as its answer would
     // reach nobody; the order that may run only once runs on, since a resend will ask for it.
     @Test
-    void unfollowedCallIsCancelledUnlessAResendWillAskForIt() {
+    void unfollowedAttemptIsCancelledUnlessAResendCanFindIt() {
         AttemptId order = Requests.id(2);
         long first = mSidecar.begin(Requests.request(1));
-        long second = mSidecar.begin(Requests.order(2, "order-7", Duration.ofMinutes(5)));
+        long second =
+                mSidecar.begin(Requests.nonIdempotentRequest(2, "order-7", Duration.ofMinutes(5)));
         mSidecar.step(new SidecarEvent.StreamClosed(first));
         mSidecar.step(new SidecarEvent.StreamClosed(second));
         mSidecar.take(SidecarEffect.CancelEngineCall.class);
 
-        mSidecar.pass(KEEP_TIME);
+        mSidecar.advance(KEEP_TIME);
         assertThat(mSidecar.take(SidecarEffect.CancelEngineCall.class))
                 .containsExactly(new SidecarEffect.CancelEngineCall(ID));
-        mSidecar.answer(order, new byte[3]);
+        mSidecar.answerAttempt(order, new byte[3]);
         assertThat(mSidecar.takeLastFrame(mSidecar.resume(order, 0))).isInstanceOf(Frame.End.class);
     }
 
     @Test
-    void silenceIsBrokenByProgress() {
+    void progressFrameIsSentAfterTheInterval() {
         long stream = mSidecar.begin(Requests.request(1));
         mSidecar.takeFrames(stream);
-        mSidecar.pass(Duration.ofMillis(500));
+        mSidecar.advance(Duration.ofMillis(500));
         assertThat(mSidecar.takeFrames(stream)).containsExactly(new Frame.Progress(0));
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/CachedChatsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/CachedChatsTest.java
@@ -11,7 +11,7 @@
     // The engine drops the history that was unused for longest to make room for a long one. Still
     // counted as cached, the dropped chat's next turn would be admitted as a tenth of its work.
     @Test
-    void longHistoryPutsOutThoseUnusedForLongest() {
+    void longHistoryEvictsLeastRecentlyUsedChats() {
         mChats.setMaxTokens(1_000);
         mChats.put(1, 400);
         mChats.put(2, 400);
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void historyThatGrowsCountsOnce() {
+    void updatedHistoryCountsOnce() {
         mChats.setMaxTokens(1_000);
         mChats.put(1, 400);
         mChats.put(2, 300);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void chatsAreBoundedByNumberAsWell() {
+    void numberOfChatsIsBounded() {
         for (int chat = 1; chat <= 4; chat++) {
             mChats.put(chat, 1);
         }
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void smallerCacheIsTakenOnAtOnce() {
+    void loweringTheTokenLimitEvictsAtOnce() {
         mChats.put(1, 400);
         mChats.put(2, 400);
         mChats.setMaxTokens(500);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/ChatHomesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
@@ -16,9 +16,9 @@
 import org.laurelweir.placement.Ranking;
 
 /** A chat is brought to where its history is cached, and its home learns where that is. */
-class ChatHomesTest {
+class ChatLocationsTest {
     private static final AttemptId ID = Requests.id(1);
-    private static final Duration LATER = Duration.ofHours(1);
+    private static final Duration AFTER_RECENT_JOIN_PERIOD = Duration.ofHours(1);
 
     private final SidecarDriver mSidecar = new SidecarDriver();
 
@@ -32,7 +32,7 @@
     }
 
     /** Returns a chat whose home is a backend server. */
-    private static long chatAt(String home) {
+    private static long chatWithHome(String home) {
         long chat = 1;
         while (!ranking().home(new ChatKey(chat)).id().equals(home)) {
             chat++;
@@ -40,17 +40,17 @@
         return chat;
     }
 
-    private void start() {
+    private void startAsEstablishedMember() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         // Chats of a server that joined lately may sit elsewhere; later ones are at home.
-        mSidecar.pass(LATER);
+        mSidecar.advance(AFTER_RECENT_JOIN_PERIOD);
         mSidecar.take(SidecarEffect.class);
     }
 
     @Test
-    void homeSendsARequestOnToWhereItsChatSits() {
-        start();
-        long chat = chatAt("engine-1");
+    void homeRedirectsToTheServerThatCachesTheChat() {
+        startAsEstablishedMember();
+        long chat = chatWithHome("engine-1");
         mSidecar.step(new SidecarEvent.ChatsHandedOver("engine-2", Map.of(chat, "engine-2")));
         Frame.Refused refused =
                 (Frame.Refused)
@@ -63,30 +63,30 @@
     // The home sends a request on to where the chat sat, but that server has sent it back, being
     // full. Sent on again, it would go round until its deadline.
     @Test
-    void redirectedRequestIsNotSentBack() {
-        start();
-        long chat = chatAt("engine-1");
+    void redirectedRequestRunsHere() {
+        startAsEstablishedMember();
+        long chat = chatWithHome("engine-1");
         mSidecar.step(new SidecarEvent.ChatsHandedOver("engine-2", Map.of(chat, "engine-2")));
         mSidecar.begin(Requests.request(1).chat(chat, false).redirects(1));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
 
     @Test
-    void serverThatAnswersADisplacedChatTellsItsHome() {
-        start();
-        long chat = chatAt("engine-2");
+    void serverThatAnswersAChatOfAnotherHomeNotifiesTheHome() {
+        startAsEstablishedMember();
+        long chat = chatWithHome("engine-2");
         mSidecar.begin(Requests.request(1).chat(chat, false).redirects(1));
-        mSidecar.answer(ID, new byte[3]);
-        mSidecar.pass(Duration.ofSeconds(1));
+        mSidecar.answerAttempt(ID, new byte[3]);
+        mSidecar.advance(Duration.ofSeconds(1));
         assertThat(mSidecar.take(SidecarEffect.HandOverChats.class))
                 .containsExactly(
                         new SidecarEffect.HandOverChats("10.0.0.2:1", Map.of(chat, "engine-1")));
     }
 
     @Test
-    void newHomeAsksThePreviousOneOnceAndFollowsItsAnswer() {
+    void newHomeAsksThePreviousHomeAndRedirectsToItsAnswer() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
-        long chat = chatAt("engine-1");
+        long chat = chatWithHome("engine-1");
         AttemptRequest.Builder returning = Requests.request(1).chat(chat, true);
         long stream = mSidecar.begin(returning);
         SidecarEffect.LocateChats asked = mSidecar.take(SidecarEffect.LocateChats.class).get(0);
@@ -100,25 +100,25 @@
     // The previous home does not answer: it crashed, or the connection to it is silent. The caller
     // waits a tenth of a second for it and no longer; the request then runs here.
     @Test
-    void unansweredQuestionHoldsARequestOnlyShortly() {
+    void lookupWithoutReplyTimesOut() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
-        mSidecar.begin(Requests.request(1).chat(chatAt("engine-1"), true));
+        mSidecar.begin(Requests.request(1).chat(chatWithHome("engine-1"), true));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).isEmpty();
-        mSidecar.pass(Duration.ofMillis(100));
+        mSidecar.advance(Duration.ofMillis(100));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
 
     // A request is revoked while its chat is being asked for. The answer arrives after the router
     // was told that the request never started: it must not start now.
     @Test
-    void revokedWhileAskingNeverStarts() {
+    void attemptRevokedDuringLookupNeverStarts() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
-        long chat = chatAt("engine-1");
+        long chat = chatWithHome("engine-1");
         mSidecar.begin(Requests.request(1).chat(chat, true));
         long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).question();
         mSidecar.step(new SidecarEvent.AttemptRevoked(1, ID, new BackendRef("engine-1", 1)));
         mSidecar.step(new SidecarEvent.ChatsLocated(question, Map.of()));
-        mSidecar.pass(Duration.ofSeconds(1));
+        mSidecar.advance(Duration.ofSeconds(1));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).isEmpty();
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/FairQueueTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/FairQueueTest.java
@@ -36,7 +36,7 @@
     }
 
     @Property(tries = 200, seed = "42003")
-    void backloggedAccountsGetWorkByTheirWeights(
+    void backloggedAccountsAreServedByWeight(
             @ForAll @IntRange(min = 1, max = 4) int weight,
             @ForAll @IntRange(min = 50, max = 400) int small,
             @ForAll @IntRange(min = 50, max = 400) int large) {
@@ -67,7 +67,7 @@
     // Urgent requests keep coming as fast as they are taken. One of low priority must still get
     // its turn, or its caller would only ever be refused.
     @Test
-    void steadyUrgentFlowStarvesNobody() {
+    void lowPriorityIsServedDuringASteadyUrgentFlow() {
         Attempt low = attempt("a", 1, 0, 1);
         mQueue.add(NOW, low);
         List<Attempt> taken = new ArrayList<>();
@@ -81,17 +81,17 @@
     // The queue is full of a large account's requests when a small account's one arrives. The
     // newest of the large account is refused, not the one that just arrived.
     @Test
-    void fullQueueMakesRoomAtTheCostOfTheHeaviestAccount() {
+    void fullQueueEvictsTheNewestOfTheAccountWithTheMostWork() {
         SidecarSettings.QueueLimits limits =
                 new SidecarSettings.QueueLimits(3, 1 << 20, Duration.ofSeconds(2));
         mQueue.add(NOW, attempt("large", 1, 0, 10));
         mQueue.add(NOW, attempt("large", 1, 0, 10));
         Attempt newest = attempt("large", 1, 0, 10);
         mQueue.add(NOW, newest);
-        assertThat(mQueue.overflow(limits)).isNull();
+        assertThat(mQueue.findExcess(limits)).isNull();
 
         mQueue.add(NOW, attempt("small", 1, 0, 10));
-        assertThat(mQueue.overflow(limits)).isSameAs(newest);
+        assertThat(mQueue.findExcess(limits)).isSameAs(newest);
     }
 
     private Attempt attempt(String account, double weight, int priority, int work) {
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
@@ -13,28 +13,28 @@
  */
 final class FakeEngine {
     /** What an engine does next with a call. */
-    enum Act {
+    enum CallStep {
         REFUSE_CONNECTION,
-        GO_ON,
-        BREAK
+        CONTINUE,
+        BREAK_CONNECTION
     }
 
-    private static final int PIECE = 7;
-    private static final int PIECES = 5;
+    private static final int PIECE_BYTES = 7;
+    private static final int PIECE_COUNT = 5;
 
-    private static final class Run {
+    private static final class Call {
         private boolean mAccepted;
-        private boolean mAnswered;
-        private boolean mOver;
-        private int mPieces;
+        private boolean mHeadSent;
+        private boolean mEnded;
+        private int mPiecesSent;
     }
 
-    private final Map<AttemptId, Run> mRuns = new HashMap<>();
+    private final Map<AttemptId, Call> mCalls = new HashMap<>();
     private final Map<AttemptId, Integer> mRunCounts = new HashMap<>();
 
     /** Takes a call from the sidecar. */
-    void called(AttemptId id) {
-        mRuns.put(id, new Run());
+    void startCall(AttemptId id) {
+        mCalls.put(id, new Call());
     }
 
     /** Returns how often an attempt really ran. */
@@ -44,7 +44,7 @@
 
     /** Returns the whole answer to an attempt. */
     static byte[] answer(AttemptId id) {
-        byte[] whole = new byte[PIECE * PIECES];
+        byte[] whole = new byte[PIECE_BYTES * PIECE_COUNT];
         for (int i = 0; i < whole.length; i++) {
             whole[i] = (byte) (id.hashCode() * 31 + i);
         }
@@ -52,37 +52,37 @@
     }
 
     /** Does something with a call and returns what the sidecar hears, or null. */
-    SidecarEvent act(AttemptId id, Act act) {
-        Run run = mRuns.get(id);
-        if (run == null || run.mOver) {
+    SidecarEvent perform(AttemptId id, CallStep act) {
+        Call run = mCalls.get(id);
+        if (run == null || run.mEnded) {
             return null;
         }
-        if (act == Act.REFUSE_CONNECTION && !run.mAccepted) {
-            run.mOver = true;
+        if (act == CallStep.REFUSE_CONNECTION && !run.mAccepted) {
+            run.mEnded = true;
             return new SidecarEvent.EngineFailed(id, false, "refused");
         }
         if (!run.mAccepted) {
             run.mAccepted = true;
             mRunCounts.merge(id, 1, Integer::sum);
         }
-        if (act == Act.BREAK) {
-            run.mOver = true;
+        if (act == CallStep.BREAK_CONNECTION) {
+            run.mEnded = true;
             return new SidecarEvent.EngineFailed(id, true, "broken");
         }
-        return goOn(id, run);
+        return continueCall(id, run);
     }
 
-    private static SidecarEvent goOn(AttemptId id, Run run) {
-        if (!run.mAnswered) {
-            run.mAnswered = true;
+    private static SidecarEvent continueCall(AttemptId id, Call run) {
+        if (!run.mHeadSent) {
+            run.mHeadSent = true;
             return new SidecarEvent.EngineHeadReceived(id, 200, List.of());
         }
-        if (run.mPieces < PIECES) {
-            int from = PIECE * run.mPieces++;
-            byte[] piece = Arrays.copyOfRange(answer(id), from, from + PIECE);
+        if (run.mPiecesSent < PIECE_COUNT) {
+            int from = PIECE_BYTES * run.mPiecesSent++;
+            byte[] piece = Arrays.copyOfRange(answer(id), from, from + PIECE_BYTES);
             return new SidecarEvent.EngineDataReceived(id, piece);
         }
-        run.mOver = true;
+        run.mEnded = true;
         return new SidecarEvent.EngineFinished(id, Frame.Usage.NONE);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/LaterRunTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/LaterIncarnationDetectorTest.java
@@ -16,13 +16,13 @@
 import org.laurelweir.membership.SidecarReport;
 
 /** A sidecar that starts with a lower incarnation than the run before it, at a real membership. */
-class LaterRunTest {
-    private static final long BEFORE = 9;
-    private static final long AFTER_CLOCK_WENT_BACK = 5;
+class LaterIncarnationDetectorTest {
+    private static final long EARLIER_INCARNATION = 9;
+    private static final long INCARNATION_AFTER_CLOCK_STEP = 5;
 
-    private final MembershipListener mIgnore = (b, reason, own) -> {};
+    private final MembershipListener mNoListener = (b, reason, own) -> {};
     private final SharedMembership mControl =
-            new SharedMembership(MembershipConfig.builder("c1", 1).build(), List.of(), mIgnore);
+            new SharedMembership(MembershipConfig.builder("c1", 1).build(), List.of(), mNoListener);
     private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
     private SidecarReducer mSidecar;
 
@@ -31,9 +31,10 @@
         return new SidecarIdentity(ref, Requests.SERVICE, "bergen", "vestkyst", "10.0.0.1:1", 1);
     }
 
-    private void hear(Backend.State state) {
+    private void announceEarlierRun(Backend.State state) {
         mControl.receiveReport(
-                mNow, new SidecarReport(identity(BEFORE).announcement(state, 1), 0, 0, 0));
+                mNow,
+                new SidecarReport(identity(EARLIER_INCARNATION).announcement(state, 1), 0, 0, 0));
     }
 
     private List<SidecarEffect> step(SidecarEvent event) {
@@ -43,7 +44,7 @@
     }
 
     /** Lets the sidecar exchange some times, and take over where it is told that it may. */
-    private void run(long incarnation) {
+    private void startAndExchange(long incarnation) {
         mSidecar = new SidecarReducer(identity(incarnation));
         for (int i = 0; i < 4; i++) {
             mNow = mNow.plus(Announcer.INTERVAL);
@@ -70,7 +71,7 @@
         return new SidecarEvent.ExchangeAnswered(delta, List.of(), true, false, 0);
     }
 
-    private Backend known() {
+    private Backend listedBackend() {
         return mControl.backends().iterator().next();
     }
 
@@ -78,50 +79,51 @@
     // anew. Its announcements are older than the departure: without taking a later incarnation it
     // would be listed as gone, and get no request, for as long as control remembers departures.
     @Test
-    void restartAfterADepartureServesAgain() {
-        hear(Backend.State.SERVING);
-        hear(Backend.State.LEFT);
-        run(AFTER_CLOCK_WENT_BACK);
-        assertThat(known().state()).isEqualTo(Backend.State.SERVING);
-        assertThat(known().ref().incarnation()).isEqualTo(BEFORE + 1);
+    void restartAfterDepartureIsListedAsServing() {
+        announceEarlierRun(Backend.State.SERVING);
+        announceEarlierRun(Backend.State.LEFT);
+        startAndExchange(INCARNATION_AFTER_CLOCK_STEP);
+        assertThat(listedBackend().state()).isEqualTo(Backend.State.SERVING);
+        assertThat(listedBackend().ref().incarnation()).isEqualTo(EARLIER_INCARNATION + 1);
     }
 
     // The same after a crash that control has not noticed: routers would go on asking for the run
     // that crashed, and this one would refuse all that they send.
     @Test
-    void restartAfterACrashServesAgain() {
-        hear(Backend.State.SERVING);
-        run(AFTER_CLOCK_WENT_BACK);
-        assertThat(known().state()).isEqualTo(Backend.State.SERVING);
-        assertThat(known().ref().incarnation()).isEqualTo(BEFORE + 1);
+    void restartAfterCrashIsListedAsServing() {
+        announceEarlierRun(Backend.State.SERVING);
+        startAndExchange(INCARNATION_AFTER_CLOCK_STEP);
+        assertThat(listedBackend().state()).isEqualTo(Backend.State.SERVING);
+        assertThat(listedBackend().ref().incarnation()).isEqualTo(EARLIER_INCARNATION + 1);
     }
 
     // Control tells of the earlier run only when an attempt runs here, as an instance does that was
     // cut off. Taking over would forget the attempt; the sidecar waits until its output is no
     // longer kept, and must then not need to be told again.
     @Test
-    void takesOverOnceIdle() {
-        mSidecar = new SidecarReducer(identity(AFTER_CLOCK_WENT_BACK));
+    void reportsLaterIncarnationAgainOnceIdle() {
+        mSidecar = new SidecarReducer(identity(INCARNATION_AFTER_CLOCK_STEP));
         step(
                 new SidecarEvent.AttemptRequested(
                         1, Requests.request(Requests.id(1), identity(5).ref()).build()));
-        Backend earlier = identity(BEFORE).announcement(Backend.State.LEFT, 1);
+        Backend earlier = identity(EARLIER_INCARNATION).announcement(Backend.State.LEFT, 1);
         MembershipCursor cursor = new MembershipCursor("c1", 1, 1);
         SidecarEvent told = answer(new MembershipDelta(cursor, true, List.of(earlier)));
-        assertThat(step(told)).contains(new SidecarEffect.Superseded(BEFORE, false));
+        assertThat(step(told)).contains(new SidecarEffect.Superseded(EARLIER_INCARNATION, false));
 
         step(new SidecarEvent.EngineFailed(Requests.id(1), true, "gone"));
         mNow = mNow.plus(SidecarSettings.DEFAULT.output().keepTime().multipliedBy(2));
         step(new SidecarEvent.Tick());
         SidecarEvent nothingNew = answer(new MembershipDelta(cursor, false, List.of()));
-        assertThat(step(nothingNew)).contains(new SidecarEffect.Superseded(BEFORE, true));
+        assertThat(step(nothingNew))
+                .contains(new SidecarEffect.Superseded(EARLIER_INCARNATION, true));
     }
 
     // A run takes over while an answer to the run before is under way. It holds only what that one
     // lacked. Taken, its cursor would have control leave out the other backend servers for good.
     @Test
-    void answerToTheRunBeforeIsNotContinued() {
-        mSidecar = new SidecarReducer(identity(BEFORE));
+    void deltaForEarlierRunIsIgnored() {
+        mSidecar = new SidecarReducer(identity(EARLIER_INCARNATION));
         MembershipCursor other = new MembershipCursor("c1", 1, 7);
         step(answer(new MembershipDelta(other, false, List.of())));
         mNow = mNow.plus(Announcer.INTERVAL);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
@@ -24,11 +24,12 @@
                 .service(SERVICE)
                 .call(call(0))
                 .timeLeft(Duration.ofMinutes(1))
-                .cost(output(100));
+                .cost(outputCost(100));
     }
 
     /** Returns a call that must not run twice. */
-    static AttemptRequest.Builder order(long number, String key, Duration keepOutput) {
+    static AttemptRequest.Builder nonIdempotentRequest(
+            long number, String key, Duration keepOutput) {
         return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(keepOutput);
     }
 
@@ -41,7 +42,7 @@
                 "POST", "/v1/chat/completions", List.of(), new byte[bodyBytes], true);
     }
 
-    static AttemptRequest.Cost output(int tokens) {
+    static AttemptRequest.Cost outputCost(int tokens) {
         return new AttemptRequest.Cost(0, tokens);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
@@ -26,20 +26,20 @@
                             1));
     private final List<SidecarEffect> mEffects = new ArrayList<>();
     private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
-    private long mStreams;
+    private long mStreamCount;
 
     /** Begins an attempt on a new stream and returns the stream. */
     long begin(AttemptRequest.Builder request) {
-        step(new SidecarEvent.AttemptRequested(++mStreams, request.build()));
-        return mStreams;
+        step(new SidecarEvent.AttemptRequested(++mStreamCount, request.build()));
+        return mStreamCount;
     }
 
     /** Follows an attempt on a new stream and returns the stream. */
     long resume(AttemptId id, long offset) {
         step(
                 new SidecarEvent.AttemptResumed(
-                        ++mStreams, id, new BackendRef("engine-1", 1), offset));
-        return mStreams;
+                        ++mStreamCount, id, new BackendRef("engine-1", 1), offset));
+        return mStreamCount;
     }
 
     void step(SidecarEvent event) {
@@ -47,7 +47,7 @@
     }
 
     /** Lets time pass, with a tick at its end. */
-    void pass(Duration time) {
+    void advance(Duration time) {
         mNow = mNow.plus(time);
         step(new SidecarEvent.Tick());
     }
@@ -68,7 +68,7 @@
     }
 
     /** Has the backend server answer an attempt wholly. */
-    void answer(AttemptId id, byte[] body) {
+    void answerAttempt(AttemptId id, byte[] body) {
         step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
         step(new SidecarEvent.EngineDataReceived(id, body));
         step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/StreamCheck.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/StreamCheck.java
@@ -11,45 +11,46 @@
 final class StreamCheck {
     private final AttemptId mAttempt;
     private final boolean mFromStart;
-    private long mNext;
-    private boolean mHead;
-    private boolean mOver;
+    private long mNextOffset;
+    private boolean mHeadReceived;
+    private boolean mEnded;
 
     /** Creates the check of a stream that wants the output from an offset on. */
     StreamCheck(AttemptId attempt, long offset) {
         mAttempt = attempt;
-        mNext = offset;
+        mNextOffset = offset;
         mFromStart = offset == 0;
     }
 
-    void take(AttemptFrame frame) {
-        assertThat(mOver).as("a frame after the last one: %s", frame).isFalse();
+    void onFrame(AttemptFrame frame) {
+        assertThat(mEnded).as("a frame after the last one: %s", frame).isFalse();
         assertThat(frame.attempt()).isEqualTo(mAttempt);
         Frame f = frame.frame();
         if (f instanceof Frame.Head) {
-            mHead = true;
+            mHeadReceived = true;
         } else if (f instanceof Frame.Data d) {
-            data(d);
+            checkData(d);
         } else if (f instanceof Frame.End e) {
-            assertThat(e.length()).as("length").isEqualTo(mNext);
+            assertThat(e.length()).as("length").isEqualTo(mNextOffset);
             assertThat(e.length()).isEqualTo(FakeEngine.answer(mAttempt).length);
-            mOver = true;
+            mEnded = true;
         } else if (f instanceof Frame.Refused || f instanceof Frame.Failed) {
-            mOver = true;
+            mEnded = true;
         }
     }
 
-    private void data(Frame.Data data) {
-        assertThat(mHead || !mFromStart).as("data before the head").isTrue();
-        assertThat(data.offset()).as("offset").isEqualTo(mNext);
-        mNext += data.bytes().length;
+    private void checkData(Frame.Data data) {
+        assertThat(mHeadReceived || !mFromStart).as("data before the head").isTrue();
+        assertThat(data.offset()).as("offset").isEqualTo(mNextOffset);
+        mNextOffset += data.bytes().length;
         byte[] sent =
-                Arrays.copyOfRange(FakeEngine.answer(mAttempt), (int) data.offset(), (int) mNext);
+                Arrays.copyOfRange(
+                        FakeEngine.answer(mAttempt), (int) data.offset(), (int) mNextOffset);
         assertThat(data.bytes()).isEqualTo(sent);
     }
 
     /** Returns the offset up to which the stream has brought the output. */
-    long next() {
-        return mNext;
+    long nextOffset() {
+        return mNextOffset;
     }
 }
