--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
@@ -11,8 +11,10 @@
 import org.laurelweir.placement.WorkEstimate;
 
 /**
- * Decides about attempts that have not started: run now, wait a short time, go to the next in rank,
- * or be refused at once with the time to come back. Nothing is held longer than the queue's age.
+ * Decides about attempts that have not started: start them now, queue them for a short time,
+ * redirect them to the next backend server in rank, or refuse them with a retry-after time.
+ *
+ * <p>No attempt waits longer than the maximum age of the queue.
  */
 final class Admission {
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
@@ -33,19 +35,19 @@
     Admission(
             String self,
             RunningLoad load,
-            RunTimes times,
-            RedirectRanking next,
-            AttemptFinisher endings,
+            RunTimes runTimes,
+            RedirectRanking redirectRanking,
+            AttemptFinisher finisher,
             Execution execution,
-            FrameSender frames) {
+            FrameSender frameSender) {
         mSelf = self;
         mLoad = load;
-        mRunTimes = times;
-        mRedirectRanking = next;
-        mDecisionLogger = new DecisionLogger(load, next);
-        mFinisher = endings;
+        mRunTimes = runTimes;
+        mRedirectRanking = redirectRanking;
+        mDecisionLogger = new DecisionLogger(load, redirectRanking);
+        mFinisher = finisher;
         mExecution = execution;
-        mFrameSender = frames;
+        mFrameSender = frameSender;
     }
 
     void setSettings(SidecarSettings settings) {
@@ -61,37 +63,43 @@
         return mQueue.size();
     }
 
-    /** Forgets an attempt that was ended by others while it waited. */
+    /**
+     * Removes an attempt from the queue that has ended for another reason, such as a revocation.
+     */
     void removeWaiting(Attempt attempt) {
         mQueue.remove(attempt);
     }
 
-    /** Decides about an attempt that has just arrived, given what of its prompt is cached here. */
+    /**
+     * Decides about an attempt that has just arrived.
+     *
+     * @param cachedTokens how many tokens of its prompt the backend server has cached
+     */
     void decide(Step step, Attempt attempt, int cachedTokens) {
         AttemptRequest request = attempt.request();
         WorkEstimate work = estimate(request, cachedTokens);
         attempt.setWork(Math.max(1, work.units(mSettings.bound().prefillWeight())));
         boolean reachable = !isDeadlineUnreachable(step, attempt, Duration.ZERO);
-        String next = redirectTarget(attempt);
+        String target = redirectTarget(attempt);
         BoundQuery query =
-                new BoundQuery(work, request.redirects(), !next.isEmpty(), false, reachable);
+                new BoundQuery(work, request.redirects(), !target.isEmpty(), false, reachable);
         BoundDecision decision = mPolicy.decide(query, mLoad.work(), mLoad.mean(step.now()));
         switch (decision) {
             case ADMIT -> admit(step, attempt);
             case WAIT -> enqueue(step, attempt);
             default -> {
-                String choice = decision == BoundDecision.REDIRECT ? next : "";
+                String choice = decision == BoundDecision.REDIRECT ? target : "";
                 refuseNotAdmitted(step, attempt, reachable, choice);
             }
         }
     }
 
-    private void refuseNotAdmitted(Step step, Attempt attempt, boolean reachable, String next) {
+    private void refuseNotAdmitted(Step step, Attempt attempt, boolean reachable, String target) {
         if (reachable) {
-            refuse(step, attempt, ResultCode.OVERLOADED, AdmissionReason.OVER_BOUND, next);
+            refuse(step, attempt, ResultCode.OVERLOADED, AdmissionReason.OVER_BOUND, target);
             return;
         }
-        refuse(step, attempt, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, next);
+        refuse(step, attempt, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, target);
     }
 
     private WorkEstimate estimate(AttemptRequest request, int cachedTokens) {
@@ -107,8 +115,9 @@
             enqueue(step, attempt);
             return;
         }
-        // Also counted in the queue's virtual time, or what an account was given while nobody
-        // waited would not count against it the moment somebody does.
+        // The attempt also passes through the queue, so that it counts in the virtual time.
+        // Otherwise the work that an account got while the queue was empty would not count against
+        // its share as soon as other attempts wait.
         mQueue.add(step.now(), attempt);
         mQueue.take();
         start(step, attempt, AdmissionReason.WITHIN_BOUND);
@@ -143,7 +152,7 @@
         }
     }
 
-    /** Starts those that wait, in their order, while they fit under the bound. */
+    /** Starts waiting attempts in the order of the queue while their work fits under the bound. */
     void admitWaiting(Step step) {
         Attempt next = mQueue.peek();
         while (next != null && fitsUnderBound(step, next)) {
@@ -162,7 +171,9 @@
                 mSettings.bound().capacityFloor());
     }
 
-    /** Refuses what has waited too long or can't be answered in time any more. */
+    /**
+     * Refuses the attempts that have reached the maximum age or can no longer meet their deadline.
+     */
     void refuseExpired(Step step) {
         for (Attempt a : mQueue.enqueuedUntil(step.now().minus(mSettings.queue().age()))) {
             mQueue.remove(a);
@@ -176,18 +187,21 @@
         }
     }
 
-    /** Refuses an attempt because nothing new is taken, and names who may take it. */
+    /**
+     * Refuses an attempt because this backend server takes no new work, and names a redirect target
+     * if there is one.
+     */
     void refuseNewWork(Step step, Attempt attempt, ResultCode code, AdmissionReason reason) {
         mQueue.remove(attempt);
         refuse(step, attempt, code, reason, redirectTarget(attempt));
     }
 
-    /** Refuses all that waits because nothing new is taken. */
+    /** Refuses all waiting attempts because this backend server takes no new work. */
     void refuseAllWaiting(Step step, ResultCode code, AdmissionReason reason) {
         mQueue.attempts().forEach(a -> refuseNewWork(step, a, code, reason));
     }
 
-    /** Sends an attempt to the backend server that holds its chat's history. */
+    /** Redirects an attempt to the backend server that holds its chat's history. */
     void redirectToChat(Step step, Attempt attempt, String server) {
         refuse(step, attempt, ResultCode.CHAT_ELSEWHERE, AdmissionReason.CHAT_ELSEWHERE, server);
     }
@@ -198,10 +212,10 @@
     }
 
     private void refuse(
-            Step step, Attempt attempt, ResultCode code, AdmissionReason reason, String next) {
-        logDecision(step, attempt, next.isEmpty() ? code.name() : next, reason);
-        Duration retryAfter = next.isEmpty() ? retryAfter(attempt) : Duration.ZERO;
-        mFinisher.refuse(step, attempt, new Frame.Refused(code, reason.text(), next, retryAfter));
+            Step step, Attempt attempt, ResultCode code, AdmissionReason reason, String target) {
+        logDecision(step, attempt, target.isEmpty() ? code.name() : target, reason);
+        Duration retryAfter = target.isEmpty() ? retryAfter(attempt) : Duration.ZERO;
+        mFinisher.refuse(step, attempt, new Frame.Refused(code, reason.text(), target, retryAfter));
     }
 
     private void logDecision(Step step, Attempt attempt, String choice, AdmissionReason reason) {
@@ -223,14 +237,15 @@
     }
 
     /**
-     * Returns when to come back: when those that run and wait now have likely ended, spread by up
-     * to the same time again, so that callers refused together don't return together.
+     * Returns after which time the caller should retry: the expected time until enough attempts
+     * have ended for all that wait now and one more. A part that depends on the attempt's id, up to
+     * the same time again, spreads the retries of callers that are refused together.
      */
     private Duration retryAfter(Attempt attempt) {
-        Duration busy = mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running());
-        Duration base = busy.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : busy;
+        Duration untilFree = mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running());
+        Duration base = untilFree.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : untilFree;
         long spread = Math.floorMod(attempt.id().hashCode(), base.toMillis());
-        Duration whole = base.plusMillis(spread);
-        return whole.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : whole;
+        Duration total = base.plusMillis(spread);
+        return total.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : total;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AdmissionReason.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AdmissionReason.java
@@ -2,30 +2,33 @@
 
 import java.util.Locale;
 
-/** Why a sidecar took, passed on or refused a request; decisions show it in lower case. */
+/**
+ * Why a sidecar started, queued, redirected or refused an attempt. Decision logs show the name in
+ * lower case.
+ */
 public enum AdmissionReason {
-    /** Its work fits under the bound. */
+    /** The work fits under the bound. */
     WITHIN_BOUND,
-    /** Its turn came after a wait. */
+    /** The attempt starts after it has waited in the queue. */
     WAITED,
-    /** It waits for room. */
+    /** The attempt waits in the queue until its work fits under the bound. */
     QUEUED,
-    /** Its work does not fit under the bound. */
+    /** The work does not fit under the bound. */
     OVER_BOUND,
-    /** It waited as long as a request may. */
+    /** The attempt reached the maximum age of the queue. */
     QUEUE_AGE,
-    /** The queue is full, and this request had the least claim to its place. */
+    /** The queue is full, and fair queueing selected this attempt for eviction. */
     QUEUE_FULL,
-    /** It could not be answered before its deadline. */
+    /** The attempt can't complete before its deadline. */
     DEADLINE,
-    /** The backend server leaves. */
+    /** The backend server drains or its sidecar stops. */
     DRAINING,
-    /** The backend server can't be reached. */
+    /** The sidecar can't reach the backend server. */
     UNREACHABLE,
     /** The chat's history is on another backend server. */
     CHAT_ELSEWHERE;
 
-    /** Returns the word that a decision shows. */
+    /** Returns the reason as decision logs show it. */
     public String text() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Announcer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Announcer.java
@@ -7,9 +7,10 @@
 import org.laurelweir.membership.SidecarReport;
 
 /**
- * Tells control about the sidecar: once a second, and at once when it begins or ceases to take new
- * work. Within one announcement session a state never goes back, so that announcements may be
- * merged in any order; a sidecar that serves again opens a new session.
+ * Announces the sidecar to control once a second, and at once when its state changes.
+ *
+ * <p>Within one announcement session the state only moves from serving towards left, so control can
+ * merge announcements in any order. A sidecar that serves again opens a new session.
  */
 final class Announcer {
     static final Duration INTERVAL = Duration.ofSeconds(1);
@@ -23,7 +24,7 @@
         mSelf = self;
     }
 
-    /** Notes the present state; a change is announced with the next {@link #announceIfDue}. */
+    /** Sets the present state. The next call of {@link #announceIfDue} announces a change. */
     void setState(Backend.State state) {
         if (state == mState) {
             return;
@@ -35,7 +36,7 @@
         mNextTime = Instant.MIN;
     }
 
-    /** Announces if it is time to. */
+    /** Sends an announcement if the interval is over or the state has changed. */
     void announceIfDue(Step step, RunningLoad load, int waiting, MembershipCursor cursor) {
         if (step.now().isBefore(mNextTime)) {
             return;
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Attempt.java
@@ -5,19 +5,19 @@
 import org.laurelweir.attempt.Frame;
 import org.laurelweir.lib.AttemptId;
 
-/** One attempt that the sidecar holds: waiting, running, or ended with its output still kept. */
+/** An attempt that the sidecar holds. It waits, runs, or has ended while its output is kept. */
 final class Attempt {
-    /** How far an attempt has come; it only moves forward. */
+    /** The progress of an attempt. It never goes back. */
     enum Phase {
-        /** It has not been sent to the backend server. */
+        /** The attempt has not been sent to the backend server. */
         WAITING,
-        /** It was sent to the backend server. */
+        /** The attempt was sent to the backend server and has not ended. */
         RUNNING,
-        /** It has an ending, and its output may still be asked for. */
+        /** The attempt has ended, and routers may still ask for its output. */
         ENDED
     }
 
-    /** No stream follows the attempt. */
+    /** The stream id while no stream follows the attempt. */
     static final long NO_STREAM = -1;
 
     private AttemptRequest mRequest;
@@ -63,7 +63,7 @@
         return mPhase;
     }
 
-    /** Returns the work that it is expected to cost, in token units. */
+    /** Returns the expected work of the attempt, in token units. */
     double work() {
         return mWork;
     }
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Returns whether the attempt may be given up while it runs. One that may run only once, and
-     * that a resend can find by its key, goes on instead: its outcome is still wanted.
+     * Returns whether the attempt may be cancelled while it runs. An attempt that may run only once
+     * and has an idempotency key runs on: a resend with the same key will ask for its outcome.
      */
     boolean isCancellable() {
         return mRequest.idempotent() || mRequest.idempotencyKey().isEmpty();
@@ -88,7 +88,7 @@
         return mStream != NO_STREAM;
     }
 
-    /** Returns whether the present stream came to resume rather than to begin. */
+    /** Returns whether the present stream resumed the attempt instead of requesting it. */
     boolean isResumed() {
         return mResumed;
     }
@@ -104,7 +104,7 @@
         mUnfollowedSince = now;
     }
 
-    /** Returns since when nobody follows; only where nobody does. */
+    /** Returns the time since which no stream follows the attempt. Valid only while none does. */
     Instant unfollowedSince() {
         return mUnfollowedSince;
     }
@@ -113,11 +113,11 @@
         return mLastFrameTime;
     }
 
-    void setLastFrameTime(Instant at) {
-        mLastFrameTime = at;
+    void setLastFrameTime(Instant time) {
+        mLastFrameTime = time;
     }
 
-    /** Notes that the request was sent, with its body, which is not kept. */
+    /** Marks the attempt as running and drops the body of its request, which has been sent. */
     void start(Instant now) {
         mRequest = mRequest.withoutBody();
         mPhase = Phase.RUNNING;
@@ -136,10 +136,10 @@
         mHead = head;
     }
 
-    void end(Instant now, Frame ending) {
+    void end(Instant now, Frame finalFrame) {
         mPhase = Phase.ENDED;
         mEndTime = now;
-        mFinalFrame = ending;
+        mFinalFrame = finalFrame;
     }
 
     Instant endTime() {
@@ -150,7 +150,7 @@
         return mFinalFrame;
     }
 
-    /** Returns whether the ending went out on some stream. */
+    /** Returns whether the final frame was sent on a stream. */
     boolean isFinalFrameSent() {
         return mFinalFrameSent;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptDeduplicator.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptDeduplicator.java
@@ -9,8 +9,9 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Takes what routers say about attempts and tells whether each is new, held, or past, so that none
- * ever runs twice and none runs after it was denied.
+ * Handles the messages of routers that request, resume or revoke attempts. Tells a new attempt from
+ * one that this sidecar holds or held before, so that no attempt runs twice and none runs after a
+ * router was told that it was not run.
  */
 final class AttemptDeduplicator {
     private final BackendRef mSelf;
@@ -24,23 +25,24 @@
             BackendRef self,
             AttemptTable table,
             AttemptMemory memory,
-            FollowingStreams followers,
-            FrameSender frames,
+            FollowingStreams streams,
+            FrameSender frameSender,
             OutputTotal outputTotal) {
         mSelf = self;
         mTable = table;
         mMemory = memory;
-        mStreams = followers;
-        mFrameSender = frames;
+        mStreams = streams;
+        mFrameSender = frameSender;
         mOutputTotal = outputTotal;
     }
 
     /**
-     * Takes a message that begins an attempt.
+     * Handles a request for an attempt.
      *
-     * @return the attempt where it is new and has to be placed, else null
+     * @return the new attempt, for which admission has to decide; null if the message is answered
+     *     here
      */
-    Attempt begin(Step step, long stream, AttemptRequest request) {
+    Attempt request(Step step, long stream, AttemptRequest request) {
         if (!request.target().equals(mSelf)) {
             refuse(step, stream, request.id(), ResultCode.OTHER_INCARNATION);
             return null;
@@ -50,9 +52,9 @@
             mStreams.followOnRepeatedRequest(step, held, stream);
             return null;
         }
-        AttemptMemory.Outcome past = mMemory.find(request.id());
-        if (past != AttemptMemory.Outcome.UNKNOWN) {
-            replyFromMemory(step, stream, request.id(), past);
+        AttemptMemory.Outcome outcome = mMemory.find(request.id());
+        if (outcome != AttemptMemory.Outcome.UNKNOWN) {
+            replyFromMemory(step, stream, request.id(), outcome);
             return null;
         }
         Attempt attempt = new Attempt(request, step.now(), mOutputTotal);
@@ -61,7 +63,7 @@
         return attempt;
     }
 
-    /** Takes a message that follows an attempt over a new stream. */
+    /** Handles a request to follow an attempt over a new stream. */
     void resume(Step step, SidecarEvent.AttemptResumed event) {
         AttemptId id = event.attempt();
         if (!event.target().equals(mSelf)) {
@@ -73,20 +75,22 @@
             mStreams.resume(step, held, event.stream(), event.offset());
             return;
         }
-        AttemptMemory.Outcome past = mMemory.find(id);
-        if (past == AttemptMemory.Outcome.UNKNOWN) {
-            // The message that begins it may still be under way on the connection that was given
-            // up. Saying "not run" has to make it true.
+        AttemptMemory.Outcome outcome = mMemory.find(id);
+        if (outcome == AttemptMemory.Outcome.UNKNOWN) {
+            // The request for this attempt may still be under way on a connection that the router
+            // has closed. It is recorded as never started, so that the reply "not run" stays true
+            // when the request arrives.
             mMemory.put(step.now(), id, AttemptMemory.Outcome.NEVER_STARTED);
-            past = AttemptMemory.Outcome.NEVER_STARTED;
+            outcome = AttemptMemory.Outcome.NEVER_STARTED;
         }
-        replyFromMemory(step, event.stream(), id, past);
+        replyFromMemory(step, event.stream(), id, outcome);
     }
 
     /**
-     * Takes a revocation: an attempt that has not started by now never will.
+     * Handles a revocation. An attempt that has not started yet never starts after it.
      *
-     * @return the attempt that waits and has to be refused, else null; the answer is emitted
+     * @return the waiting attempt, which the caller has to refuse, or null; the reply is already
+     *     emitted
      */
     Attempt revoke(Step step, SidecarEvent.AttemptRevoked event) {
         AttemptId id = event.attempt();
@@ -108,19 +112,20 @@
                 case ENDED -> AttemptState.FINISHED;
             };
         }
-        AttemptMemory.Outcome past = mMemory.find(event.attempt());
-        if (past == AttemptMemory.Outcome.UNKNOWN) {
+        AttemptMemory.Outcome outcome = mMemory.find(event.attempt());
+        if (outcome == AttemptMemory.Outcome.UNKNOWN) {
             mMemory.put(step.now(), event.attempt(), AttemptMemory.Outcome.NEVER_STARTED);
         }
-        return switch (past) {
+        return switch (outcome) {
             case UNKNOWN, NEVER_STARTED -> AttemptState.NEVER_STARTED;
             case RAN -> AttemptState.FINISHED;
             case FORGOTTEN -> AttemptState.OTHER_INCARNATION;
         };
     }
 
-    private void replyFromMemory(Step step, long stream, AttemptId id, AttemptMemory.Outcome past) {
-        switch (past) {
+    private void replyFromMemory(
+            Step step, long stream, AttemptId id, AttemptMemory.Outcome outcome) {
+        switch (outcome) {
             case NEVER_STARTED -> refuse(step, stream, id, ResultCode.REVOKED);
             case RAN -> mStreams.sendOutputNotKept(step, id, stream);
             default -> {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptFinisher.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptFinisher.java
@@ -3,33 +3,36 @@
 import java.time.Duration;
 import org.laurelweir.attempt.Frame;
 
-/** Ends attempts, each exactly once, and tells whoever follows them. */
+/**
+ * Ends attempts, each exactly once, and sends the final frame to the stream that follows the
+ * attempt.
+ */
 final class AttemptFinisher {
     private final AttemptTable mTable;
     private final AttemptMemory mMemory;
     private final RunningLoad mLoad;
     private final FrameSender mFrameSender;
     private final RunTimes mRunTimes;
-    private final ChatLocations mHomes;
+    private final ChatLocations mChatLocations;
 
     AttemptFinisher(
             AttemptTable table,
             AttemptMemory memory,
             RunningLoad load,
-            FrameSender frames,
-            RunTimes times,
-            ChatLocations homes) {
+            FrameSender frameSender,
+            RunTimes runTimes,
+            ChatLocations chatLocations) {
         mTable = table;
         mMemory = memory;
         mLoad = load;
-        mFrameSender = frames;
-        mRunTimes = times;
-        mHomes = homes;
+        mFrameSender = frameSender;
+        mRunTimes = runTimes;
+        mChatLocations = chatLocations;
     }
 
     /**
-     * Ends an attempt that was not run. It is remembered, so that it isn't run later either, when a
-     * message that begins it arrives again.
+     * Ends an attempt that was not run. The attempt is remembered as never started, so that it does
+     * not run when its request arrives again.
      */
     void refuse(Step step, Attempt attempt, Frame.Refused refusal) {
         removeLoad(attempt);
@@ -41,21 +44,24 @@
         mTable.remove(attempt);
     }
 
-    /** Ends an attempt that was started; its output stays for a while. */
-    void finish(Step step, Attempt attempt, Frame ending) {
+    /** Ends an attempt that was started. Its output is kept for a time. */
+    void finish(Step step, Attempt attempt, Frame finalFrame) {
         removeLoad(attempt);
-        if (ending instanceof Frame.End e && isSuccess(attempt)) {
-            mHomes.onAnswered(attempt.request(), e.usage());
+        if (finalFrame instanceof Frame.End e && isSuccess(attempt)) {
+            mChatLocations.onAnswered(attempt.request(), e.usage());
             mRunTimes.add(attempt.work(), Duration.between(attempt.startTime(), step.now()));
         }
-        attempt.end(step.now(), ending);
+        attempt.end(step.now(), finalFrame);
         mTable.markChanged(attempt);
         if (attempt.isFollowed()) {
             sendFinalFrame(step, attempt);
         }
     }
 
-    /** Sends the ending to the stream that follows an ended attempt, and closes the stream. */
+    /**
+     * Sends the final frame of an ended attempt to the stream that follows it, and closes the
+     * stream.
+     */
     void sendFinalFrame(Step step, Attempt attempt) {
         mFrameSender.send(step, attempt, attempt.finalFrame());
         attempt.setFinalFrameSent();
@@ -63,7 +69,7 @@
         mTable.unfollow(step, attempt);
     }
 
-    /** Drops an ended attempt whose output is no longer kept. */
+    /** Drops an ended attempt with its output, and remembers that it ran. */
     void drop(Step step, Attempt attempt) {
         mMemory.put(step.now(), attempt.id(), AttemptMemory.Outcome.RAN);
         mTable.remove(attempt);
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptMemory.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptMemory.java
@@ -10,30 +10,37 @@
 import org.laurelweir.lib.AttemptId;
 
 /**
- * What became of attempts that the sidecar no longer holds.
+ * The outcomes of attempts that the sidecar no longer holds.
  *
- * <p>A router that was told "not run" may send the request elsewhere, while the message that begins
- * the attempt still lies in a connection that nothing reads. When that message arrives, the attempt
- * would run a second time; so the sidecar remembers what it denied, and what it ran.
+ * <p>A router that was told "not run" may send the request to another server while the request for
+ * the attempt still lies in a connection that nothing reads. If that request arrived later and
+ * started the attempt, the request would run twice. So the sidecar remembers which attempts it
+ * refused and which it ran.
  *
- * <p>The memory is bounded in time and count, and forgets safely. A router numbers its requests as
- * they arrive, and an id is kept longer than any request's deadline. When an id is forgotten, every
- * request of the same router's run with the same or a lower number was given up by its caller
- * before, so nothing about it need be begun any more: the number becomes the run's floor, and at or
- * below a floor nothing starts and nothing is promised. Forgetting early, by count, thus costs a
- * refused retry and never a second run. Floors of router runs are bounded by count too; the oldest
- * goes first, whose process ended long ago and its connections with it.
+ * <p>The memory is bounded in time and count. A router numbers its requests in the order of their
+ * arrival, and an id is kept longer than any request's deadline. When an id expires, the callers of
+ * all requests with the same or a lower number, of the same run of the router, have given up, so
+ * none of these attempts has to start any more. The highest forgotten number of a router run is
+ * kept: an attempt at or below it whose id is not remembered does not start, and its outcome is not
+ * reported. An id that is evicted early because the memory is full can cost a refused retry but
+ * never a second run.
+ *
+ * <p>The number of router runs is bounded too. The oldest is evicted first; its process and its
+ * connections ended long ago.
  */
 final class AttemptMemory {
-    /** What is remembered of an attempt. */
+    /** What is known of an attempt that the sidecar does not hold. */
     enum Outcome {
-        /** It never started and never will. */
+        /** The attempt never started and never will. */
         NEVER_STARTED,
-        /** It ran, or may have. */
+        /** The attempt ran or may have run. */
         RAN,
-        /** It is too old to tell: it must not start, and nothing may be promised of it. */
+        /**
+         * The attempt's id is forgotten: the attempt must not start, and its outcome can't be
+         * reported.
+         */
         FORGOTTEN,
-        /** It was never heard of. */
+        /** The sidecar has not received a message about the attempt. */
         UNKNOWN
     }
 
@@ -51,19 +58,19 @@
     /**
      * Creates an empty memory.
      *
-     * @param keep longer than any request's deadline
-     * @param maxAttempts most ids
-     * @param maxRouterRuns most floors
+     * @param retention how long an id is kept; longer than any request's deadline
+     * @param maxAttempts maximum number of ids
+     * @param maxRouterRuns maximum number of router runs whose highest forgotten number is kept
      */
-    AttemptMemory(Duration keep, int maxAttempts, int maxRouterRuns) {
-        mRetention = keep;
+    AttemptMemory(Duration retention, int maxAttempts, int maxRouterRuns) {
+        mRetention = retention;
         mMaxAttempts = maxAttempts;
         mMaxRouterRuns = maxRouterRuns;
     }
 
-    /** Remembers what became of an attempt; what was remembered first stays. */
-    void put(Instant now, AttemptId id, Outcome past) {
-        if (mOutcomes.putIfAbsent(id, past) != null) {
+    /** Records the outcome of an attempt. A later call for the same attempt has no effect. */
+    void put(Instant now, AttemptId id, Outcome outcome) {
+        if (mOutcomes.putIfAbsent(id, outcome) != null) {
             return;
         }
         mEntriesByAge.add(new Entry(id, now.plus(mRetention)));
@@ -72,17 +79,20 @@
         }
     }
 
-    /** Returns what is known of an attempt. */
+    /** Returns the outcome of an attempt. */
     Outcome find(AttemptId id) {
-        Outcome past = mOutcomes.get(id);
-        if (past != null) {
-            return past;
+        Outcome outcome = mOutcomes.get(id);
+        if (outcome != null) {
+            return outcome;
         }
-        Long floor = mHighestForgotten.get(new RouterRun(id.router(), id.routerIncarnation()));
-        return floor != null && id.request() <= floor ? Outcome.FORGOTTEN : Outcome.UNKNOWN;
+        Long highestForgotten =
+                mHighestForgotten.get(new RouterRun(id.router(), id.routerIncarnation()));
+        return highestForgotten != null && id.request() <= highestForgotten
+                ? Outcome.FORGOTTEN
+                : Outcome.UNKNOWN;
     }
 
-    /** Forgets what is old enough. */
+    /** Forgets the ids whose retention is over. */
     void expire(Instant now) {
         while (!mEntriesByAge.isEmpty() && !mEntriesByAge.peek().expiry().isAfter(now)) {
             forget(mEntriesByAge.remove().id());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptTable.java
@@ -20,13 +20,14 @@
         mChanged.add(attempt);
     }
 
-    /** Notes that an attempt's phase changed. */
+    /** Records that an attempt's phase has changed. */
     void markChanged(Attempt attempt) {
         mChanged.add(attempt);
     }
 
     /**
-     * Returns the attempts that came, went, or changed their phase or follower since the last call.
+     * Returns the attempts that were added or removed or whose phase or stream has changed since
+     * the last call.
      */
     Set<Attempt> takeChanged() {
         Set<Attempt> changed = mChanged;
@@ -34,17 +35,17 @@
         return changed;
     }
 
-    /** Returns whether an attempt is still held. */
+    /** Returns whether this table holds the attempt. */
     boolean contains(Attempt attempt) {
         return mById.get(attempt.id()) == attempt;
     }
 
-    /** Returns the attempt of an id, or null. */
+    /** Returns the attempt with the id, or null. */
     Attempt find(AttemptId id) {
         return mById.get(id);
     }
 
-    /** Returns the attempt of an id if it runs, or null. */
+    /** Returns the attempt with the id if it is running, or null. */
     Attempt findRunning(AttemptId id) {
         Attempt a = mById.get(id);
         return a != null && a.phase() == Attempt.Phase.RUNNING ? a : null;
@@ -70,7 +71,7 @@
         mChanged.add(attempt);
     }
 
-    /** Forgets an attempt and drops its output. */
+    /** Removes an attempt and drops its output. */
     void remove(Attempt attempt) {
         attempt.output().release();
         mById.remove(attempt.id());
@@ -80,7 +81,10 @@
         }
     }
 
-    /** Returns all attempts in the order of their arrival, safe against changes meanwhile. */
+    /**
+     * Returns a copy of all attempts in the order of their arrival. The table may change during an
+     * iteration over it.
+     */
     List<Attempt> attempts() {
         return new ArrayList<>(mById.values());
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/CachedChats.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/CachedChats.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * How many tokens of each chat the backend server likely has cached, for the chats that it answered
- * last. A guess: the backend server's cache events come late and with gaps. One that is wrong costs
- * a misjudged load until the attempt ends, never an answer.
+ * An estimate of how many tokens of each recently answered chat the backend server has cached. It
+ * is not exact, since the backend server's cache events arrive late and with gaps. A wrong estimate
+ * misjudges the load until the attempt ends, but never changes an answer.
  *
- * <p>Bounded by tokens as the backend server's cache is: a history that is gone there but still
- * counted here makes the work of its next turn look a tenth of what it is.
+ * <p>The total of tokens is bounded like the backend server's cache. If an evicted history still
+ * counted as cached, the work of the chat's next turn would be estimated at a tenth of its real
+ * value.
  */
 final class CachedChats {
     private final int mMaxChats;
@@ -21,13 +22,16 @@
     /**
      * Creates an empty table.
      *
-     * @param maxChats most chats; the one unused for longest goes first
+     * @param maxChats maximum number of chats; the least recently used chat is evicted first
      */
     CachedChats(int maxChats) {
         mMaxChats = maxChats;
     }
 
-    /** Sets the most tokens over all chats; a chat that has more on its own is kept alone. */
+    /**
+     * Sets the maximum number of tokens over all chats. A single chat with more tokens is kept as
+     * the only one.
+     */
     void setMaxTokens(long maxTokens) {
         mMaxTokens = maxTokens;
         evict();
@@ -40,10 +44,10 @@
     }
 
     private void evict() {
-        Iterator<Integer> eldest = mTokens.values().iterator();
+        Iterator<Integer> leastRecentlyUsed = mTokens.values().iterator();
         while (mTokens.size() > 1 && (mTokens.size() > mMaxChats || mTotalTokens > mMaxTokens)) {
-            mTotalTokens -= eldest.next();
-            eldest.remove();
+            mTotalTokens -= leastRecentlyUsed.next();
+            leastRecentlyUsed.remove();
         }
     }
 
@@ -51,7 +55,7 @@
         return mTokens.containsKey(chat);
     }
 
-    /** Returns the tokens cached, or 0. */
+    /** Returns how many tokens of the chat are cached, or 0. */
     int tokens(long chat) {
         return mTokens.getOrDefault(chat, 0);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatLocations.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatLocations.java
@@ -16,9 +16,12 @@
 import org.laurelweir.placement.ChatLocator;
 
 /**
- * Where the chats sit whose home this server is, and which ones sit here. A server that answers a
- * chat whose home is another tells the home, once a second for all of them; a home that leaves
- * hands its directory over. What gets lost on the way costs cached history, never an answer.
+ * The locations of the chats whose home is this backend server, and the chats whose history it has
+ * cached itself.
+ *
+ * <p>A backend server that answers a chat with another home notifies the home, in one message a
+ * second. A home that drains hands its directory over. A lost notice costs a cache miss, never an
+ * answer.
  */
 final class ChatLocations {
     private static final int DIRECTORY_CAPACITY = 16_384;
@@ -27,7 +30,10 @@
     private static final int MAX_ENTRIES_PER_MESSAGE = 1_000;
     private static final Duration NOTICE_INTERVAL = Duration.ofSeconds(1);
 
-    /** How long after a join chats of this server's rank may still sit with previous homes. */
+    /**
+     * How long after this server joins, chats whose home it became may still be cached at their
+     * previous home.
+     */
     private static final Duration RECENT_JOIN_PERIOD = Duration.ofMinutes(30);
 
     private final String mSelf;
@@ -45,18 +51,18 @@
         mLocator = new ChatLocator(self, mDirectory, MAX_ASKED_CHATS);
     }
 
-    /** Sets how many tokens the server caches. */
+    /** Sets how many tokens the backend server keeps cached. */
     void setCacheTokens(long tokens) {
         mCachedChats.setMaxTokens(tokens);
     }
 
-    /** Notes that this server begins to take work, for the first time or again. */
+    /** Records that this server starts to take work, for the first time or again. */
     void onJoined(Instant now) {
         mJoinTime = now;
         mLocator.onMembershipChange();
     }
 
-    /** Notes that the membership changed; entries that lead to a server that left go. */
+    /** Handles a change of the membership: drops the locations that name a departed server. */
     void onMembershipChanged() {
         for (Candidate c : mMembers.view().departed()) {
             mDirectory.removeServer(c.id());
@@ -64,9 +70,9 @@
         mLocator.onMembershipChange();
     }
 
-    /** Returns where a chat's history may be. */
+    /** Returns where the chat's history is, or which servers to ask for it. */
     ChatLocation locate(Instant now, AttemptRequest request) {
-        boolean joinedLately =
+        boolean recentlyJoined =
                 request.returning()
                         && !mJoinTime.isAfter(now)
                         && now.isBefore(mJoinTime.plus(RECENT_JOIN_PERIOD));
@@ -75,16 +81,16 @@
                         new ChatKey(request.chat()),
                         mCachedChats.contains(request.chat()),
                         request.redirects() == 0,
-                        joinedLately),
+                        recentlyJoined),
                 mMembers.view());
     }
 
-    /** Returns how many tokens of a chat are likely cached here. */
+    /** Returns how many tokens of the chat's history are likely cached at this server. */
     int cachedTokens(long chat) {
         return mCachedChats.tokens(chat);
     }
 
-    /** Notes that this server answered a chat, so that its history sits here now. */
+    /** Records that this server answered a chat and has its history cached now. */
     void onAnswered(AttemptRequest request, Frame.Usage usage) {
         if (request.chat() == 0) {
             return;
@@ -104,7 +110,7 @@
         mPendingNotices.computeIfAbsent(home.id(), h -> new HashMap<>()).put(request.chat(), mSelf);
     }
 
-    /** Notes where another server says that a chat sits. */
+    /** Records a chat location that another server reported. */
     void setLocation(long chat, String server) {
         ChatKey key = new ChatKey(chat);
         if (server.equals(mSelf)) {
@@ -114,10 +120,10 @@
         }
     }
 
-    /** Answers where chats sit, as far as this server knows. */
-    void answerLocateChats(Step step, SidecarEvent.LocateChatsRequested question) {
+    /** Replies with the locations that this server knows of the requested chats. */
+    void answerLocateChats(Step step, SidecarEvent.LocateChatsRequested request) {
         Map<Long, String> known = new HashMap<>();
-        for (long chat : question.chats()) {
+        for (long chat : request.chats()) {
             String elsewhere = mDirectory.find(new ChatKey(chat));
             if (elsewhere != null) {
                 known.put(chat, elsewhere);
@@ -125,10 +131,10 @@
                 known.put(chat, mSelf);
             }
         }
-        step.emit(new SidecarEffect.AnswerLocateChats(question.call(), known));
+        step.emit(new SidecarEffect.AnswerLocateChats(request.call(), known));
     }
 
-    /** Tells homes about the chats that sit here, if it is time to. */
+    /** Notifies the homes of chats that this server has answered, if the interval is over. */
     void sendNotices(Step step) {
         if (mPendingNotices.isEmpty() || step.now().isBefore(mNextNoticeTime)) {
             return;
@@ -138,14 +144,18 @@
         mPendingNotices.clear();
     }
 
-    /** Hands the directory to those that become the chats' homes when this server has left. */
+    /**
+     * Sends each entry of the directory to the server that becomes the chat's home after this one.
+     * An entry that names that server itself is not sent.
+     */
     void handOverDirectory(Step step) {
         Map<String, Map<Long, String>> byHome = new HashMap<>();
         mDirectory.forEach(
                 (chat, server) -> {
-                    List<Candidate> next = mMembers.view().ranking().topWithout(chat, mSelf, 1);
-                    if (!next.isEmpty() && !next.get(0).id().equals(server)) {
-                        byHome.computeIfAbsent(next.get(0).id(), h -> new HashMap<>())
+                    List<Candidate> nextHomes =
+                            mMembers.view().ranking().topWithout(chat, mSelf, 1);
+                    if (!nextHomes.isEmpty() && !nextHomes.get(0).id().equals(server)) {
+                        byHome.computeIfAbsent(nextHomes.get(0).id(), h -> new HashMap<>())
                                 .put(chat.hash(), server);
                     }
                 });
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatRedirector.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatRedirector.java
@@ -3,7 +3,10 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatLocation;
 
-/** Brings an attempt to where its chat's history is before its load is weighed. */
+/**
+ * Redirects an attempt to the backend server that has its chat's history cached. An attempt that
+ * stays here goes on to admission.
+ */
 final class ChatRedirector {
     private final ChatLocations mChatLocations;
     private final PendingChatLookups mLookups;
@@ -11,35 +14,37 @@
     private final Admission mAdmission;
 
     ChatRedirector(
-            ChatLocations homes,
-            PendingChatLookups questions,
+            ChatLocations chatLocations,
+            PendingChatLookups lookups,
             Members members,
             Admission admission) {
-        mChatLocations = homes;
-        mLookups = questions;
+        mChatLocations = chatLocations;
+        mLookups = lookups;
         mMembers = members;
         mAdmission = admission;
     }
 
-    /** Sends a new attempt on, has it wait for an answer, or has it placed here. */
-    void redirectOrPlace(Step step, Attempt attempt) {
+    /**
+     * Redirects a new attempt, holds it while other sidecars are asked, or passes it to admission.
+     */
+    void locateAndPlace(Step step, Attempt attempt) {
         if (attempt.request().chat() == 0) {
             placeHere(step, attempt);
             return;
         }
-        ChatLocation seat = mChatLocations.locate(step.now(), attempt.request());
-        if (seat instanceof ChatLocation.Remote e) {
+        ChatLocation location = mChatLocations.locate(step.now(), attempt.request());
+        if (location instanceof ChatLocation.Remote e) {
             redirectOrPlaceHere(step, attempt, e.server());
             return;
         }
-        if (seat instanceof ChatLocation.AskPeers ask
+        if (location instanceof ChatLocation.AskPeers ask
                 && mLookups.askPeers(step, attempt, ask.candidates())) {
             return;
         }
         placeHere(step, attempt);
     }
 
-    /** Goes on with an attempt whose chat another sidecar was asked about. */
+    /** Handles another sidecar's reply about chat locations. */
     void onChatsLocated(Step step, SidecarEvent.ChatsLocated event) {
         Attempt attempt = mLookups.onChatsLocated(event.question(), event.locations());
         event.locations().forEach(mChatLocations::setLocation);
@@ -54,7 +59,7 @@
         redirectOrPlaceHere(step, attempt, server);
     }
 
-    /** Goes on with attempts whose question got no answer in time. */
+    /** Passes the attempts whose look-up has timed out to admission. */
     void expire(Step step) {
         for (Attempt a : mLookups.expire(step.now())) {
             placeHere(step, a);
@@ -62,8 +67,9 @@
     }
 
     private void redirectOrPlaceHere(Step step, Attempt attempt, String server) {
-        Candidate there = mMembers.view().candidate(server);
-        boolean takesWork = there != null && !there.draining() && !mAdmission.isSelf(server);
+        Candidate candidate = mMembers.view().candidate(server);
+        boolean takesWork =
+                candidate != null && !candidate.draining() && !mAdmission.isSelf(server);
         if (takesWork) {
             mAdmission.redirectToChat(step, attempt, server);
             return;
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionLogger.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionLogger.java
@@ -3,24 +3,24 @@
 import org.laurelweir.attempt.AttemptRequest;
 import org.laurelweir.lib.Decision;
 
-/** Reports each admission decision with its inputs. */
+/** Logs each admission decision with its inputs. */
 final class DecisionLogger {
     private static final String PROGRAM = "sidecar";
 
     private final RunningLoad mLoad;
     private final RedirectRanking mRedirectRanking;
 
-    DecisionLogger(RunningLoad load, RedirectRanking next) {
+    DecisionLogger(RunningLoad load, RedirectRanking redirectRanking) {
         mLoad = load;
-        mRedirectRanking = next;
+        mRedirectRanking = redirectRanking;
     }
 
     /**
-     * Reports a decision.
+     * Logs a decision.
      *
-     * @param choice the backend server, or the result code's name where the request was refused
-     * @param reason why
-     * @param bound the load above which the request would not be taken
+     * @param choice the backend server, or the name of the result code if the request was refused
+     * @param reason why it was chosen or refused
+     * @param bound the load above which the request is not admitted
      */
     void log(
             Step step,
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
@@ -5,9 +5,11 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Leaving, by an operator's wish or because the process stops. From then on nothing new starts;
- * what waits is refused as not run, what runs goes on to its end, and the directory of chats goes
- * to those that become their homes. An operator's wish can be taken back, a stop can't.
+ * Drains the backend server on an operator's order or because the sidecar stops.
+ *
+ * <p>While it drains, nothing new starts, waiting attempts are refused as not run, and running
+ * attempts complete. The chat directory goes to the servers that become the chats' homes. An
+ * operator's order can be withdrawn, a stop can't.
  */
 final class Drain {
     private final AttemptTable mTable;
@@ -22,39 +24,42 @@
     Drain(
             AttemptTable table,
             Admission admission,
-            PendingChatLookups questions,
-            ChatLocations homes,
+            PendingChatLookups lookups,
+            ChatLocations chatLocations,
             Execution execution) {
         mTable = table;
         mAdmission = admission;
-        mLookups = questions;
-        mChatLocations = homes;
+        mLookups = lookups;
+        mChatLocations = chatLocations;
         mExecution = execution;
     }
 
-    /** Takes the operator's wish, as control repeats it with every exchange. */
-    void setOrdered(Step step, boolean drain) {
-        boolean before = isDraining();
-        mOrdered = drain;
-        onDrainingChanged(step, before);
+    /**
+     * Sets whether an operator wants this server drained. Control repeats the order in every
+     * exchange.
+     */
+    void setOrdered(Step step, boolean ordered) {
+        boolean wasDraining = isDraining();
+        mOrdered = ordered;
+        onDrainingChanged(step, wasDraining);
     }
 
-    /** Takes the wish that the process stops. */
+    /** Starts the drain before the process stops. */
     void requestStop(Step step) {
-        boolean before = isDraining();
+        boolean wasDraining = isDraining();
         if (mStopRequestTime == null) {
             mStopRequestTime = step.now();
         }
-        onDrainingChanged(step, before);
+        onDrainingChanged(step, wasDraining);
     }
 
-    private void onDrainingChanged(Step step, boolean before) {
-        if (isDraining() && !before) {
+    private void onDrainingChanged(Step step, boolean wasDraining) {
+        if (isDraining() && !wasDraining) {
             mChatLocations.handOverDirectory(step);
             mLookups.waitingAttempts().forEach(a -> refuse(step, a));
             mAdmission.refuseAllWaiting(step, refusalCode(), AdmissionReason.DRAINING);
         }
-        if (!isDraining() && before) {
+        if (!isDraining() && wasDraining) {
             mChatLocations.onJoined(step.now());
         }
     }
@@ -78,9 +83,10 @@
     }
 
     /**
-     * Ends a stop once every attempt's ending went out, or once it has taken as long as it may.
+     * Completes a stop once the final frames of all attempts are sent, or once the drain timeout is
+     * over.
      *
-     * @return whether the stop has ended just now
+     * @return whether this call completed the stop
      */
     boolean finishStop(Step step, Duration timeout) {
         if (mStopped || mStopRequestTime == null) {
@@ -96,7 +102,11 @@
     private void abortRunning(Step step) {
         for (Attempt a : mTable.attempts()) {
             if (a.phase() == Attempt.Phase.RUNNING) {
-                mExecution.abort(step, a, ResultCode.OUTCOME_UNKNOWN, "the sidecar had to stop");
+                mExecution.abort(
+                        step,
+                        a,
+                        ResultCode.OUTCOME_UNKNOWN,
+                        "the sidecar stopped before the answer was complete");
             }
             a.setFinalFrameSent();
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DueQueue.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DueQueue.java
@@ -8,15 +8,16 @@
 import java.util.TreeMap;
 
 /**
- * Attempts in the order of the times at which something is due about each. Finding those that are
- * due costs what is found, and moving one costs the logarithm of how many there are.
+ * Attempts ordered by the time at which each has to be checked next. Finding the due attempts takes
+ * time in proportion to their number; rescheduling one takes time logarithmic in the number of
+ * attempts.
  */
 final class DueQueue {
     private final TreeMap<DueTime, Attempt> mAttemptsByTime = new TreeMap<>();
     private final Map<Attempt, DueTime> mTimesByAttempt = new HashMap<>();
     private long mNextSequence;
 
-    /** When something is due; of the same time, what was set first comes first. */
+    /** The time of a check. Checks of the same time keep the order in which they were scheduled. */
     private record DueTime(Instant time, long sequence) implements Comparable<DueTime> {
         @Override
         public int compareTo(DueTime other) {
@@ -25,10 +26,10 @@
         }
     }
 
-    /** Sets when something is due about an attempt, in place of what was set before. */
-    void schedule(Attempt attempt, Instant at) {
+    /** Schedules the next check of an attempt, in place of an earlier schedule. */
+    void schedule(Attempt attempt, Instant time) {
         remove(attempt);
-        DueTime due = new DueTime(at, mNextSequence++);
+        DueTime due = new DueTime(time, mNextSequence++);
         mTimesByAttempt.put(attempt, due);
         mAttemptsByTime.put(due, attempt);
     }
@@ -40,7 +41,7 @@
         }
     }
 
-    /** Removes and returns the attempts about which something is due, in order. */
+    /** Removes and returns the attempts whose time has come, in order. */
     List<Attempt> takeDue(Instant now) {
         List<Attempt> due = new ArrayList<>();
         while (!mAttemptsByTime.isEmpty() && !mAttemptsByTime.firstKey().time().isAfter(now)) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Execution.java
@@ -5,8 +5,8 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Runs attempts on the backend server and passes its answers on. Whatever the backend server says
- * about an attempt that does not run (any more) is dropped.
+ * Runs attempts on the backend server and passes the answers on. Events about an attempt that is
+ * not running are dropped.
  */
 final class Execution {
     private final AttemptTable mTable;
@@ -18,17 +18,17 @@
 
     Execution(
             AttemptTable table,
-            AttemptFinisher endings,
-            FollowingStreams followers,
-            FrameSender frames,
+            AttemptFinisher finisher,
+            FollowingStreams streams,
+            FrameSender frameSender,
             RunningLoad load,
-            OutputLimiter output) {
+            OutputLimiter outputLimiter) {
         mTable = table;
-        mFinisher = endings;
-        mStreams = followers;
-        mFrameSender = frames;
+        mFinisher = finisher;
+        mStreams = streams;
+        mFrameSender = frameSender;
         mLoad = load;
-        mOutputLimiter = output;
+        mOutputLimiter = outputLimiter;
     }
 
     /** Sends a waiting attempt to the backend server. */
@@ -55,9 +55,9 @@
     }
 
     /**
-     * Returns whether a status means that the call was not run. Only a documented status does, and
-     * only for a call that may run twice: a backend server that breaks its own promise then causes
-     * a second run of something harmless, never of an order.
+     * Returns whether a status means that the backend server did not run the call. This holds only
+     * for a documented status and only for an idempotent call: if the backend server returns such a
+     * status although it ran the call, the second run is harmless.
      */
     private static boolean isRefusal(Attempt attempt, int status, SidecarSettings settings) {
         return attempt.request().idempotent() && settings.refusalStatuses().contains(status);
@@ -98,7 +98,7 @@
         fail(step, a, code, event.message());
     }
 
-    /** Gives up an attempt that runs. */
+    /** Aborts a running attempt. */
     void abort(Step step, Attempt attempt, ResultCode code, String message) {
         step.emit(new SidecarEffect.CancelEngineCall(attempt.id()));
         fail(step, attempt, code, message);
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/FairQueue.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FairQueue.java
@@ -8,17 +8,18 @@
 import java.util.Map;
 
 /**
- * Attempts that wait for room, bounded in count and bytes.
+ * The queue of attempts that wait until their work fits under the bound. Its count and bytes are
+ * bounded.
  *
- * <p>A higher priority goes first. Within a priority, client accounts share the backend server by
- * their weights: start-time fair queueing, where each request gets a tag in virtual time at which
- * the account's share would have it begin, and the least tag goes first. An account that surges
- * only pushes its own tags into the future. Every eighth turn goes to the priority that has waited
- * longest, so that a steady flow of urgent requests starves nobody.
+ * <p>Higher priorities go first. Within a priority, client accounts share the backend server by
+ * their weights with start-time fair queueing: each request gets a start tag in virtual time, at
+ * which the share of its account lets it begin, and the lowest tag goes first. An account that
+ * surges only gets later tags for its own requests. Every eighth turn goes to the priority that has
+ * waited longest, so that a steady flow of urgent requests does not starve the others.
  *
- * <p>When the queue is full, room is made within the least priority at the cost of the account that
- * has the most work waiting for its weight, its newest request first. So a surge is refused its own
- * excess, and a small account finds room in a full queue.
+ * <p>If the queue is full, an attempt of the lowest priority is evicted: the newest one of the
+ * account that has the most waiting work in proportion to its weight. So a surge only evicts
+ * requests of its own account, and a small account finds room in a full queue.
  */
 final class FairQueue {
     private static final int OLDEST_PRIORITY_INTERVAL = 8;
@@ -33,7 +34,7 @@
             return attempt.request().account();
         }
 
-        /** Returns the work for the account's weight. */
+        /** Returns the work in proportion to the account's weight. */
         double weightedWork() {
             return weightedWorkOf(attempt);
         }
@@ -51,7 +52,10 @@
     private long mNextSequence;
     private long mTurnCount;
 
-    /** Adds an attempt, even over the bounds; {@link #findExcess} tells what has to go. */
+    /**
+     * Adds an attempt even if the queue exceeds its limits. Then {@link #findExcess} returns the
+     * attempt to evict.
+     */
     void add(Instant now, Attempt attempt) {
         String account = attempt.request().account();
         double tag = Math.max(mVirtualTime, mNextTags.getOrDefault(account, 0.0));
@@ -60,13 +64,13 @@
         mBytes += bodyBytes(attempt);
     }
 
-    /** Returns the attempt whose turn it is, or null where none waits. */
+    /** Returns the attempt whose turn it is, or null if the queue is empty. */
     Attempt peek() {
         Entry e = peekEntry();
         return e == null ? null : e.attempt();
     }
 
-    /** Takes the attempt whose turn it is out. */
+    /** Removes and returns the attempt whose turn it is. */
     Attempt take() {
         Entry e = peekEntry();
         mTurnCount++;
@@ -78,7 +82,7 @@
         return e.attempt();
     }
 
-    /** Takes an attempt out whose turn it isn't; nothing happens where it doesn't wait here. */
+    /** Removes an attempt out of turn. Does nothing if it is not in the queue. */
     void remove(Attempt attempt) {
         for (Entry e : mEntries) {
             if (e.attempt() == attempt) {
@@ -88,28 +92,28 @@
         }
     }
 
-    /** Returns the attempt that has to go for the queue to come within bounds, or null. */
+    /** Returns the attempt to evict, or null if the queue is within its limits. */
     Attempt findExcess(SidecarSettings.QueueLimits limits) {
         if (mEntries.size() <= limits.requests() && mBytes <= limits.bytes()) {
             return null;
         }
-        int least = mEntries.stream().mapToInt(Entry::priority).min().orElseThrow();
-        Map<String, Double> shares = new HashMap<>();
+        int lowestPriority = mEntries.stream().mapToInt(Entry::priority).min().orElseThrow();
+        Map<String, Double> workByAccount = new HashMap<>();
         for (Entry e : mEntries) {
-            if (e.priority() == least) {
-                shares.merge(e.account(), e.weightedWork(), Double::sum);
+            if (e.priority() == lowestPriority) {
+                workByAccount.merge(e.account(), e.weightedWork(), Double::sum);
             }
         }
         return mEntries.stream()
-                .filter(e -> e.priority() == least)
+                .filter(e -> e.priority() == lowestPriority)
                 .max(
-                        Comparator.comparingDouble((Entry e) -> shares.get(e.account()))
+                        Comparator.comparingDouble((Entry e) -> workByAccount.get(e.account()))
                                 .thenComparingLong(Entry::sequence))
                 .orElseThrow()
                 .attempt();
     }
 
-    /** Returns the attempts that have waited since a time or longer, in the order of arrival. */
+    /** Returns the attempts that were added at or before a time, in the order of arrival. */
     List<Attempt> enqueuedUntil(Instant time) {
         return mEntries.stream()
                 .filter(e -> !e.enqueueTime().isAfter(time))
@@ -137,9 +141,13 @@
         if (mTurnCount % OLDEST_PRIORITY_INTERVAL != OLDEST_PRIORITY_INTERVAL - 1) {
             return mEntries.stream().min(TURN_ORDER).orElseThrow();
         }
-        // By the shares within that priority, or accounts with large requests would gain.
-        int oldest = mEntries.get(0).priority();
-        return mEntries.stream().filter(e -> e.priority() == oldest).min(TURN_ORDER).orElseThrow();
+        // The account shares apply within that priority too. Otherwise accounts with large requests
+        // would get more than their share.
+        int oldestPriority = mEntries.get(0).priority();
+        return mEntries.stream()
+                .filter(e -> e.priority() == oldestPriority)
+                .min(TURN_ORDER)
+                .orElseThrow();
     }
 
     private void remove(Entry entry) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/FollowingStreams.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FollowingStreams.java
@@ -8,23 +8,28 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Connects attempts with the streams that follow them. One stream follows an attempt at a time: the
- * one that its router opened last. A stream that resumes was opened after the one that began, even
- * where its messages arrive first; among streams that resume the last to arrive counts, and a
- * router that was wronged by that resumes again.
+ * Connects each attempt with the stream that follows it. Only the stream that its router opened
+ * last follows an attempt.
+ *
+ * <p>A stream that resumes an attempt is newer than the stream that requested it, even if its
+ * message arrives first. Among streams that resume, the last to arrive counts. If that closes the
+ * wrong stream, the router resumes again.
  */
 final class FollowingStreams {
     private final AttemptTable mTable;
     private final AttemptFinisher mFinisher;
     private final FrameSender mFrameSender;
 
-    FollowingStreams(AttemptTable table, AttemptFinisher endings, FrameSender frames) {
+    FollowingStreams(AttemptTable table, AttemptFinisher finisher, FrameSender frameSender) {
         mTable = table;
-        mFinisher = endings;
-        mFrameSender = frames;
+        mFinisher = finisher;
+        mFrameSender = frameSender;
     }
 
-    /** Follows an attempt by a stream that would have begun it, had it not been begun already. */
+    /**
+     * Makes a stream follow an attempt whose request has arrived again. A stream that resumed the
+     * attempt is newer and keeps it.
+     */
     void followOnRepeatedRequest(Step step, Attempt attempt, long stream) {
         if (attempt.isResumed()) {
             step.emit(new SidecarEffect.CloseStream(stream));
@@ -33,7 +38,7 @@
         follow(step, attempt, stream, 0, false);
     }
 
-    /** Follows an attempt from a byte offset of its output on. */
+    /** Makes a stream follow an attempt and sends its output from a byte offset on. */
     void resume(Step step, Attempt attempt, long stream, long offset) {
         follow(step, attempt, stream, offset, true);
     }
@@ -50,10 +55,10 @@
         sendOutput(step, attempt, offset);
     }
 
-    /** Tells a stream that the output it asks for is gone. */
+    /** Reports on a stream that the requested output is no longer kept. */
     void sendOutputNotKept(Step step, AttemptId attempt, long stream) {
-        Frame gone = new Frame.Failed(ResultCode.OUTPUT_NOT_KEPT, "output is no longer kept");
-        mFrameSender.sendLast(step, stream, attempt, gone);
+        Frame notKept = new Frame.Failed(ResultCode.OUTPUT_NOT_KEPT, "output is no longer kept");
+        mFrameSender.sendLast(step, stream, attempt, notKept);
     }
 
     private void sendOutput(Step step, Attempt attempt, long offset) {
@@ -70,13 +75,13 @@
         }
     }
 
-    /** Passes the head of an answer on. */
+    /** Stores the head of the answer and sends it. */
     void sendHead(Step step, Attempt attempt, int status, List<Header> headers) {
         attempt.setHead(new Frame.Head(status, headers));
         mFrameSender.send(step, attempt, attempt.head());
     }
 
-    /** Forgets a stream; its attempt goes on. */
+    /** Handles a closed stream. Its attempt runs on. */
     void onStreamClosed(Step step, long stream) {
         Attempt attempt = mTable.findByStream(stream);
         if (attempt != null) {
@@ -84,7 +89,7 @@
         }
     }
 
-    /** Breaks the silence on a stream if nothing was sent for a while. */
+    /** Sends a progress frame if no frame was sent for the interval. */
     void sendProgress(Step step, Attempt attempt, Duration interval) {
         if (!attempt.lastFrameTime().plus(interval).isAfter(step.now())) {
             mFrameSender.send(step, attempt, new Frame.Progress(attempt.output().end()));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/FrameSender.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/FrameSender.java
@@ -6,7 +6,7 @@
 import org.laurelweir.attempt.LoadHint;
 import org.laurelweir.lib.AttemptId;
 
-/** Sends frames, each with the sidecar's load. */
+/** Sends frames to routers. Each frame carries the sidecar's load. */
 final class FrameSender {
     private final RunningLoad mLoad;
     private final BooleanSupplier mDraining;
@@ -14,15 +14,15 @@
     /**
      * Creates a sender.
      *
-     * @param load what runs
-     * @param draining whether the sidecar takes no new work
+     * @param load the load that the frames report
+     * @param draining returns whether the sidecar takes no new work
      */
     FrameSender(RunningLoad load, BooleanSupplier draining) {
         mLoad = load;
         mDraining = draining;
     }
 
-    /** Sends a frame to whoever follows the attempt; nobody may. */
+    /** Sends a frame to the stream that follows the attempt. Does nothing if none does. */
     void send(Step step, Attempt attempt, Frame frame) {
         if (!attempt.isFollowed()) {
             return;
@@ -38,7 +38,7 @@
         step.emit(new SidecarEffect.SendFrame(stream, new AttemptFrame(attempt, hint, frame)));
     }
 
-    /** Sends the last frame of a stream that follows no attempt. */
+    /** Sends a frame on a stream that follows no attempt, and closes the stream. */
     void sendLast(Step step, long stream, AttemptId attempt, Frame frame) {
         send(step, stream, attempt, frame);
         step.emit(new SidecarEffect.CloseStream(stream));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/LaterIncarnationDetector.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/LaterIncarnationDetector.java
@@ -5,11 +5,15 @@
 import org.laurelweir.membership.MembershipDelta;
 
 /**
- * Looks for a later incarnation of this sidecar. An incarnation is the clock at the start, and has
- * to rise: where the clock went back, control takes this run for the one before, so that nothing
- * which it announces is heard, and routers send it nothing or are refused. A departed run counts as
- * well; it is what a restart usually finds. The look is repeated until this run can go on as a
- * later one, for an instance that was cut off may tell of the earlier run only when work runs here.
+ * Detects that control knows a later incarnation of this sidecar.
+ *
+ * <p>A sidecar's incarnation is the clock time of its start and has to rise. If the clock went back
+ * before the start, control takes this run for an earlier one and ignores its announcements, and
+ * routers send it nothing or are refused. A departed later incarnation counts as well; it is the
+ * usual case after a restart.
+ *
+ * <p>The check is repeated until the sidecar continues as a still later incarnation. A control
+ * instance that was cut off may report the other run only after attempts have started here.
  */
 final class LaterIncarnationDetector {
     private final BackendRef mSelf;
@@ -20,7 +24,7 @@
         mLatestIncarnation = self.incarnation();
     }
 
-    /** Notes what a control instance knows of this sidecar's runs. */
+    /** Records the incarnations of this sidecar that a control instance reports. */
     void onMembership(MembershipDelta delta) {
         for (Backend b : delta.backends()) {
             if (b.ref().id().equals(mSelf.id())) {
@@ -30,9 +34,9 @@
     }
 
     /**
-     * Tells of a later run, if there is one.
+     * Emits an effect if a later incarnation is known.
      *
-     * @param idle whether nothing runs or waits here
+     * @param idle whether the sidecar holds no attempt
      */
     void reportLater(Step step, boolean idle) {
         if (mLatestIncarnation > mSelf.incarnation()) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Members.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Members.java
@@ -13,7 +13,10 @@
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.ViewChange;
 
-/** What the sidecar knows of its service's backend servers, itself among them once announced. */
+/**
+ * The sidecar's view of the backend servers of its service. It includes the sidecar's own server
+ * once that is announced.
+ */
 final class Members {
     private final String mService;
     private final Map<String, String> mAddresses = new HashMap<>();
@@ -26,13 +29,15 @@
     }
 
     /**
-     * Takes what a control instance says of the membership; of other services nothing is kept.
+     * Applies a membership update of a control instance. Backend servers of other services are
+     * ignored.
      *
-     * @return whether anything changed
+     * @return whether the view changed
      */
     boolean apply(MembershipDelta delta) {
-        // An answer to the run that this one took over from. Its changes continue a view that is
-        // not here, and taking its cursor would leave the rest of the view out for good.
+        // This answers an exchange of the previous incarnation. Its changes build on a view that
+        // this incarnation does not have. With its cursor, control would never send the rest of the
+        // view.
         if (!delta.full() && mCursor.equals(MembershipCursor.NONE)) {
             return false;
         }
@@ -88,7 +93,7 @@
         return mView;
     }
 
-    /** Returns where a backend server's sidecar listens, or null if it is not known. */
+    /** Returns the address of a backend server's sidecar, or null if it is not known. */
     String address(String id) {
         return mAddresses.get(id);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OrderFencing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OrderFencing.java
@@ -3,28 +3,35 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Passes orders to the backend server in the order of their fencing numbers. Not every backend
- * server checks the number; without this gate, an order of a control leader that was deposed, and
- * doesn't know it yet, would undo a newer one.
+ * Passes orders to the backend server only if their fencing tokens do not fall. Not every backend
+ * server checks the token. Without this check, an order of a deposed control leader that does not
+ * know of its deposition could undo a newer order.
  *
- * <p>The highest number seen is kept in memory only. A sidecar that was restarted has forgotten it,
- * so it passes nothing until a control instance that is sure to be up to date has told the highest
- * number issued: every order passed before the restart had one of those.
+ * <p>The highest token is kept in memory only. After a restart the sidecar refuses all orders until
+ * a control instance that is confirmed to be up to date has sent the highest token issued. Every
+ * order passed before the restart had that token or a lower one.
  */
 final class OrderFencing {
     private long mHighestToken;
     private boolean mInitialized;
 
-    /** Notes the highest number issued for this backend server, as control vouches for it. */
+    /**
+     * Records the highest token issued for this backend server. Call it only with a value that
+     * control confirmed to be up to date.
+     */
     void setHighestIssued(long fence) {
         mInitialized = true;
         mHighestToken = Math.max(mHighestToken, fence);
     }
 
-    /** Passes an order on or refuses it. */
+    /** Passes an order to the backend server or refuses it. */
     void onOrder(Step step, SidecarEvent.OrderReceived order) {
         if (!mInitialized) {
-            refuse(step, order, ResultCode.POSSIBLY_STALE, "no fencing number heard since start");
+            refuse(
+                    step,
+                    order,
+                    ResultCode.POSSIBLY_STALE,
+                    "no fencing token received from control since the sidecar started");
             return;
         }
         if (order.fence() < mHighestToken) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputBuffer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputBuffer.java
@@ -8,11 +8,14 @@
 import org.laurelweir.attempt.Frame;
 
 /**
- * One attempt's output as far as a reader may still ask for it. Output is dropped from its
- * beginning only, and never before it is acknowledged.
+ * The output of one attempt that routers may still ask for. Output is dropped only from its
+ * beginning and never before it is acknowledged.
  */
 final class OutputBuffer {
-    /** What an attempt takes beside its output, so that many small answers count too. */
+    /**
+     * Bytes counted for each attempt in addition to its output, so that many small answers count
+     * too.
+     */
     static final long OVERHEAD_BYTES = 1024;
 
     private final Deque<Frame.Data> mPieces = new ArrayDeque<>();
@@ -25,8 +28,8 @@
     /**
      * Creates an empty buffer.
      *
-     * @param keepsAcknowledged whether output stays after a reader took it, for another reader
-     * @param total counts what all buffers hold
+     * @param keepsAcknowledged whether acknowledged output is kept for another reader
+     * @param total counts the bytes of all buffers
      */
     OutputBuffer(boolean keepsAcknowledged, OutputTotal total) {
         mKeepsAcknowledged = keepsAcknowledged;
@@ -34,7 +37,7 @@
         total.add(OVERHEAD_BYTES);
     }
 
-    /** Adds a piece and returns it with its offset. */
+    /** Appends a piece and returns it with its offset. */
     Frame.Data append(byte[] bytes) {
         Frame.Data piece = new Frame.Data(mEnd, bytes);
         mPieces.add(piece);
@@ -44,8 +47,8 @@
     }
 
     /**
-     * Notes that a reader has taken all output below an offset. An offset beyond the end can't be
-     * this attempt's and is ignored.
+     * Records that a reader has received all output below an offset. An offset beyond the end can't
+     * belong to this attempt and is ignored.
      */
     void acknowledge(long offset) {
         if (offset <= mAcknowledged || offset > mEnd) {
@@ -57,7 +60,7 @@
         }
     }
 
-    /** Drops what is acknowledged, by whole pieces. */
+    /** Drops the pieces that are acknowledged as a whole. */
     void dropAcknowledged() {
         while (!mPieces.isEmpty() && endOf(mPieces.peek()) <= mAcknowledged) {
             Frame.Data piece = mPieces.remove();
@@ -66,19 +69,19 @@
         }
     }
 
-    /** Drops everything, once, at the end of the buffer's use. */
+    /** Drops all output. Call it once, at the end of the buffer's use. */
     void release() {
         mTotal.add(-(mEnd - mStart) - OVERHEAD_BYTES);
         mPieces.clear();
         mStart = mEnd;
     }
 
-    /** Returns whether all output from an offset on is here. */
+    /** Returns whether the buffer holds all output from an offset on. */
     boolean holdsFrom(long offset) {
         return offset >= mStart && offset <= mEnd;
     }
 
-    /** Returns the output from an offset on, which {@link #holdsFrom} has to allow. */
+    /** Returns the output from an offset on. {@link #holdsFrom} has to be true for the offset. */
     List<Frame.Data> piecesFrom(long offset) {
         List<Frame.Data> pieces = new ArrayList<>();
         for (Frame.Data p : mPieces) {
@@ -97,7 +100,7 @@
         return mEnd;
     }
 
-    /** Returns the bytes that no reader has acknowledged. */
+    /** Returns how many bytes no reader has acknowledged. */
     long unacknowledgedBytes() {
         return mEnd - mAcknowledged;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputLimiter.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputLimiter.java
@@ -5,9 +5,11 @@
 import java.util.Set;
 
 /**
- * Keeps output within its bounds. Nothing that a reader still needs is dropped to make room: first
- * go whole answers kept for a resend, the oldest first, then what readers of running attempts have
- * acknowledged; after that the backend server's answers are read no further until there is room.
+ * Keeps buffered output within its limits without dropping output that a reader still needs.
+ *
+ * <p>If the total limit is reached, whole delivered answers that are kept for a resend are dropped
+ * first, the oldest first; then the acknowledged output of running attempts. If that is not enough,
+ * the sidecar stops reading the backend server's answers until there is room.
  */
 final class OutputLimiter {
     private final AttemptTable mTable;
@@ -15,21 +17,21 @@
     private final OutputTotal mTotal;
     private final Set<Attempt> mPaused = new LinkedHashSet<>();
 
-    OutputLimiter(AttemptTable table, AttemptFinisher endings, OutputTotal total) {
+    OutputLimiter(AttemptTable table, AttemptFinisher finisher, OutputTotal total) {
         mTable = table;
         mTotal = total;
-        mFinisher = endings;
+        mFinisher = finisher;
     }
 
-    /** Acts on a bound that an attempt's new output may have passed. */
+    /** Enforces the limits after an attempt has received output. */
     void onOutputAdded(Step step, Attempt attempt, SidecarSettings.OutputLimits limits) {
-        boolean ownFull = attempt.output().unacknowledgedBytes() >= limits.attemptBytes();
-        if (ownFull || !makeRoom(step, limits)) {
+        boolean attemptFull = attempt.output().unacknowledgedBytes() >= limits.attemptBytes();
+        if (attemptFull || !makeRoom(step, limits)) {
             pause(step, attempt);
         }
     }
 
-    /** Reads on where there is room again. */
+    /** Resumes reading the paused answers that have room again. */
     void resumeReading(Step step, SidecarSettings.OutputLimits limits) {
         mPaused.removeIf(a -> a.phase() != Attempt.Phase.RUNNING);
         if (mPaused.isEmpty() || !makeRoom(step, limits)) {
@@ -38,7 +40,8 @@
         Iterator<Attempt> paused = mPaused.iterator();
         while (paused.hasNext()) {
             Attempt a = paused.next();
-            // Half of the bound, so that reading does not start and stop with every piece.
+            // Resume at half of the limit, so that reading does not stop and start with every
+            // piece.
             if (a.output().unacknowledgedBytes() <= limits.attemptBytes() / 2) {
                 paused.remove();
                 step.emit(new SidecarEffect.SetEngineCallReading(a.id(), true));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/OutputTotal.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/OutputTotal.java
@@ -1,6 +1,6 @@
 package org.laurelweir.admission;
 
-/** Counts the bytes of output that all attempts hold together. */
+/** Counts the bytes that the output buffers of all attempts hold together. */
 final class OutputTotal {
     private long mBytes;
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/PendingChatLookups.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/PendingChatLookups.java
@@ -10,11 +10,14 @@
 import org.laurelweir.placement.Candidate;
 
 /**
- * Attempts held for a moment while other sidecars are asked where their chats sit. The first answer
- * that knows decides; without one the attempt goes on here.
+ * Attempts that wait while other sidecars are asked for the location of their chats. The first
+ * reply that names a location decides. Without one, the attempt is placed at this backend server.
  */
 final class PendingChatLookups {
-    /** A round trip between data centres of one region takes a few milliseconds. */
+    /**
+     * Much longer than a round trip between data centres of one region, which takes a few
+     * milliseconds.
+     */
     private static final Duration MAX_WAIT = Duration.ofMillis(100);
 
     private static final class Lookup {
@@ -22,9 +25,9 @@
         private final Instant mDeadline;
         private int mPendingReplies;
 
-        Lookup(Attempt attempt, Instant until) {
+        Lookup(Attempt attempt, Instant deadline) {
             mAttempt = attempt;
-            mDeadline = until;
+            mDeadline = deadline;
         }
     }
 
@@ -37,66 +40,67 @@
     }
 
     /**
-     * Asks for an attempt's chat.
+     * Asks other sidecars for the location of an attempt's chat.
      *
-     * @return whether anybody could be asked, so that the attempt has to wait
+     * @return whether at least one sidecar was asked, so that the attempt has to wait
      */
     boolean askPeers(Step step, Attempt attempt, List<Candidate> candidates) {
-        Lookup question = new Lookup(attempt, step.now().plus(MAX_WAIT));
+        Lookup lookup = new Lookup(attempt, step.now().plus(MAX_WAIT));
         for (Candidate c : candidates) {
             String address = mMembers.address(c.id());
             if (address != null) {
-                mLookups.put(++mLastQuestion, question);
-                question.mPendingReplies++;
+                mLookups.put(++mLastQuestion, lookup);
+                lookup.mPendingReplies++;
                 List<Long> chats = List.of(attempt.request().chat());
                 step.emit(new SidecarEffect.LocateChats(mLastQuestion, address, chats));
             }
         }
-        return question.mPendingReplies > 0;
+        return lookup.mPendingReplies > 0;
     }
 
     /**
-     * Takes an answer.
+     * Handles a reply.
      *
-     * @return the attempt that can go on with it, or null where others may still know
+     * @return the attempt whose look-up is complete, or null if other sidecars may still know the
+     *     location
      */
     Attempt onChatsLocated(long question, Map<Long, String> locations) {
-        Lookup q = mLookups.remove(question);
-        if (q == null) {
+        Lookup lookup = mLookups.remove(question);
+        if (lookup == null) {
             return null;
         }
-        q.mPendingReplies--;
-        boolean known = locations.containsKey(q.mAttempt.request().chat());
-        if (!known && q.mPendingReplies > 0) {
+        lookup.mPendingReplies--;
+        boolean known = locations.containsKey(lookup.mAttempt.request().chat());
+        if (!known && lookup.mPendingReplies > 0) {
             return null;
         }
-        remove(q.mAttempt);
-        return q.mAttempt;
+        remove(lookup.mAttempt);
+        return lookup.mAttempt;
     }
 
-    /** Takes out the attempts that have waited long enough for an answer. */
+    /** Removes and returns the attempts whose look-up has timed out. */
     List<Attempt> expire(Instant now) {
         List<Attempt> expired = new ArrayList<>();
-        Iterator<Lookup> all = mLookups.values().iterator();
-        while (all.hasNext()) {
-            Lookup q = all.next();
-            if (!q.mDeadline.isAfter(now)) {
-                all.remove();
-                if (!expired.contains(q.mAttempt)) {
-                    expired.add(q.mAttempt);
+        Iterator<Lookup> lookups = mLookups.values().iterator();
+        while (lookups.hasNext()) {
+            Lookup lookup = lookups.next();
+            if (!lookup.mDeadline.isAfter(now)) {
+                lookups.remove();
+                if (!expired.contains(lookup.mAttempt)) {
+                    expired.add(lookup.mAttempt);
                 }
             }
         }
         return expired;
     }
 
-    /** Takes an attempt out that waits no more. */
+    /** Removes an attempt that no longer waits for a reply. */
     void remove(Attempt attempt) {
-        mLookups.values().removeIf(q -> q.mAttempt == attempt);
+        mLookups.values().removeIf(lookup -> lookup.mAttempt == attempt);
     }
 
-    /** Returns the attempts that wait for an answer. */
+    /** Returns the attempts that wait for a reply. */
     List<Attempt> waitingAttempts() {
-        return mLookups.values().stream().map(q -> q.mAttempt).distinct().toList();
+        return mLookups.values().stream().map(lookup -> lookup.mAttempt).distinct().toList();
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/RedirectRanking.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/RedirectRanking.java
@@ -5,9 +5,9 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
 
-/** Names the backend servers that a request may go to instead of this one. */
+/** Chooses the backend servers to which a request may be redirected. */
 final class RedirectRanking {
-    /** How many candidates a decision shows. */
+    /** How many candidates a decision log shows. */
     private static final int MAX_LOGGED_CANDIDATES = 3;
 
     private final String mSelf;
@@ -18,7 +18,7 @@
         mMembers = members;
     }
 
-    /** Returns the backend server to try after this one, or an empty text. */
+    /** Returns the backend server to try after this one, or an empty string if there is none. */
     String redirectTarget(AttemptRequest request, int maxRedirects) {
         int tried = request.redirects();
         if (tried >= maxRedirects) {
@@ -28,7 +28,7 @@
         return others.size() > tried ? others.get(tried).id() : "";
     }
 
-    /** Returns the first in rank, as a decision shows them. */
+    /** Returns the names of the first backend servers in rank, for decision logs. */
     List<String> topCandidates(AttemptRequest request) {
         return mMembers.view().ranking().top(rankingKey(request), MAX_LOGGED_CANDIDATES).stream()
                 .map(Candidate::id)
@@ -39,7 +39,10 @@
         return mMembers.view().ranking().topWithout(rankingKey(request), mSelf, count);
     }
 
-    /** Returns the chat's key; a request without a chat gets a rank of its own. */
+    /**
+     * Returns the key by which backend servers are ranked: the chat's key, or a key of its own for
+     * a request without a chat.
+     */
     private static ChatKey rankingKey(AttemptRequest request) {
         if (request.chat() != 0) {
             return new ChatKey(request.chat());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/RunningLoad.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/RunningLoad.java
@@ -3,12 +3,14 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** What runs beside the sidecar, and the service's mean as it was last heard. */
+/**
+ * The load of this backend server, and the mean load of its service as last received from control.
+ */
 final class RunningLoad {
     /**
-     * A mean older than this counts as unknown. A mean from before load fell would let this server
-     * carry a multiple of what the others carry now; without one, only the bound's floor holds,
-     * which does no harm to one engine.
+     * The maximum age of the mean; an older mean counts as unknown. A mean from before a fall of
+     * the load would let this server carry a multiple of what the others carry now. Without a mean
+     * only the floor of the bound applies, which one engine can carry without harm.
      */
     static final Duration MEAN_MAX_AGE = Duration.ofSeconds(10);
 
@@ -21,7 +23,7 @@
     /**
      * Creates the load of an idle server.
      *
-     * @param weight the server's capacity relative to the service's other ones
+     * @param weight the server's capacity relative to the other servers of its service
      */
     RunningLoad(double weight) {
         mWeight = weight;
@@ -34,11 +36,11 @@
 
     void remove(double work) {
         mRunning--;
-        // Sums of fractions drift; an idle server carries exactly nothing.
+        // Rounding errors add up in the sum. Without a running attempt the work is exactly 0.
         mWork = mRunning == 0 ? 0 : mWork - work;
     }
 
-    /** Notes the service's mean work per unit of weight. */
+    /** Sets the service's mean work per unit of weight. */
     void setMean(Instant now, double meanPerWeight) {
         mMean = meanPerWeight * mWeight;
         mMeanTime = now;
@@ -52,7 +54,9 @@
         return mRunning;
     }
 
-    /** Returns the mean for a server of this weight, or 0 where none is known. */
+    /**
+     * Returns the mean work for a server of this weight, or 0 if the mean is unknown or too old.
+     */
     double mean(Instant now) {
         boolean known = mMeanTime != Instant.MIN && !mMeanTime.plus(MEAN_MAX_AGE).isBefore(now);
         return known ? mMean : 0;
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -12,55 +12,74 @@
 import org.laurelweir.membership.MembershipCursor;
 import org.laurelweir.membership.SidecarReport;
 
-/** Everything that a sidecar's reducer wants done. */
+/** The effects that a sidecar's reducer requests. The sidecar program carries them out. */
 public sealed interface SidecarEffect {
-    /** Send a frame to the router on a stream. */
+    /** Sends a frame to the router on a stream. */
     record SendFrame(long stream, AttemptFrame frame) implements SidecarEffect {}
 
-    /** End a stream after its last frame. */
+    /** Closes a stream after its last frame. */
     record CloseStream(long stream) implements SidecarEffect {}
 
-    /** Answer a revocation. */
+    /** Answers a router's revocation with the attempt's state. */
     record AnswerRevoke(long call, AttemptState state, BackendRef self) implements SidecarEffect {}
 
-    /** Make the call to the backend server. */
+    /** Starts the call to the backend server. */
     record StartEngineCall(AttemptRequest request) implements SidecarEffect {}
 
-    /** Drop the call to the backend server, which cancels its work. */
+    /** Closes the call to the backend server, which cancels its work. */
     record CancelEngineCall(AttemptId attempt) implements SidecarEffect {}
 
-    /** Read the backend server's answer on, or read no further until told. */
+    /** Resumes or stops reading the backend server's answer. */
     record SetEngineCallReading(AttemptId attempt, boolean reading) implements SidecarEffect {}
 
-    /** Exchange with a control instance. */
+    /** Sends a report to a control instance and asks for the changes since the cursor. */
     record SendExchange(SidecarReport report, MembershipCursor cursor) implements SidecarEffect {}
 
-    /** Ask another sidecar where chats sit. */
+    /**
+     * Asks another sidecar for chat locations.
+     *
+     * @param question id of the request, which the reply repeats
+     * @param address the other sidecar's address
+     * @param chats the keys of the chats
+     */
     record LocateChats(long question, String address, List<Long> chats) implements SidecarEffect {}
 
-    /** Answer another sidecar that asked where chats sit. */
+    /**
+     * Answers another sidecar's request for chat locations.
+     *
+     * @param call the call to answer
+     * @param locations names of backend servers by chat key; without the chats whose location is
+     *     unknown
+     */
     record AnswerLocateChats(long call, Map<Long, String> locations) implements SidecarEffect {}
 
-    /** Hand directory entries over to another sidecar. */
+    /**
+     * Sends chat locations to the sidecar that is, or is about to become, the home of the chats.
+     *
+     * @param address the other sidecar's address
+     * @param locations names of backend servers by chat key
+     */
     record HandOverChats(String address, Map<Long, String> locations) implements SidecarEffect {}
 
-    /** Pass an order on to the backend server and answer the call with what it says. */
+    /** Passes an order to the backend server and answers the call with its reply. */
     record PassOrder(long call, String kind, String argument, long fence)
             implements SidecarEffect {}
 
-    /** Refuse an order. */
+    /** Refuses an order. */
     record RefuseOrder(long call, ResultCode code, String message) implements SidecarEffect {}
 
-    /** Log a decision and keep it for {@code explain}. */
+    /** Logs a decision and keeps it for {@code explain}. */
     record LogDecision(Decision decision) implements SidecarEffect {}
 
     /**
-     * Control knows a later incarnation of this sidecar than this one.
+     * Reports that control knows a later incarnation of this sidecar.
      *
-     * @param idle whether nothing was begun here, so that a still later one can take over
+     * @param incarnation the latest incarnation that control knows
+     * @param idle whether this sidecar holds no attempt, so that it can continue as a still later
+     *     incarnation
      */
     record Superseded(long incarnation, boolean idle) implements SidecarEffect {}
 
-    /** Everything in flight has ended: the process may exit. */
+    /** Reports that all attempts have ended and the process may exit. */
     record Stopped() implements SidecarEffect {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarIdentity.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarIdentity.java
@@ -4,14 +4,14 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * Who a sidecar is, from its start to its end.
+ * The identity of one incarnation of a sidecar.
  *
  * @param ref its backend server's name and its own incarnation
- * @param service the service
- * @param dataCentre where it stands
+ * @param service the service of the backend server
+ * @param dataCentre the data centre
  * @param region the data centre's region
- * @param address where it listens, an IP number and a port
- * @param weight the backend server's capacity relative to the service's other ones
+ * @param address the address that the sidecar listens on, an IP address and a port
+ * @param weight the backend server's capacity relative to the other servers of its service
  */
 public record SidecarIdentity(
         BackendRef ref,
@@ -21,13 +21,13 @@
         String address,
         double weight) {
 
-    /** Returns the same sidecar in another incarnation. */
+    /** Returns the identity of another incarnation of the same sidecar. */
     public SidecarIdentity withIncarnation(long incarnation) {
-        BackendRef other = new BackendRef(ref.id(), incarnation);
-        return new SidecarIdentity(other, service, dataCentre, region, address, weight);
+        BackendRef newRef = new BackendRef(ref.id(), incarnation);
+        return new SidecarIdentity(newRef, service, dataCentre, region, address, weight);
     }
 
-    /** Returns what the sidecar announces. */
+    /** Returns the sidecar's announcement to control. */
     Backend announcement(Backend.State state, int session) {
         return new Backend(ref, service, dataCentre, region, address, state, weight, session);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -10,11 +10,11 @@
 import org.laurelweir.membership.ServiceLoad;
 
 /**
- * Decides everything that a sidecar does. This class only hands events to the part that each
- * concerns; the parts hold the state.
+ * Decides what a sidecar does. This class passes each event to the part that handles it; the parts
+ * hold the state.
  */
 public final class SidecarReducer implements Reducer<SidecarEvent, SidecarEffect> {
-    /** Longer than any caller's deadline: deadline.max can't be set above an hour. */
+    /** Longer than any caller's deadline: the setting deadline.max is limited to an hour. */
     private static final Duration MEMORY_RETENTION = Duration.ofMinutes(65);
 
     private static final int MAX_REMEMBERED_ATTEMPTS = 50_000;
@@ -47,7 +47,7 @@
     /**
      * Creates the reducer of an idle sidecar.
      *
-     * @param self who the sidecar is
+     * @param self the sidecar's identity
      */
     public SidecarReducer(SidecarIdentity self) {
         String name = self.ref().id();
@@ -59,18 +59,22 @@
         mChatLocations = new ChatLocations(name, mMembers);
         mChatLocations.setCacheTokens(mSettings.cacheTokens());
         mLookups = new PendingChatLookups(mMembers);
-        RunTimes times = new RunTimes();
-        OutputTotal total = new OutputTotal();
-        FrameSender frames = new FrameSender(mLoad, this::refusesNewWork);
-        mFinisher = new AttemptFinisher(mTable, mMemory, mLoad, frames, times, mChatLocations);
-        mStreams = new FollowingStreams(mTable, mFinisher, frames);
-        mOutputLimiter = new OutputLimiter(mTable, mFinisher, total);
-        mExecution = new Execution(mTable, mFinisher, mStreams, frames, mLoad, mOutputLimiter);
+        RunTimes runTimes = new RunTimes();
+        OutputTotal outputTotal = new OutputTotal();
+        FrameSender frameSender = new FrameSender(mLoad, this::refusesNewWork);
+        mFinisher =
+                new AttemptFinisher(mTable, mMemory, mLoad, frameSender, runTimes, mChatLocations);
+        mStreams = new FollowingStreams(mTable, mFinisher, frameSender);
+        mOutputLimiter = new OutputLimiter(mTable, mFinisher, outputTotal);
+        mExecution = new Execution(mTable, mFinisher, mStreams, frameSender, mLoad, mOutputLimiter);
         mTimeouts = new Timeouts(mTable, mFinisher, mExecution, mStreams);
         mDeduplicator =
-                new AttemptDeduplicator(self.ref(), mTable, mMemory, mStreams, frames, total);
-        RedirectRanking next = new RedirectRanking(name, mMembers);
-        mAdmission = new Admission(name, mLoad, times, next, mFinisher, mExecution, frames);
+                new AttemptDeduplicator(
+                        self.ref(), mTable, mMemory, mStreams, frameSender, outputTotal);
+        RedirectRanking redirectRanking = new RedirectRanking(name, mMembers);
+        mAdmission =
+                new Admission(
+                        name, mLoad, runTimes, redirectRanking, mFinisher, mExecution, frameSender);
         mAdmission.setSettings(mSettings);
         mRedirector = new ChatRedirector(mChatLocations, mLookups, mMembers, mAdmission);
         mDrain = new Drain(mTable, mAdmission, mLookups, mChatLocations, mExecution);
@@ -93,17 +97,17 @@
 
     private boolean handleAttemptEvent(Step step, SidecarEvent event) {
         if (event instanceof SidecarEvent.AttemptRequested e) {
-            begin(step, e);
+            onAttemptRequested(step, e);
         } else if (event instanceof SidecarEvent.AttemptResumed e) {
             mDeduplicator.resume(step, e);
         } else if (event instanceof SidecarEvent.OutputAcknowledged e) {
-            acknowledge(e);
+            onOutputAcknowledged(e);
         } else if (event instanceof SidecarEvent.AttemptCancelled e) {
-            cancel(step, e);
+            onAttemptCancelled(step, e);
         } else if (event instanceof SidecarEvent.StreamClosed e) {
             mStreams.onStreamClosed(step, e.stream());
         } else if (event instanceof SidecarEvent.AttemptRevoked e) {
-            revoke(step, e);
+            onAttemptRevoked(step, e);
         } else {
             return false;
         }
@@ -164,8 +168,8 @@
         mChatLocations.sendNotices(step);
     }
 
-    private void begin(Step step, SidecarEvent.AttemptRequested event) {
-        Attempt attempt = mDeduplicator.begin(step, event.stream(), event.request());
+    private void onAttemptRequested(Step step, SidecarEvent.AttemptRequested event) {
+        Attempt attempt = mDeduplicator.request(step, event.stream(), event.request());
         if (attempt == null) {
             return;
         }
@@ -175,18 +179,18 @@
             mAdmission.refuseNewWork(
                     step, attempt, ResultCode.BACKEND_REFUSED, AdmissionReason.UNREACHABLE);
         } else {
-            mRedirector.redirectOrPlace(step, attempt);
+            mRedirector.locateAndPlace(step, attempt);
         }
     }
 
-    private void acknowledge(SidecarEvent.OutputAcknowledged event) {
+    private void onOutputAcknowledged(SidecarEvent.OutputAcknowledged event) {
         Attempt attempt = mTable.find(event.attempt());
         if (attempt != null) {
             attempt.output().acknowledge(event.offset());
         }
     }
 
-    private void cancel(Step step, SidecarEvent.AttemptCancelled event) {
+    private void onAttemptCancelled(Step step, SidecarEvent.AttemptCancelled event) {
         Attempt attempt = mTable.find(event.attempt());
         if (attempt == null) {
             return;
@@ -198,7 +202,7 @@
         }
     }
 
-    private void revoke(Step step, SidecarEvent.AttemptRevoked event) {
+    private void onAttemptRevoked(Step step, SidecarEvent.AttemptRevoked event) {
         Attempt waiting = mDeduplicator.revoke(step, event);
         if (waiting != null) {
             refuseWaiting(step, waiting);
@@ -208,7 +212,7 @@
     private void refuseWaiting(Step step, Attempt attempt) {
         mLookups.remove(attempt);
         mAdmission.removeWaiting(attempt);
-        String message = "withdrawn before it started";
+        String message = "cancelled or revoked before it started";
         mFinisher.refuse(
                 step, attempt, new Frame.Refused(ResultCode.REVOKED, message, "", Duration.ZERO));
     }
@@ -222,14 +226,14 @@
                 mLoad.setMean(step.now(), l.meanWork());
             }
         }
-        // An instance that is cut off from the others may not know of a drain yet, nor of an order.
-        // Taken at its word, it would have a leaving server take new work again.
+        // A control instance that is cut off from the others may not know of a drain or an order
+        // yet. Unconfirmed values could make a draining server take new work again.
         if (event.confirmed()) {
             mOrderFencing.setHighestIssued(event.fence());
             mDrain.setOrdered(step, event.drain());
         }
         mLaterIncarnations.onMembership(event.membership());
-        // The run that takes over would know nothing of a stop.
+        // The next incarnation would not know that a stop was requested.
         if (!mDrain.isDraining()) {
             mLaterIncarnations.reportLater(step, mTable.isEmpty());
         }
@@ -247,7 +251,7 @@
         }
     }
 
-    /** Returns whether nothing new is taken. */
+    /** Returns whether this sidecar takes no new work. */
     private boolean refusesNewWork() {
         return mDrain.isDraining() || !mReachable;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarSettings.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarSettings.java
@@ -5,17 +5,18 @@
 import org.laurelweir.placement.BoundConfig;
 
 /**
- * The settings that bind one sidecar.
+ * The settings of one sidecar.
  *
- * @param bound how much work its backend server takes on
- * @param queue what may wait
- * @param output what is kept of answers
- * @param drainTimeout how long running requests may take once draining has begun
- * @param progressInterval longest silence on a stream
- * @param outputTokens tokens that an answer is expected to have where the router expects none
+ * @param bound how much work its backend server admits
+ * @param queue the limits of the waiting queue
+ * @param output the limits of the buffered output
+ * @param drainTimeout how long running attempts may take after a stop was requested; also the time
+ *     after its deadline for an attempt that a resend may ask for
+ * @param progressInterval the longest time without a frame on a stream
+ * @param outputTokens tokens that an answer is expected to have if the router expects none
  * @param cacheTokens tokens of histories that its backend server keeps cached
- * @param refusalStatuses the backend server's HTTP statuses that are documented to mean that a call
- *     was refused before it was run
+ * @param refusalStatuses the HTTP statuses that, by the backend server's documentation, mean that
+ *     it refused a call without running it
  */
 public record SidecarSettings(
         BoundConfig bound,
@@ -26,7 +27,7 @@
         int outputTokens,
         long cacheTokens,
         Set<Integer> refusalStatuses) {
-    /** What holds until settings arrive. */
+    /** The defaults, which apply until settings arrive. */
     public static final SidecarSettings DEFAULT =
             new SidecarSettings(
                     new BoundConfig(1.25, 0.05, 1.1, 8192, 0.1, 2),
@@ -52,21 +53,22 @@
     }
 
     /**
-     * What may wait for room.
+     * The limits of the waiting queue.
      *
-     * @param requests most requests
-     * @param bytes most bytes of bodies
-     * @param age longest wait
+     * @param requests maximum number of requests
+     * @param bytes maximum number of bytes of their bodies
+     * @param age maximum wait
      */
     public record QueueLimits(int requests, long bytes, Duration age) {}
 
     /**
-     * What is kept of answers.
+     * The limits of the buffered output.
      *
-     * @param totalBytes most bytes over all attempts
-     * @param attemptBytes most bytes of one attempt that its reader has not acknowledged; over it
-     *     the backend server's answer is read no further
-     * @param keepTime how long an attempt goes on, and its output is kept, while nobody follows it
+     * @param totalBytes maximum number of bytes over all attempts
+     * @param attemptBytes maximum number of bytes of one attempt that its reader has not
+     *     acknowledged; above it the sidecar stops reading the backend server's answer
+     * @param keepTime how long an attempt without a following stream runs on before it is
+     *     cancelled, and how long the output of an ended attempt is kept at least
      */
     public record OutputLimits(long totalBytes, long attemptBytes, Duration keepTime) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Step.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Step.java
@@ -6,8 +6,8 @@
 /**
  * One step of the reducer.
  *
- * @param now its time
- * @param effects takes what it wants done
+ * @param now the time of the step
+ * @param effects receives the effects of the step
  */
 record Step(Instant now, Consumer<? super SidecarEffect> effects) {
     void emit(SidecarEffect effect) {
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
@@ -5,9 +5,9 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Ends what has taken, or was kept, long enough, and breaks silences that last too long. Looks only
- * at attempts that changed or about which something is due: with a look at each, a tick would take
- * longer the more there are.
+ * Aborts attempts that run too long or that no stream follows, drops ended attempts after their
+ * retention, and sends progress frames. Each tick checks only the attempts that changed or are due,
+ * so that its cost does not grow with the number of attempts held.
  */
 final class Timeouts {
     private final DueQueue mDueQueue = new DueQueue();
@@ -19,13 +19,13 @@
 
     Timeouts(
             AttemptTable table,
-            AttemptFinisher endings,
+            AttemptFinisher finisher,
             Execution execution,
-            FollowingStreams followers) {
+            FollowingStreams streams) {
         mTable = table;
-        mFinisher = endings;
+        mFinisher = finisher;
         mExecution = execution;
-        mStreams = followers;
+        mStreams = streams;
     }
 
     void checkDue(Step step, SidecarSettings settings) {
@@ -48,13 +48,16 @@
         }
     }
 
-    /** Returns when to look at an attempt again, if it does not change before; never too late. */
+    /**
+     * Returns when to check an attempt again unless it changes before. The time may be early but
+     * never late.
+     */
     private Instant nextCheckTime(Attempt attempt) {
-        Instant next = timeoutTime(attempt);
+        Instant nextCheck = timeoutTime(attempt);
         if (!attempt.isFollowed()) {
-            return next;
+            return nextCheck;
         }
-        return earlier(next, attempt.lastFrameTime().plus(mSettings.progressInterval()));
+        return earlier(nextCheck, attempt.lastFrameTime().plus(mSettings.progressInterval()));
     }
 
     private Instant timeoutTime(Attempt attempt) {
@@ -64,8 +67,10 @@
         if (attempt.phase() == Attempt.Phase.WAITING) {
             return Instant.MAX;
         }
-        Instant latest = runDeadline(attempt, mSettings);
-        return isAbandoned(attempt) ? earlier(latest, abandonedExpiry(attempt, mSettings)) : latest;
+        Instant runDeadline = runDeadline(attempt, mSettings);
+        return isAbandoned(attempt)
+                ? earlier(runDeadline, abandonedExpiry(attempt, mSettings))
+                : runDeadline;
     }
 
     private static Instant earlier(Instant a, Instant b) {
@@ -85,7 +90,7 @@
 
     private void checkRunning(Step step, Attempt attempt, SidecarSettings settings) {
         if (!step.now().isBefore(runDeadline(attempt, settings))) {
-            String message = "no whole answer within the deadline";
+            String message = "the answer was not complete at the deadline";
             mExecution.abort(step, attempt, ResultCode.DEADLINE_EXCEEDED, message);
             return;
         }
@@ -98,14 +103,15 @@
         return !attempt.isFollowed() && attempt.isCancellable();
     }
 
-    /** Returns how long an attempt that nobody follows goes on. */
+    /** Returns when an attempt that no stream follows is cancelled. */
     private static Instant abandonedExpiry(Attempt attempt, SidecarSettings settings) {
         return attempt.unfollowedSince().plus(settings.output().keepTime());
     }
 
     /**
-     * Returns when an attempt that still runs is given up. One whose outcome a resend will ask for
-     * may take as long as a drain would wait for it: its caller's deadline is not the resend's.
+     * Returns when a running attempt is aborted: at its deadline. An attempt that a resend may ask
+     * for gets the drain timeout in addition, because the resend has a later deadline than the
+     * first caller.
      */
     private static Instant runDeadline(Attempt attempt, SidecarSettings settings) {
         Duration extra = attempt.isCancellable() ? Duration.ZERO : settings.drainTimeout();
@@ -119,7 +125,8 @@
     }
 
     private static Instant outputExpiry(Attempt attempt, Duration keepTime) {
-        Duration wanted = attempt.request().outputKeepTime();
-        return attempt.endTime().plus(wanted.compareTo(keepTime) > 0 ? wanted : keepTime);
+        Duration requestedKeepTime = attempt.request().outputKeepTime();
+        return attempt.endTime()
+                .plus(requestedKeepTime.compareTo(keepTime) > 0 ? requestedKeepTime : keepTime);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AdmissionBoundTest.java
@@ -26,16 +26,19 @@
 import org.laurelweir.membership.ServiceLoad;
 import org.laurelweir.placement.BoundConfig;
 
-/** Surges, uneven requests and old means never take a backend server over its bound. */
+/**
+ * A backend server never runs more work than its bound, and the waiting queue stays within its
+ * limits, during surges, with requests of very different cost and with an outdated mean load.
+ */
 class AdmissionBoundTest {
-    private static final double FACTOR = 1.25;
-    private static final double FLOOR = 500;
+    private static final double BOUND_FACTOR = 1.25;
+    private static final double BOUND_FLOOR = 500;
     private static final Duration QUEUE_AGE = Duration.ofSeconds(2);
     private static final long QUEUE_BYTES = 2_000;
     private static final Duration TICK = Duration.ofMillis(50);
     private static final SidecarSettings SETTINGS =
             new SidecarSettings(
-                    new BoundConfig(FACTOR, 0, 1.1, FLOOR, 0.1, 2),
+                    new BoundConfig(BOUND_FACTOR, 0, 1.1, BOUND_FLOOR, 0.1, 2),
                     new SidecarSettings.QueueLimits(5, QUEUE_BYTES, QUEUE_AGE),
                     SidecarSettings.DEFAULT.output(),
                     Duration.ofMinutes(10),
@@ -47,16 +50,16 @@
     private enum Kind {
         ARRIVE,
         END,
-        MEAN,
+        MEAN_LOAD,
         ADVANCE
     }
 
     private record Action(Kind kind, int selector, int variant) {}
 
     @Property(tries = 1000, seed = "42002")
-    void runningWorkQueueSizeAndWaitsStayWithinBounds(@ForAll("surges") List<Action> happenings) {
-        Simulation world = new Simulation();
-        happenings.forEach(world::perform);
+    void runningWorkQueueSizeAndWaitsStayWithinBounds(@ForAll("surges") List<Action> actions) {
+        Simulation simulation = new Simulation();
+        actions.forEach(simulation::perform);
     }
 
     @Provide
@@ -65,7 +68,7 @@
                 Arbitraries.frequency(
                         Tuple.of(8, Kind.ARRIVE),
                         Tuple.of(4, Kind.END),
-                        Tuple.of(1, Kind.MEAN),
+                        Tuple.of(1, Kind.MEAN_LOAD),
                         Tuple.of(6, Kind.ADVANCE));
         Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 1 << 16);
         return Combinators.combine(kinds, numbers, numbers)
@@ -75,7 +78,7 @@
                 .ofMaxSize(150);
     }
 
-    /** One sidecar, what runs beside it by our own count, and who waits since when. */
+    /** One sidecar, with the running work and the waiting attempts as the test counts them. */
     private static final class Simulation {
         private static final BackendRef SELF = new BackendRef("engine-1", 1);
 
@@ -103,37 +106,37 @@
                             0));
         }
 
-        void perform(Action h) {
-            switch (h.kind()) {
-                case ARRIVE -> arrive(h.selector(), h.variant());
-                case END -> end(h.selector());
-                case MEAN -> setMean(h.variant() % 2000);
-                default -> advance(h.variant() % 60);
+        void perform(Action action) {
+            switch (action.kind()) {
+                case ARRIVE -> arrive(action.selector(), action.variant());
+                case END -> end(action.selector());
+                case MEAN_LOAD -> setMean(action.variant() % 2000);
+                default -> advance(action.variant() % 60);
             }
         }
 
-        private void arrive(int which, int how) {
+        private void arrive(int selector, int variant) {
             AttemptId id = Requests.id(++mCount);
-            // A few requests cost many times what the others do.
-            int tokens = how % 8 == 0 ? 50 + how % 3000 : 1 + how % 200;
-            AttemptRequest.Builder r =
+            // Some requests cost many times as much as the others.
+            int tokens = variant % 8 == 0 ? 50 + variant % 3000 : 1 + variant % 200;
+            AttemptRequest.Builder request =
                     Requests.request(mCount)
-                            .account("account-" + which % 4, 1 + which % 3)
-                            .priority(which % 2)
-                            .call(Requests.call(how % 900))
-                            .redirects(which % 3)
-                            .timeLeft(Duration.ofMillis(100L + how % 10_000))
+                            .account("account-" + selector % 4, 1 + selector % 3)
+                            .priority(selector % 2)
+                            .call(Requests.call(variant % 900))
+                            .redirects(selector % 3)
+                            .timeLeft(Duration.ofMillis(100L + variant % 10_000))
                             .cost(Requests.outputCost(tokens));
             mWaitingSince.put(id, mNow);
-            mBodyBytes.put(id, how % 900);
-            step(new SidecarEvent.AttemptRequested(mCount, r.build()));
+            mBodyBytes.put(id, variant % 900);
+            step(new SidecarEvent.AttemptRequested(mCount, request.build()));
             checkQueue();
         }
 
-        private void end(int which) {
+        private void end(int selector) {
             List<AttemptId> running = new ArrayList<>(mRunningWork.keySet());
             if (!running.isEmpty()) {
-                AttemptId id = running.get(which % running.size());
+                AttemptId id = running.get(selector % running.size());
                 mRunningWork.remove(id);
                 step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
                 step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
@@ -180,11 +183,12 @@
         }
 
         private void checkBound(double work) {
-            double before = mRunningWork.values().stream().mapToDouble(w -> w).sum();
-            boolean known = mMeanTime != Instant.MIN && !mMeanTime.plusSeconds(10).isBefore(mNow);
-            double bound = Math.max(FACTOR * (known ? mMean : 0), FLOOR);
-            if (before > 0) {
-                assertThat(before + work).as("running work").isLessThanOrEqualTo(bound + 1e-6);
+            double runningWork = mRunningWork.values().stream().mapToDouble(w -> w).sum();
+            boolean meanKnown =
+                    mMeanTime != Instant.MIN && !mMeanTime.plusSeconds(10).isBefore(mNow);
+            double bound = Math.max(BOUND_FACTOR * (meanKnown ? mMean : 0), BOUND_FLOOR);
+            if (runningWork > 0) {
+                assertThat(runningWork + work).as("running work").isLessThanOrEqualTo(bound + 1e-6);
             }
         }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptHistoryTest.java
@@ -28,52 +28,54 @@
 import org.laurelweir.membership.ServiceLoad;
 
 /**
- * Any order of messages, also late, repeated and crossed ones, drains, stops and restarts, against
- * the engine's own record of what ran.
+ * Sends the sidecar messages in random order, also late, repeated and overtaken ones, with drains,
+ * stops and restarts, and compares its replies with the fake engine's record of the calls that ran.
+ * Guards against an attempt that runs twice or after it was reported as not run, and against an
+ * incomplete answer.
  */
 class AttemptHistoryTest {
     private enum Kind {
-        BEGIN,
+        REQUEST,
         RESUME,
         ACKNOWLEDGE,
         CANCEL,
         REVOKE,
         CLOSE_STREAM,
-        ENGINE,
+        ENGINE_STEP,
         TICK,
         WAIT_LONG,
         RESTART,
         DRAIN,
         STOP,
-        MEAN
+        MEAN_LOAD
     }
 
-    /** One thing that happens; the numbers choose among what there is. */
+    /** One action. The selector chooses the attempt it concerns, the variant its details. */
     private record Action(Kind kind, int selector, int variant) {}
 
     @Property(tries = 3000, seed = "42001")
-    void attemptsRunAtMostOnceAndAnswersAreComplete(@ForAll("histories") List<Action> happenings) {
-        Simulation world = new Simulation();
-        happenings.forEach(world::perform);
+    void attemptsRunAtMostOnceAndAnswersAreComplete(@ForAll("histories") List<Action> actions) {
+        Simulation simulation = new Simulation();
+        actions.forEach(simulation::perform);
     }
 
     @Provide
     Arbitrary<List<Action>> histories() {
         Arbitrary<Kind> kinds =
                 Arbitraries.frequency(
-                        Tuple.of(8, Kind.BEGIN),
+                        Tuple.of(8, Kind.REQUEST),
                         Tuple.of(5, Kind.RESUME),
                         Tuple.of(3, Kind.ACKNOWLEDGE),
                         Tuple.of(1, Kind.CANCEL),
                         Tuple.of(3, Kind.REVOKE),
                         Tuple.of(2, Kind.CLOSE_STREAM),
-                        Tuple.of(24, Kind.ENGINE),
+                        Tuple.of(24, Kind.ENGINE_STEP),
                         Tuple.of(4, Kind.TICK),
                         Tuple.of(2, Kind.WAIT_LONG),
                         Tuple.of(1, Kind.RESTART),
                         Tuple.of(1, Kind.DRAIN),
                         Tuple.of(1, Kind.STOP),
-                        Tuple.of(1, Kind.MEAN));
+                        Tuple.of(1, Kind.MEAN_LOAD));
         Arbitrary<Integer> numbers = Arbitraries.integers().between(0, 1 << 16);
         return Combinators.combine(kinds, numbers, numbers)
                 .as(Action::new)
@@ -94,17 +96,17 @@
         private final Set<AttemptId> mRefused = new HashSet<>();
         private final Map<AttemptId, Frame> mFinalFrames = new HashMap<>();
         private final Map<Long, StreamCheck> mStreams = new HashMap<>();
-        private final Map<AttemptId, Long> mRequestedIn = new HashMap<>();
+        private final Map<AttemptId, Long> mTargetIncarnations = new HashMap<>();
         private final Set<AttemptId> mRunning = new HashSet<>();
         private boolean mDraining;
         private boolean mStopping;
         private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
         private long mIncarnation = 1;
-        private SidecarReducer mSidecar = sidecar();
+        private SidecarReducer mSidecar = newSidecar();
         private long mStreamCount;
         private AttemptId mRevokedAttempt;
 
-        private SidecarReducer sidecar() {
+        private SidecarReducer newSidecar() {
             return new SidecarReducer(
                     new SidecarIdentity(self(), Requests.SERVICE, "bergen", "vestkyst", "a", 1));
         }
@@ -113,48 +115,51 @@
             return new BackendRef("engine-1", mIncarnation);
         }
 
-        private AttemptId attempt(int which) {
+        private AttemptId attemptId(int selector) {
             return new AttemptId(
                     "router-1",
                     1,
-                    which % REQUEST_COUNT,
-                    1 + which / REQUEST_COUNT % ATTEMPTS_PER_REQUEST);
+                    selector % REQUEST_COUNT,
+                    1 + selector / REQUEST_COUNT % ATTEMPTS_PER_REQUEST);
         }
 
-        /** Each attempt was sent to one run of the sidecar, as routers do. */
+        /**
+         * The backend server's run that the attempt is sent to: each attempt is for one incarnation
+         * of the sidecar.
+         */
         private BackendRef target(AttemptId id) {
             return new BackendRef("engine-1", id.attempt());
         }
 
-        void perform(Action h) {
-            mNow = mNow.plusMillis(h.variant() % 200);
-            AttemptId id = attempt(h.selector());
-            switch (h.kind()) {
-                case BEGIN -> begin(id, h.variant());
-                case RESUME -> resume(id, h.variant());
-                case ACKNOWLEDGE -> acknowledge(id, h.variant());
+        void perform(Action action) {
+            mNow = mNow.plusMillis(action.variant() % 200);
+            AttemptId id = attemptId(action.selector());
+            switch (action.kind()) {
+                case REQUEST -> request(id, action.variant());
+                case RESUME -> resume(id, action.variant());
+                case ACKNOWLEDGE -> acknowledge(id, action.variant());
                 case CANCEL -> step(new SidecarEvent.AttemptCancelled(id));
                 case REVOKE -> revoke(id);
-                case CLOSE_STREAM -> closeStream(h.variant());
-                case ENGINE -> engine(id, h.variant());
+                case CLOSE_STREAM -> closeStream(action.variant());
+                case ENGINE_STEP -> stepEngine(id, action.variant());
                 case TICK -> step(new SidecarEvent.Tick());
-                case WAIT_LONG -> waitLong(h.variant());
+                case WAIT_LONG -> waitLong(action.variant());
                 case RESTART -> restart();
-                case DRAIN -> exchange(h.variant() % 3 == 0, 0);
+                case DRAIN -> exchange(action.variant() % 3 == 0, 0);
                 case STOP -> stop();
-                default -> exchange(false, h.variant());
+                default -> exchange(false, action.variant());
             }
         }
 
-        private void begin(AttemptId id, int how) {
-            // A router begins an attempt once, and the connection that carries the message ends
-            // with the sidecar's run: what reached one run can't reach the next one.
-            if (mRequestedIn.computeIfAbsent(id, i -> mIncarnation) != mIncarnation) {
+        private void request(AttemptId id, int variant) {
+            // A router requests an attempt once, over a connection that ends with the sidecar's
+            // process. A request that reached one incarnation can't reach the next one.
+            if (mTargetIncarnations.computeIfAbsent(id, i -> mIncarnation) != mIncarnation) {
                 return;
             }
             AttemptRequest.Builder request =
                     Requests.request(id, target(id)).cost(Requests.outputCost(5000));
-            if (how % 3 == 0) {
+            if (variant % 3 == 0) {
                 request.idempotent(false)
                         .idempotencyKey("key")
                         .outputKeepTime(Duration.ofMinutes(5));
@@ -163,18 +168,18 @@
             step(new SidecarEvent.AttemptRequested(mStreamCount, request.build()));
         }
 
-        private void resume(AttemptId id, int how) {
-            long offset = offset(how);
+        private void resume(AttemptId id, int variant) {
+            long offset = offset(variant);
             mStreams.put(++mStreamCount, new StreamCheck(id, offset));
             step(new SidecarEvent.AttemptResumed(mStreamCount, id, target(id), offset));
         }
 
-        private long offset(int how) {
-            return how % 2 == 0 ? 0 : how % 40;
+        private long offset(int variant) {
+            return variant % 2 == 0 ? 0 : variant % 40;
         }
 
-        private void acknowledge(AttemptId id, int how) {
-            step(new SidecarEvent.OutputAcknowledged(id, how % 40));
+        private void acknowledge(AttemptId id, int variant) {
+            step(new SidecarEvent.OutputAcknowledged(id, variant % 40));
         }
 
         private void revoke(AttemptId id) {
@@ -182,17 +187,17 @@
             step(new SidecarEvent.AttemptRevoked(0, id, target(id)));
         }
 
-        private void closeStream(int how) {
+        private void closeStream(int variant) {
             List<Long> open = new ArrayList<>(mStreams.keySet());
             if (!open.isEmpty()) {
-                long stream = open.get(how % open.size());
+                long stream = open.get(variant % open.size());
                 mStreams.remove(stream);
                 step(new SidecarEvent.StreamClosed(stream));
             }
         }
 
-        private void engine(AttemptId id, int how) {
-            SidecarEvent event = mEngine.perform(id, engineAction(how));
+        private void stepEngine(AttemptId id, int variant) {
+            SidecarEvent event = mEngine.perform(id, engineAction(variant));
             if (event != null) {
                 if (!(event instanceof SidecarEvent.EngineHeadReceived
                         || event instanceof SidecarEvent.EngineDataReceived)) {
@@ -202,17 +207,17 @@
             }
         }
 
-        private static FakeEngine.CallStep engineAction(int how) {
-            if (how % 32 == 0) {
+        private static FakeEngine.CallStep engineAction(int variant) {
+            if (variant % 32 == 0) {
                 return FakeEngine.CallStep.REFUSE_CONNECTION;
             }
-            return how % 32 == 1
+            return variant % 32 == 1
                     ? FakeEngine.CallStep.BREAK_CONNECTION
                     : FakeEngine.CallStep.CONTINUE;
         }
 
-        private void waitLong(int how) {
-            mNow = mNow.plus(LONG_WAITS[how % LONG_WAITS.length]);
+        private void waitLong(int variant) {
+            mNow = mNow.plus(LONG_WAITS[variant % LONG_WAITS.length]);
             step(new SidecarEvent.Tick());
         }
 
@@ -222,7 +227,7 @@
             mDraining = false;
             mRunning.clear();
             mStreams.clear();
-            mSidecar = sidecar();
+            mSidecar = newSidecar();
         }
 
         private void stop() {
@@ -248,15 +253,17 @@
         private void checkEffect(SidecarEffect effect) {
             if (effect instanceof SidecarEffect.StartEngineCall e) {
                 AttemptId id = e.request().id();
-                assertThat(mRefused).as("run after denial").doesNotContain(id);
-                assertThat(mEngine.runCount(id)).as("runs of %s before", id).isZero();
-                assertThat(mDraining || mStopping).as("start while leaving").isFalse();
+                assertThat(mRefused)
+                        .as("run after the attempt was reported as not run")
+                        .doesNotContain(id);
+                assertThat(mEngine.runCount(id)).as("earlier runs of %s", id).isZero();
+                assertThat(mDraining || mStopping).as("start during a drain or a stop").isFalse();
                 mRunning.add(id);
                 mEngine.startCall(id);
             } else if (effect instanceof SidecarEffect.CancelEngineCall e) {
                 mRunning.remove(e.attempt());
             } else if (effect instanceof SidecarEffect.Stopped) {
-                assertThat(mRunning).as("running at the end of a stop").isEmpty();
+                assertThat(mRunning).as("attempts running when the stop is complete").isEmpty();
             } else if (effect instanceof SidecarEffect.AnswerRevoke e) {
                 checkRevoke(e);
             } else if (effect instanceof SidecarEffect.SendFrame e) {
@@ -279,14 +286,14 @@
             }
         }
 
-        /** An attempt has one ending, whichever stream it goes out on. */
-        private void checkFinalFrame(AttemptId id, Frame ending) {
+        /** Checks that an attempt has the same final frame on every stream. */
+        private void checkFinalFrame(AttemptId id, Frame finalFrame) {
             boolean aboutStream =
-                    ending instanceof Frame.Failed f
+                    finalFrame instanceof Frame.Failed f
                             && (f.code() == ResultCode.OUTPUT_NOT_KEPT
                                     || f.code() == ResultCode.OUTCOME_UNKNOWN);
             if (!aboutStream) {
-                assertThat(mFinalFrames.putIfAbsent(id, ending)).isIn(null, ending);
+                assertThat(mFinalFrames.putIfAbsent(id, finalFrame)).isIn(null, finalFrame);
             }
         }
 
@@ -297,7 +304,9 @@
         }
 
         private void markRefused(AttemptId id) {
-            assertThat(mEngine.runCount(id)).as("runs of %s, denied", id).isZero();
+            assertThat(mEngine.runCount(id))
+                    .as("runs of %s, which is reported as not run", id)
+                    .isZero();
             mRefused.add(id);
         }
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptMemoryTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/AttemptMemoryTest.java
@@ -11,10 +11,10 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.lib.ResultCode;
 
-/** What the sidecar may still say about attempts that it has forgotten. */
+/** Replies about attempts that the sidecar has forgotten. */
 class AttemptMemoryTest {
     private static final BackendRef SELF = new BackendRef("engine-1", 1);
-    private static final Duration RETENTION_EXCEEDED = Duration.ofMinutes(66);
+    private static final Duration MORE_THAN_RETENTION = Duration.ofMinutes(66);
     private static final AttemptId ID = Requests.id(5);
 
     private final SidecarDriver mSidecar = new SidecarDriver();
@@ -24,42 +24,44 @@
         return mSidecar.take(SidecarEffect.AnswerRevoke.class).get(0).state();
     }
 
-    // An attempt ran, its output was dropped, and more than any deadline later its id was dropped
-    // too. A router that was stopped all the while revokes it. "Never started" would be a lie.
+    // An attempt runs, its output is dropped, and after more than the longest deadline its id is
+    // forgotten too. A router that was suspended meanwhile revokes the attempt. The reply "never
+    // started" would be wrong.
     @Test
     void forgottenAttemptIsNotReportedAsNeverStarted() {
-        mSidecar.begin(Requests.request(5));
+        mSidecar.requestAttempt(Requests.request(5));
         mSidecar.answerAttempt(ID, new byte[3]);
-        mSidecar.advance(RETENTION_EXCEEDED);
+        mSidecar.advance(MORE_THAN_RETENTION);
         assertThat(revoke(ID)).isEqualTo(AttemptState.FINISHED);
-        mSidecar.advance(RETENTION_EXCEEDED);
+        mSidecar.advance(MORE_THAN_RETENTION);
         assertThat(revoke(ID)).isEqualTo(AttemptState.OTHER_INCARNATION);
     }
 
-    // The same, but what arrives so late is the message that begins a revoked attempt. Neither may
-    // it start, nor may the sidecar say that it was not run, for it can't tell any more.
+    // An attempt is revoked and its id is forgotten. Then the request for the attempt arrives. The
+    // sidecar must not start the attempt, and must not report it as not run, since it no longer
+    // knows.
     @Test
     void forgottenAttemptNeverStarts() {
         revoke(ID);
-        mSidecar.advance(RETENTION_EXCEEDED);
+        mSidecar.advance(MORE_THAN_RETENTION);
         Frame.Failed failed =
-                (Frame.Failed) mSidecar.takeLastFrame(mSidecar.begin(Requests.request(5)));
+                (Frame.Failed) mSidecar.takeLastFrame(mSidecar.requestAttempt(Requests.request(5)));
         assertThat(failed.code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
     }
 
     @Test
     void newerRequestsOfTheSameRouterStart() {
         revoke(ID);
-        mSidecar.advance(RETENTION_EXCEEDED);
-        mSidecar.begin(Requests.request(6));
+        mSidecar.advance(MORE_THAN_RETENTION);
+        mSidecar.requestAttempt(Requests.request(6));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
 
-    // More attempts are denied than the memory holds. The oldest id goes before its time; its late
-    // message must still not start it.
+    // More attempts are refused than the memory holds, so the oldest id is evicted early. A late
+    // request for that attempt must not start it.
     @Test
     void idEvictedFromAFullMemoryCannotStart() {
-        AttemptMemory memory = new AttemptMemory(RETENTION_EXCEEDED, 2, 10);
+        AttemptMemory memory = new AttemptMemory(MORE_THAN_RETENTION, 2, 10);
         for (long request = 1; request <= 3; request++) {
             memory.put(Instant.EPOCH, Requests.id(request), AttemptMemory.Outcome.NEVER_STARTED);
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/CachedChatsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/CachedChatsTest.java
@@ -4,12 +4,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The histories counted as cached are no more than the backend server has room for. */
+/** The histories that count as cached never exceed the backend server's cache. */
 class CachedChatsTest {
     private final CachedChats mChats = new CachedChats(3);
 
-    // The engine drops the history that was unused for longest to make room for a long one. Still
-    // counted as cached, the dropped chat's next turn would be admitted as a tenth of its work.
+    // The engine evicts the least recently used history to make room for a long one. If the evicted
+    // chat still counted as cached, its next turn would be admitted with a tenth of its real work.
     @Test
     void longHistoryEvictsLeastRecentlyUsedChats() {
         mChats.setMaxTokens(1_000);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
@@ -15,7 +15,10 @@
 import org.laurelweir.placement.ChatKey;
 import org.laurelweir.placement.Ranking;
 
-/** A chat is brought to where its history is cached, and its home learns where that is. */
+/**
+ * Requests are redirected to the server that has their chat's history cached, and homes learn the
+ * locations of their chats.
+ */
 class ChatLocationsTest {
     private static final AttemptId ID = Requests.id(1);
     private static final Duration AFTER_RECENT_JOIN_PERIOD = Duration.ofHours(1);
@@ -31,7 +34,7 @@
         return new Candidate(new BackendRef(id, 1), "bergen", 1);
     }
 
-    /** Returns a chat whose home is a backend server. */
+    /** Returns a chat with the given home. */
     private static long chatWithHome(String home) {
         long chat = 1;
         while (!ranking().home(new ChatKey(chat)).id().equals(home)) {
@@ -42,7 +45,8 @@
 
     private void startAsEstablishedMember() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
-        // Chats of a server that joined lately may sit elsewhere; later ones are at home.
+        // A server that joined recently asks the previous homes of its chats. This one has been a
+        // member for longer.
         mSidecar.advance(AFTER_RECENT_JOIN_PERIOD);
         mSidecar.take(SidecarEffect.class);
     }
@@ -55,19 +59,20 @@
         Frame.Refused refused =
                 (Frame.Refused)
                         mSidecar.takeLastFrame(
-                                mSidecar.begin(Requests.request(1).chat(chat, false)));
+                                mSidecar.requestAttempt(Requests.request(1).chat(chat, false)));
         assertThat(refused.code()).isEqualTo(ResultCode.CHAT_ELSEWHERE);
         assertThat(refused.redirectTo()).isEqualTo("engine-2");
     }
 
-    // The home sends a request on to where the chat sat, but that server has sent it back, being
-    // full. Sent on again, it would go round until its deadline.
+    // The home redirects a request to the server that had the chat cached, but that server is full
+    // and redirects it back. A second redirect would send the request back and forth until its
+    // deadline.
     @Test
     void redirectedRequestRunsHere() {
         startAsEstablishedMember();
         long chat = chatWithHome("engine-1");
         mSidecar.step(new SidecarEvent.ChatsHandedOver("engine-2", Map.of(chat, "engine-2")));
-        mSidecar.begin(Requests.request(1).chat(chat, false).redirects(1));
+        mSidecar.requestAttempt(Requests.request(1).chat(chat, false).redirects(1));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
 
@@ -75,7 +80,7 @@
     void serverThatAnswersAChatOfAnotherHomeNotifiesTheHome() {
         startAsEstablishedMember();
         long chat = chatWithHome("engine-2");
-        mSidecar.begin(Requests.request(1).chat(chat, false).redirects(1));
+        mSidecar.requestAttempt(Requests.request(1).chat(chat, false).redirects(1));
         mSidecar.answerAttempt(ID, new byte[3]);
         mSidecar.advance(Duration.ofSeconds(1));
         assertThat(mSidecar.take(SidecarEffect.HandOverChats.class))
@@ -88,7 +93,7 @@
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         long chat = chatWithHome("engine-1");
         AttemptRequest.Builder returning = Requests.request(1).chat(chat, true);
-        long stream = mSidecar.begin(returning);
+        long stream = mSidecar.requestAttempt(returning);
         SidecarEffect.LocateChats asked = mSidecar.take(SidecarEffect.LocateChats.class).get(0);
         assertThat(asked.chats()).containsExactly(chat);
 
@@ -97,24 +102,24 @@
         assertThat(refused.redirectTo()).isEqualTo("engine-3");
     }
 
-    // The previous home does not answer: it crashed, or the connection to it is silent. The caller
-    // waits a tenth of a second for it and no longer; the request then runs here.
+    // The previous home does not answer because it crashed or the connection is silent. The look-up
+    // times out after 100 ms, and the request runs here.
     @Test
     void lookupWithoutReplyTimesOut() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
-        mSidecar.begin(Requests.request(1).chat(chatWithHome("engine-1"), true));
+        mSidecar.requestAttempt(Requests.request(1).chat(chatWithHome("engine-1"), true));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).isEmpty();
         mSidecar.advance(Duration.ofMillis(100));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).hasSize(1);
     }
 
-    // A request is revoked while its chat is being asked for. The answer arrives after the router
-    // was told that the request never started: it must not start now.
+    // A request is revoked during the look-up of its chat. The reply arrives after the router was
+    // told that the request never started, so it must not start.
     @Test
     void attemptRevokedDuringLookupNeverStarts() {
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         long chat = chatWithHome("engine-1");
-        mSidecar.begin(Requests.request(1).chat(chat, true));
+        mSidecar.requestAttempt(Requests.request(1).chat(chat, true));
         long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).question();
         mSidecar.step(new SidecarEvent.AttemptRevoked(1, ID, new BackendRef("engine-1", 1)));
         mSidecar.step(new SidecarEvent.ChatsLocated(question, Map.of()));
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/DueQueueTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/DueQueueTest.java
@@ -5,7 +5,7 @@
 import java.time.Instant;
 import org.junit.jupiter.api.Test;
 
-/** Attempts come up when something is due about them, in that order, and once for each setting. */
+/** Each schedule of an attempt takes effect once, in the order of the times. */
 class DueQueueTest {
     private static final Instant START = Instant.EPOCH;
 
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/FairQueueTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/FairQueueTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.attempt.AttemptRequest;
 
-/** Who goes first, and who has to go when the queue is full. */
+/** The order of the queue, and the attempts evicted from a full queue. */
 class FairQueueTest {
     private static final Instant NOW = Instant.parse("2026-12-02T10:00:00Z");
 
     private final FairQueue mQueue = new FairQueue();
     private long mCount;
 
-    // A large account has sent a hundred requests before a small one sends its first. The small
-    // one's caller must not wait for all hundred: its first request goes next.
+    // A large account sends 100 requests before a small account sends its first one. The small
+    // account's request goes next and does not wait for all 100.
     @Test
     void surgeOfOneAccountDoesNotDelayAnother() {
         for (int i = 0; i < 100; i++) {
@@ -52,7 +52,7 @@
         }
         double a = served.getOrDefault("a", 0.0) / weight;
         double b = served.getOrDefault("b", 0.0);
-        // Start-time fair queueing keeps two accounts within one request of each.
+        // Start-time fair queueing keeps the work of two accounts within one request of each.
         assertThat(Math.abs(a - b)).isLessThanOrEqualTo((double) small / weight + large);
     }
 
@@ -64,22 +64,22 @@
         assertThat(mQueue.take()).isSameAs(urgent);
     }
 
-    // Urgent requests keep coming as fast as they are taken. One of low priority must still get
-    // its turn, or its caller would only ever be refused.
+    // Urgent requests arrive as fast as the queue is emptied. A request of low priority still gets
+    // a turn; otherwise its caller would always be refused.
     @Test
     void lowPriorityIsServedDuringASteadyUrgentFlow() {
-        Attempt low = attempt("a", 1, 0, 1);
-        mQueue.add(NOW, low);
+        Attempt lowPriority = attempt("a", 1, 0, 1);
+        mQueue.add(NOW, lowPriority);
         List<Attempt> taken = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             mQueue.add(NOW, attempt("b", 1, 9, 1));
             taken.add(mQueue.take());
         }
-        assertThat(taken).contains(low);
+        assertThat(taken).contains(lowPriority);
     }
 
-    // The queue is full of a large account's requests when a small account's one arrives. The
-    // newest of the large account is refused, not the one that just arrived.
+    // A request of a small account arrives at a queue that is full of a large account's requests.
+    // The newest request of the large account is evicted, not the new arrival.
     @Test
     void fullQueueEvictsTheNewestOfTheAccountWithTheMostWork() {
         SidecarSettings.QueueLimits limits =
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/FakeEngine.java
@@ -8,11 +8,11 @@
 import org.laurelweir.lib.AttemptId;
 
 /**
- * A backend server that records what it really ran. It goes on with a call that was given up, so
- * that its late words reach the sidecar too.
+ * A backend server that records which calls ran. It continues cancelled calls, so that late events
+ * reach the sidecar too.
  */
 final class FakeEngine {
-    /** What an engine does next with a call. */
+    /** The next step of the engine in a call. */
     enum CallStep {
         REFUSE_CONNECTION,
         CONTINUE,
@@ -32,57 +32,60 @@
     private final Map<AttemptId, Call> mCalls = new HashMap<>();
     private final Map<AttemptId, Integer> mRunCounts = new HashMap<>();
 
-    /** Takes a call from the sidecar. */
+    /** Starts a call from the sidecar. */
     void startCall(AttemptId id) {
         mCalls.put(id, new Call());
     }
 
-    /** Returns how often an attempt really ran. */
+    /** Returns how many times an attempt ran. */
     int runCount(AttemptId id) {
         return mRunCounts.getOrDefault(id, 0);
     }
 
-    /** Returns the whole answer to an attempt. */
+    /** Returns the complete answer to an attempt. */
     static byte[] answer(AttemptId id) {
-        byte[] whole = new byte[PIECE_BYTES * PIECE_COUNT];
-        for (int i = 0; i < whole.length; i++) {
-            whole[i] = (byte) (id.hashCode() * 31 + i);
+        byte[] bytes = new byte[PIECE_BYTES * PIECE_COUNT];
+        for (int i = 0; i < bytes.length; i++) {
+            bytes[i] = (byte) (id.hashCode() * 31 + i);
         }
-        return whole;
+        return bytes;
     }
 
-    /** Does something with a call and returns what the sidecar hears, or null. */
-    SidecarEvent perform(AttemptId id, CallStep act) {
-        Call run = mCalls.get(id);
-        if (run == null || run.mEnded) {
+    /**
+     * Performs a step of a call and returns the resulting event for the sidecar, or null if the
+     * call has ended.
+     */
+    SidecarEvent perform(AttemptId id, CallStep step) {
+        Call call = mCalls.get(id);
+        if (call == null || call.mEnded) {
             return null;
         }
-        if (act == CallStep.REFUSE_CONNECTION && !run.mAccepted) {
-            run.mEnded = true;
+        if (step == CallStep.REFUSE_CONNECTION && !call.mAccepted) {
+            call.mEnded = true;
             return new SidecarEvent.EngineFailed(id, false, "refused");
         }
-        if (!run.mAccepted) {
-            run.mAccepted = true;
+        if (!call.mAccepted) {
+            call.mAccepted = true;
             mRunCounts.merge(id, 1, Integer::sum);
         }
-        if (act == CallStep.BREAK_CONNECTION) {
-            run.mEnded = true;
+        if (step == CallStep.BREAK_CONNECTION) {
+            call.mEnded = true;
             return new SidecarEvent.EngineFailed(id, true, "broken");
         }
-        return continueCall(id, run);
+        return continueCall(id, call);
     }
 
-    private static SidecarEvent continueCall(AttemptId id, Call run) {
-        if (!run.mHeadSent) {
-            run.mHeadSent = true;
+    private static SidecarEvent continueCall(AttemptId id, Call call) {
+        if (!call.mHeadSent) {
+            call.mHeadSent = true;
             return new SidecarEvent.EngineHeadReceived(id, 200, List.of());
         }
-        if (run.mPiecesSent < PIECE_COUNT) {
-            int from = PIECE_BYTES * run.mPiecesSent++;
+        if (call.mPiecesSent < PIECE_COUNT) {
+            int from = PIECE_BYTES * call.mPiecesSent++;
             byte[] piece = Arrays.copyOfRange(answer(id), from, from + PIECE_BYTES);
             return new SidecarEvent.EngineDataReceived(id, piece);
         }
-        run.mEnded = true;
+        call.mEnded = true;
         return new SidecarEvent.EngineFinished(id, Frame.Usage.NONE);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/LaterIncarnationDetectorTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/LaterIncarnationDetectorTest.java
@@ -15,7 +15,10 @@
 import org.laurelweir.membership.SharedMembership;
 import org.laurelweir.membership.SidecarReport;
 
-/** A sidecar that starts with a lower incarnation than the run before it, at a real membership. */
+/**
+ * A sidecar that starts with a lower incarnation than its previous run, against the real membership
+ * of a control instance.
+ */
 class LaterIncarnationDetectorTest {
     private static final long EARLIER_INCARNATION = 9;
     private static final long INCARNATION_AFTER_CLOCK_STEP = 5;
@@ -43,7 +46,10 @@
         return effects;
     }
 
-    /** Lets the sidecar exchange some times, and take over where it is told that it may. */
+    /**
+     * Starts a sidecar and lets it exchange with control. It continues as a later incarnation if
+     * its reducer asks for that.
+     */
     private void startAndExchange(long incarnation) {
         mSidecar = new SidecarReducer(identity(incarnation));
         for (int i = 0; i < 4; i++) {
@@ -58,7 +64,8 @@
             return;
         }
         mControl.receiveReport(mNow, e.report());
-        step(answer(mControl.deltaSince(e.cursor(), Requests.SERVICE))).forEach(this::takeOver);
+        step(exchangeAnswer(mControl.deltaSince(e.cursor(), Requests.SERVICE)))
+                .forEach(this::takeOver);
     }
 
     private void takeOver(SidecarEffect effect) {
@@ -67,7 +74,7 @@
         }
     }
 
-    private static SidecarEvent answer(MembershipDelta delta) {
+    private static SidecarEvent exchangeAnswer(MembershipDelta delta) {
         return new SidecarEvent.ExchangeAnswered(delta, List.of(), true, false, 0);
     }
 
@@ -75,9 +82,10 @@
         return mControl.backends().iterator().next();
     }
 
-    // The sidecar stops, says that it left, and the machine's clock is set back before it starts
-    // anew. Its announcements are older than the departure: without taking a later incarnation it
-    // would be listed as gone, and get no request, for as long as control remembers departures.
+    // The sidecar announces its departure and stops. The machine's clock is set back before the
+    // sidecar starts again, so its announcements look older than the departure. Without a later
+    // incarnation control would list it as departed, and it would get no request, for as long as
+    // control remembers departures.
     @Test
     void restartAfterDepartureIsListedAsServing() {
         announceEarlierRun(Backend.State.SERVING);
@@ -87,8 +95,8 @@
         assertThat(listedBackend().ref().incarnation()).isEqualTo(EARLIER_INCARNATION + 1);
     }
 
-    // The same after a crash that control has not noticed: routers would go on asking for the run
-    // that crashed, and this one would refuse all that they send.
+    // The sidecar crashes, and control has not noticed. After the clock is set back, routers still
+    // address the crashed run, and the new run would refuse everything they send.
     @Test
     void restartAfterCrashIsListedAsServing() {
         announceEarlierRun(Backend.State.SERVING);
@@ -97,35 +105,38 @@
         assertThat(listedBackend().ref().incarnation()).isEqualTo(EARLIER_INCARNATION + 1);
     }
 
-    // Control tells of the earlier run only when an attempt runs here, as an instance does that was
-    // cut off. Taking over would forget the attempt; the sidecar waits until its output is no
-    // longer kept, and must then not need to be told again.
+    // Control reports the earlier run only after an attempt has started here, as an instance does
+    // that was cut off. Continuing as a later incarnation would lose the attempt. The sidecar waits
+    // until the attempt's output is no longer kept, and then needs no new report.
     @Test
     void reportsLaterIncarnationAgainOnceIdle() {
         mSidecar = new SidecarReducer(identity(INCARNATION_AFTER_CLOCK_STEP));
         step(
                 new SidecarEvent.AttemptRequested(
                         1, Requests.request(Requests.id(1), identity(5).ref()).build()));
-        Backend earlier = identity(EARLIER_INCARNATION).announcement(Backend.State.LEFT, 1);
+        Backend earlierRun = identity(EARLIER_INCARNATION).announcement(Backend.State.LEFT, 1);
         MembershipCursor cursor = new MembershipCursor("c1", 1, 1);
-        SidecarEvent told = answer(new MembershipDelta(cursor, true, List.of(earlier)));
-        assertThat(step(told)).contains(new SidecarEffect.Superseded(EARLIER_INCARNATION, false));
+        SidecarEvent firstAnswer =
+                exchangeAnswer(new MembershipDelta(cursor, true, List.of(earlierRun)));
+        assertThat(step(firstAnswer))
+                .contains(new SidecarEffect.Superseded(EARLIER_INCARNATION, false));
 
         step(new SidecarEvent.EngineFailed(Requests.id(1), true, "gone"));
         mNow = mNow.plus(SidecarSettings.DEFAULT.output().keepTime().multipliedBy(2));
         step(new SidecarEvent.Tick());
-        SidecarEvent nothingNew = answer(new MembershipDelta(cursor, false, List.of()));
+        SidecarEvent nothingNew = exchangeAnswer(new MembershipDelta(cursor, false, List.of()));
         assertThat(step(nothingNew))
                 .contains(new SidecarEffect.Superseded(EARLIER_INCARNATION, true));
     }
 
-    // A run takes over while an answer to the run before is under way. It holds only what that one
-    // lacked. Taken, its cursor would have control leave out the other backend servers for good.
+    // An answer to an exchange of the previous incarnation is still under way when a new
+    // incarnation starts. It holds only the changes that the previous one lacked. With its cursor,
+    // control would never send the other backend servers.
     @Test
     void deltaForEarlierRunIsIgnored() {
         mSidecar = new SidecarReducer(identity(EARLIER_INCARNATION));
-        MembershipCursor other = new MembershipCursor("c1", 1, 7);
-        step(answer(new MembershipDelta(other, false, List.of())));
+        MembershipCursor earlierCursor = new MembershipCursor("c1", 1, 7);
+        step(exchangeAnswer(new MembershipDelta(earlierCursor, false, List.of())));
         mNow = mNow.plus(Announcer.INTERVAL);
         assertThat(step(new SidecarEvent.Tick()))
                 .filteredOn(SidecarEffect.SendExchange.class::isInstance)
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/OrderFencingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/OrderFencingTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.lib.ResultCode;
 
-/** Orders to a backend server that does not check fencing numbers itself. */
+/** Orders to a backend server that does not check fencing tokens itself. */
 class OrderFencingTest {
     private final SidecarDriver mSidecar = new SidecarDriver();
 
@@ -17,8 +17,9 @@
         return mSidecar.take(SidecarEffect.RefuseOrder.class).get(0).code();
     }
 
-    // A control leader is deposed and doesn't know it. Its order reaches the sidecar after one of
-    // the new leader: passed on, it would unload what the new one has just loaded.
+    // A deposed control leader does not know of its deposition. Its order reaches the sidecar after
+    // an order of the new leader. If it were passed on, it could unload the model that the new
+    // leader has just loaded.
     @Test
     void orderWithLowerTokenIsRefused() {
         mSidecar.exchange(SidecarDriver.members(1), 0, false, 4);
@@ -30,8 +31,8 @@
         assertThat(mSidecar.take(SidecarEffect.PassOrder.class)).hasSize(1);
     }
 
-    // The sidecar was restarted after it had passed an order with number 9. It has forgotten the
-    // number, so that an old order with number 8 would pass; control still knows.
+    // The sidecar has passed an order with token 9 and restarts. It has lost the token, so an old
+    // order with token 8 would pass if the sidecar did not wait for the highest token from control.
     @Test
     void restartedSidecarRefusesOrdersUntilItKnowsTheHighestToken() {
         order(8);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
@@ -6,7 +6,7 @@
 import org.laurelweir.lib.AttemptId;
 import org.laurelweir.lib.BackendRef;
 
-/** Begins requests for tests, each with something to vary. */
+/** Builders of attempt requests with the default values of these tests. */
 final class Requests {
     static final String SERVICE = "seilhjerne";
 
@@ -27,10 +27,10 @@
                 .cost(outputCost(100));
     }
 
-    /** Returns a call that must not run twice. */
+    /** Returns a request that must not run twice. */
     static AttemptRequest.Builder nonIdempotentRequest(
-            long number, String key, Duration keepOutput) {
-        return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(keepOutput);
+            long number, String key, Duration outputKeepTime) {
+        return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(outputKeepTime);
     }
 
     static AttemptId id(long number) {
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
@@ -13,7 +13,7 @@
 import org.laurelweir.membership.MembershipDelta;
 import org.laurelweir.membership.ServiceLoad;
 
-/** Drives one sidecar's reducer step by step and keeps what it wanted done. */
+/** Drives a sidecar's reducer step by step and collects its effects. */
 final class SidecarDriver {
     private final SidecarReducer mSidecar =
             new SidecarReducer(
@@ -28,13 +28,13 @@
     private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
     private long mStreamCount;
 
-    /** Begins an attempt on a new stream and returns the stream. */
-    long begin(AttemptRequest.Builder request) {
+    /** Requests an attempt on a new stream and returns the stream. */
+    long requestAttempt(AttemptRequest.Builder request) {
         step(new SidecarEvent.AttemptRequested(++mStreamCount, request.build()));
         return mStreamCount;
     }
 
-    /** Follows an attempt on a new stream and returns the stream. */
+    /** Resumes an attempt on a new stream and returns the stream. */
     long resume(AttemptId id, long offset) {
         step(
                 new SidecarEvent.AttemptResumed(
@@ -46,7 +46,7 @@
         mSidecar.step(mNow, event, mEffects::add);
     }
 
-    /** Lets time pass, with a tick at its end. */
+    /** Advances the time and sends one tick. */
     void advance(Duration time) {
         mNow = mNow.plus(time);
         step(new SidecarEvent.Tick());
@@ -67,7 +67,7 @@
                         fence));
     }
 
-    /** Has the backend server answer an attempt wholly. */
+    /** Lets the backend server answer an attempt completely. */
     void answerAttempt(AttemptId id, byte[] body) {
         step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
         step(new SidecarEvent.EngineDataReceived(id, body));
@@ -86,7 +86,7 @@
                 1);
     }
 
-    /** Returns the members engine-1 up to a number, serving. */
+    /** Returns the serving members engine-1 to engine-{@code count}. */
     static List<Backend> members(int count) {
         List<Backend> members = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
@@ -95,14 +95,14 @@
         return members;
     }
 
-    /** Takes all effects of a kind since the last call for any kind. */
+    /** Returns the effects of a kind, and clears all effects collected since the last call. */
     <T extends SidecarEffect> List<T> take(Class<T> kind) {
         List<T> found = mEffects.stream().filter(kind::isInstance).map(kind::cast).toList();
         mEffects.clear();
         return found;
     }
 
-    /** Takes the frames on a stream since effects were last taken. */
+    /** Returns the frames on a stream, and clears all effects collected since the last call. */
     List<Frame> takeFrames(long stream) {
         return take(SidecarEffect.SendFrame.class).stream()
                 .filter(f -> f.stream() == stream)
@@ -110,7 +110,7 @@
                 .toList();
     }
 
-    /** Takes the last frame on a stream since effects were last taken. */
+    /** Returns the last frame on a stream, and clears all effects collected since the last call. */
     Frame takeLastFrame(long stream) {
         List<Frame> frames = takeFrames(stream);
         return frames.get(frames.size() - 1);
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/StreamCheck.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/StreamCheck.java
@@ -7,7 +7,7 @@
 import org.laurelweir.attempt.Frame;
 import org.laurelweir.lib.AttemptId;
 
-/** Checks the frames of one stream as a router would, against what the engine sends. */
+/** Checks the frames of one stream, as a router does, against the engine's answer. */
 final class StreamCheck {
     private final AttemptId mAttempt;
     private final boolean mFromStart;
@@ -15,7 +15,7 @@
     private boolean mHeadReceived;
     private boolean mEnded;
 
-    /** Creates the check of a stream that wants the output from an offset on. */
+    /** Creates a check of a stream that asks for the output from an offset on. */
     StreamCheck(AttemptId attempt, long offset) {
         mAttempt = attempt;
         mNextOffset = offset;
@@ -49,7 +49,7 @@
         assertThat(data.bytes()).isEqualTo(sent);
     }
 
-    /** Returns the offset up to which the stream has brought the output. */
+    /** Returns the end offset of the output received so far. */
     long nextOffset() {
         return mNextOffset;
     }
