--- a/org.laurelweir/src/main/java/org/laurelweir/attempt/AttemptRequest.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/attempt/AttemptRequest.java
@@ -8,23 +8,23 @@
 import org.laurelweir.lib.BackendRef;
 
 /**
- * What a router asks a sidecar to run.
+ * A router's request to a sidecar to run an attempt.
  *
- * @param id names the attempt in every frame
- * @param target the run of the sidecar that the router means; another run refuses
+ * @param id id of the attempt, repeated in every frame
+ * @param target the incarnation of the sidecar that has to run it; another incarnation refuses
  * @param account the client account
  * @param service the service of the backend server
- * @param chat the chat's key, or 0 where the request belongs to none
+ * @param chat the chat's key, or 0 if the request belongs to no chat
  * @param returning whether the chat has earlier turns
  * @param call the HTTP call to make
- * @param idempotent whether running the call twice is harmless
- * @param idempotencyKey the caller's key, or empty
- * @param timeLeft until the caller's deadline, as of sending
- * @param priority higher goes first
- * @param cost what the router expects the call to spend
- * @param redirects how many sidecars have passed the request on before
- * @param accountWeight the client account's share when accounts compete
- * @param outputKeepTime how long the finished output stays available to a resend
+ * @param idempotent whether the call may run twice without harm
+ * @param idempotencyKey the caller's idempotency key, or empty
+ * @param timeLeft time from sending until the caller's deadline
+ * @param priority higher priorities go first
+ * @param cost the expected cost of the call
+ * @param redirects how many sidecars have redirected the request before
+ * @param accountWeight the client account's share relative to competing accounts
+ * @param outputKeepTime how long the finished output is kept for a resend
  */
 public record AttemptRequest(
         AttemptId id,
@@ -44,20 +44,21 @@
         Duration outputKeepTime) {
 
     /**
-     * Returns a builder of a request that is idempotent, of no chat, and not urgent.
+     * Returns a builder of a request. By default the request is idempotent, belongs to no chat and
+     * has priority 0.
      *
-     * @param id names the attempt
-     * @param target the run of the sidecar that the router means
+     * @param id id of the attempt
+     * @param target the incarnation of the sidecar that has to run it
      */
     public static Builder builder(AttemptId id, BackendRef target) {
         return new Builder(id, target);
     }
 
-    /** Returns this request without its body, for a process that has passed the body on. */
+    /** Returns this request without its body, for a process that has already sent the body. */
     public AttemptRequest withoutBody() {
-        Call bare =
+        Call withoutBody =
                 new Call(call.method(), call.path(), call.headers(), new byte[0], call.streamed());
-        return toBuilder().call(bare).build();
+        return toBuilder().call(withoutBody).build();
     }
 
     private Builder toBuilder() {
@@ -76,42 +77,45 @@
     }
 
     /**
-     * An HTTP call on a backend server.
+     * An HTTP call to a backend server.
      *
      * @param method the HTTP method
      * @param path path and query
-     * @param headers those to pass on
-     * @param body the whole body
-     * @param streamed whether the answer is wanted as a stream of events
+     * @param headers the headers to send
+     * @param body the complete body
+     * @param streamed whether the answer is requested as a stream of events
      */
     public record Call(
             String method, String path, List<Header> headers, byte[] body, boolean streamed) {
         private static final LongHashFunction XXH3 = LongHashFunction.xx3();
         private static final byte SEPARATOR = 0;
 
-        /** Returns a digest of what the call does: of its method, path and body. */
+        /**
+         * Returns a hash of the method, the path and the body, which identifies the effect of the
+         * call.
+         */
         public long fingerprint() {
-            byte[] start = (method + ' ' + path).getBytes(StandardCharsets.UTF_8);
-            byte[] all = new byte[start.length + 1 + body.length];
-            System.arraycopy(start, 0, all, 0, start.length);
-            all[start.length] = SEPARATOR;
-            System.arraycopy(body, 0, all, start.length + 1, body.length);
-            return XXH3.hashBytes(all);
+            byte[] methodAndPath = (method + ' ' + path).getBytes(StandardCharsets.UTF_8);
+            byte[] bytes = new byte[methodAndPath.length + 1 + body.length];
+            System.arraycopy(methodAndPath, 0, bytes, 0, methodAndPath.length);
+            bytes[methodAndPath.length] = SEPARATOR;
+            System.arraycopy(body, 0, bytes, methodAndPath.length + 1, body.length);
+            return XXH3.hashBytes(bytes);
         }
     }
 
     /**
-     * What a call is expected to spend.
+     * The expected cost of a call.
      *
      * @param promptTokens tokens of the prompt, cached or not
-     * @param outputTokens tokens that will be generated
+     * @param outputTokens tokens that will be generated; 0 if unknown
      */
     public record Cost(int promptTokens, int outputTokens) {}
 
     /** Builds an {@link AttemptRequest}. */
     public static final class Builder {
-        /** The longest that a caller can set. */
-        private static final Duration LONGEST = Duration.ofHours(1);
+        /** The longest deadline that a caller can set. */
+        private static final Duration MAX_TIME_LEFT = Duration.ofHours(1);
 
         private final AttemptId mId;
         private final BackendRef mTarget;
@@ -123,7 +127,7 @@
         private Call mCall = new Call("GET", "/", List.of(), new byte[0], false);
         private boolean mIdempotent = true;
         private String mIdempotencyKey = "";
-        private Duration mTimeLeft = LONGEST;
+        private Duration mTimeLeft = MAX_TIME_LEFT;
         private int mPriority;
         private Cost mCost = new Cost(0, 0);
         private int mRedirects;
@@ -134,7 +138,7 @@
             mTarget = target;
         }
 
-        /** Sets the client account and its share when accounts compete. */
+        /** Sets the client account and its share relative to competing accounts. */
         public Builder account(String account, double weight) {
             mAccount = account;
             mAccountWeight = weight;
@@ -160,45 +164,45 @@
             return this;
         }
 
-        /** Sets whether running the call twice is harmless. */
+        /** Sets whether the call may run twice without harm. */
         public Builder idempotent(boolean idempotent) {
             mIdempotent = idempotent;
             return this;
         }
 
-        /** Sets the caller's key, or empty for none. */
+        /** Sets the caller's idempotency key, or empty for none. */
         public Builder idempotencyKey(String key) {
             mIdempotencyKey = key;
             return this;
         }
 
-        /** Sets the time until the caller's deadline, as of sending. */
+        /** Sets the time from sending until the caller's deadline. */
         public Builder timeLeft(Duration left) {
             mTimeLeft = left;
             return this;
         }
 
-        /** Sets the priority; higher goes first. */
+        /** Sets the priority. Higher priorities go first. */
         public Builder priority(int priority) {
             mPriority = priority;
             return this;
         }
 
-        /** Sets what the call is expected to spend. */
+        /** Sets the expected cost of the call. */
         public Builder cost(Cost cost) {
             mCost = cost;
             return this;
         }
 
-        /** Sets how many sidecars have passed the request on before. */
+        /** Sets how many sidecars have redirected the request before. */
         public Builder redirects(int redirects) {
             mRedirects = redirects;
             return this;
         }
 
-        /** Sets how long the finished output stays available to a resend. */
-        public Builder outputKeepTime(Duration keepOutput) {
-            mOutputKeepTime = keepOutput;
+        /** Sets how long the finished output is kept for a resend. */
+        public Builder outputKeepTime(Duration keepTime) {
+            mOutputKeepTime = keepTime;
             return this;
         }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/attempt/Header.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/attempt/Header.java
@@ -1,4 +1,4 @@
 package org.laurelweir.attempt;
 
-/** One HTTP header as it stood in a request or an answer. */
+/** One HTTP header of a request or an answer, unchanged. */
 public record Header(String name, String value) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/attempt/LoadHint.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/attempt/LoadHint.java
@@ -1,13 +1,14 @@
 package org.laurelweir.attempt;
 
 /**
- * What a sidecar tells about its load with every frame.
+ * The load that a sidecar reports with every frame.
  *
- * @param runningWork work running beside the sidecar, in token units
- * @param meanWork mean over the service's backend servers, as the sidecar last heard it
- * @param draining whether it takes no new work
+ * @param runningWork work that runs on its backend server, in token units
+ * @param meanWork mean work over the service's backend servers, weighted for this server, as last
+ *     received from control; 0 if unknown
+ * @param draining whether the sidecar takes no new work
  */
 public record LoadHint(double runningWork, double meanWork, boolean draining) {
-    /** No load is known. */
+    /** The hint for an unknown load. */
     public static final LoadHint UNKNOWN = new LoadHint(0, 0, false);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/attempt/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/attempt/package-info.java
@@ -1,2 +1,5 @@
-/** One try at running a request on a backend server, and the frames that bring its answer back. */
+/**
+ * Attempts to run a request on a backend server: the request that a router sends to a sidecar, and
+ * the frames in which the sidecar returns the answer.
+ */
 package org.laurelweir.attempt;
