--- a/org.laurelweir/src/main/java/org/laurelweir/lib/AttemptId.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/AttemptId.java
@@ -1,21 +1,24 @@
 package org.laurelweir.lib;
 
 /**
- * Names one try at running one request. Every frame of its answer carries it, so a late or crossed
- * frame is recognised and dropped.
+ * Identifies one attempt to run a request. Every frame of the answer carries the id, so that a
+ * receiver drops late frames and frames of other attempts.
  *
  * @param router the router's name
  * @param routerIncarnation rises with every start of the router
- * @param request the router's count of requests
- * @param attempt counts the tries at the same request, from 1
+ * @param request the router's sequence number of the request
+ * @param attempt number of the attempt at this request, from 1
  */
 public record AttemptId(String router, long routerIncarnation, long request, int attempt) {
-    /** Returns the id of the next try at the same request. */
+    /** Returns the id of the next attempt at the same request. */
     public AttemptId next() {
         return new AttemptId(router, routerIncarnation, request, attempt + 1);
     }
 
-    /** Returns the request's name as logs and answers show it, the same for all of its tries. */
+    /**
+     * Returns the request's name in logs and answers. It is the same for all attempts at the
+     * request.
+     */
     public String requestName() {
         return router + "-" + Long.toHexString(routerIncarnation) + "-" + request;
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/Decision.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * One routing or placement decision with its inputs, as the log line and {@code explain} show it.
+ * A routing or placement decision with its inputs, as the decision log and {@code explain} show it.
  *
- * @param time when it was taken
+ * @param time when the decision was made
  * @param program router, sidecar or control
  * @param request the request's name
  * @param chat the chat's key, or 0
  * @param account the client account
  * @param service the service
- * @param candidates backend servers that were considered, best first
- * @param choice the chosen one, or the result code's name where none was
- * @param reason why, one of a few fixed words
- * @param load running work beside the choice as known, in token units, or requests; NaN without one
- * @param bound the load above which the choice would not have been taken; NaN without one
- * @param loadAgeMillis how long ago the choice told its load, in milliseconds; NaN where the load
- *     is the program's own or nothing was told
+ * @param candidates names of the considered backend servers, best first
+ * @param choice the chosen backend server, or the name of the result code if none was chosen
+ * @param reason the reason, one of a few fixed words
+ * @param load known running work of the chosen backend server, in token units or requests; NaN if
+ *     there is none
+ * @param bound the load above which the backend server is not chosen; NaN if there is none
+ * @param loadAgeMillis age of the load in milliseconds; NaN if it is the program's own load or was
+ *     not reported
  */
 public record Decision(
         Instant time,
@@ -34,13 +35,13 @@
         double bound,
         double loadAgeMillis) {
     /**
-     * Returns a builder of a decision that concerns no request and goes by no load.
+     * Returns a builder of a decision that concerns no request and depends on no load.
      *
-     * @param time when it was taken
+     * @param time when the decision was made
      * @param program router, sidecar or control
      */
-    public static Builder builder(Instant at, String program) {
-        return new Builder(at, program);
+    public static Builder builder(Instant time, String program) {
+        return new Builder(time, program);
     }
 
     /** Builds a {@link Decision}. */
@@ -58,8 +59,8 @@
         private double mBound = Double.NaN;
         private double mLoadAgeMillis = Double.NaN;
 
-        private Builder(Instant at, String program) {
-            mTime = at;
+        private Builder(Instant time, String program) {
+            mTime = time;
             mProgram = program;
         }
 
@@ -87,27 +88,27 @@
             return this;
         }
 
-        /** Sets the backend servers that were considered, best first. */
+        /** Sets the names of the considered backend servers, best first. */
         public Builder candidates(List<String> candidates) {
             mCandidates = candidates;
             return this;
         }
 
-        /** Sets what was chosen, and why. */
+        /** Sets the choice and its reason. */
         public Builder choice(String choice, String reason) {
             mChoice = choice;
             mReason = reason;
             return this;
         }
 
-        /** Sets the choice's load, and the load above which it would not have been taken. */
+        /** Sets the load of the choice, and the load above which it is not chosen. */
         public Builder load(double load, double bound) {
             mLoad = load;
             mBound = bound;
             return this;
         }
 
-        /** Sets how long ago the load was told. */
+        /** Sets the age of the load in milliseconds. */
         public Builder loadAgeMillis(double loadAgeMillis) {
             mLoadAgeMillis = loadAgeMillis;
             return this;
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/Reducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/Reducer.java
@@ -4,9 +4,11 @@
 import java.util.function.Consumer;
 
 /**
- * Decides what a program does. One thread feeds it one event at a time; it changes its own state
- * and emits effects as data. It reads no clock, no network, no file and no random source: time
- * comes with the event and a seed comes at construction, so the same events give the same effects.
+ * The decision logic of a program. One thread passes it one event at a time; the reducer updates
+ * its state and emits effects as data, which the program carries out.
+ *
+ * <p>A reducer reads no clock, network, file or random source. The time comes with each event and a
+ * random seed at construction, so the same events lead to the same effects.
  *
  * @param <E> the events, a sealed interface of records
  * @param <F> the effects, a sealed interface of records
@@ -14,11 +16,11 @@
 @FunctionalInterface
 public interface Reducer<E, F> {
     /**
-     * Takes one event.
+     * Handles one event.
      *
-     * @param now the time at which the shell took the event
-     * @param event what happened
-     * @param effects receives what the shell has to do, in order
+     * @param now the time at which the program received the event
+     * @param event the event
+     * @param effects receives the effects to carry out, in order
      */
     void step(Instant now, E event, Consumer<? super F> effects);
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/ResultCode.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/ResultCode.java
@@ -1,10 +1,11 @@
 package org.laurelweir.lib;
 
 /**
- * Every outcome that is not plain success, with its number. Numbers are stable once released.
- * Thousands: 1 the caller's fault, 2 not run, 3 run or perhaps run, 4 settings and agreement, 5
- * storage, 6 a program's own start and use. Codes of the 2000s are given only where it is certain
- * that the request was not run and will not be.
+ * The result codes with their numbers. A number never changes once it is released.
+ *
+ * <p>The thousands digit tells the kind: 1 the caller's fault, 2 not run, 3 run or possibly run, 4
+ * settings and consensus, 5 storage, 6 a program's start and usage. A code from 2000 to 2999 is
+ * given only if it is certain that the request was not run and will not be.
  */
 public enum ResultCode {
     OK(0, 200),
@@ -76,25 +77,25 @@
         mHttpStatus = httpStatus;
     }
 
-    /** Returns the stable number, as answers, logs and docs/CODES.md give it. */
+    /** Returns the number, as it stands in answers, logs and docs/CODES.md. */
     public int number() {
         return mNumber;
     }
 
-    /** Returns the HTTP status under which a caller sees this code. */
+    /** Returns the HTTP status that a caller gets with this code. */
     public int httpStatus() {
         return mHttpStatus;
     }
 
-    /** Returns whether this code promises that the request was not run and will not be. */
+    /** Returns whether this code guarantees that the request was not run and will not be. */
     public boolean isNotRun() {
         return mNumber >= 2000 && mNumber < 3000;
     }
 
     /**
-     * Returns the code of a number.
+     * Returns the code with a number.
      *
-     * @param number as {@link #number()} gives it
+     * @param number the number, see {@link #number()}
      * @return the code, or {@link #INTERNAL} for a number that this version does not know
      */
     public static ResultCode of(int number) {
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/Service.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/Service.java
@@ -1,11 +1,14 @@
 package org.laurelweir.lib;
 
-/** Something that owns resources between a start and a stop. */
+/**
+ * A component of a process that holds resources between its start and its stop, such as threads or
+ * sockets. It is unrelated to the services that backend servers belong to.
+ */
 public interface Service extends AutoCloseable {
-    /** Acquires the resources and begins to work. Called at most once. */
+    /** Acquires the resources and starts the work. Called at most once. */
     void start();
 
-    /** Ends the work without cutting anything short and releases the resources. Idempotent. */
+    /** Completes work that has begun, then releases the resources. Idempotent. */
     void stop();
 
     @Override
--- a/org.laurelweir/src/main/java/org/laurelweir/lib/package-info.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/lib/package-info.java
@@ -1,2 +1,5 @@
-/** Identifiers, result codes and the reducer contract that every other package builds on. */
+/**
+ * Identifiers, result codes, decision records and the interfaces of reducers and services, which
+ * all other packages use.
+ */
 package org.laurelweir.lib;
