--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetBackends.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetBackends.java
@@ -4,11 +4,13 @@
 import org.laurelweir.direct.DirectEffect;
 import org.laurelweir.direct.DirectEvent;
 
-/** The backend servers of a fleet in virtual time, as its routers reach them. */
+/** The simulated backend servers of a fleet. */
 public interface FleetBackends {
-    /** A router calls a backend server; the events are what the router sees of it. */
+    /**
+     * Calls a backend server for a router. The events report the course of the call to the router.
+     */
     void call(DirectEffect.BeginCall call, Consumer<DirectEvent> events);
 
-    /** A router closed its connection. */
+    /** Handles that a router has closed the connection of a call. */
     void cancel(long call, Consumer<DirectEvent> events);
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -18,77 +18,86 @@
 import org.laurelweir.coordination.ControlReducer;
 import org.laurelweir.membership.Backend;
 
-/** Control instances that share what they hear over messages; the replicated log stays empty. */
+/**
+ * Simulated control instances that exchange their membership, loads and crashes by messages. Their
+ * replicated log stays empty.
+ */
 public final class FleetControls {
     private static final int TICK_MILLIS = 20;
-    private static final int MOST_TRANSIT_MILLIS = 4;
-    private static final int ANNOUNCE_AGAIN_MILLIS = 100;
+    private static final int MAX_TRANSIT_MILLIS = 4;
+    private static final int ANNOUNCE_RETRY_MILLIS = 100;
 
     private final VirtualTime mTime;
-    private final List<Node> mNodes = new ArrayList<>();
+    private final List<Instance> mInstances = new ArrayList<>();
     private final Map<String, String> mAddresses = new TreeMap<>();
     private long mLastCall;
 
-    /** Creates instances that have just started, and know of each other. */
+    /** Creates instances that have just started and know each other's addresses. */
     public FleetControls(VirtualTime time, int count) {
         mTime = time;
         for (int i = 0; i < count; i++) {
             mAddresses.put("c" + i, "c" + i);
         }
-        mAddresses.keySet().forEach(name -> mNodes.add(new Node(name)));
-        mNodes.forEach(Node::start);
-        mNodes.forEach(n -> time.every(TICK_MILLIS, () -> n.offer(new ControlEvent.Tick())));
+        mAddresses.keySet().forEach(name -> mInstances.add(new Instance(name)));
+        mInstances.forEach(Instance::start);
+        mInstances.forEach(i -> time.every(TICK_MILLIS, () -> i.step(new ControlEvent.Tick())));
     }
 
+    /** Returns the number of instances, running or stopped. */
     public int count() {
-        return mNodes.size();
+        return mInstances.size();
     }
 
+    /** Returns whether an instance is running. */
     public boolean isUp(int control) {
-        return mNodes.get(control).mReducer != null;
+        return mInstances.get(control).mReducer != null;
     }
 
+    /** Stops an instance. It loses its state. */
     public void stop(int control) {
-        mNodes.get(control).mReducer = null;
+        mInstances.get(control).mReducer = null;
     }
 
-    /** Starts an instance anew; it knows nothing of before. */
+    /** Starts an instance without the state of its previous run. */
     public void start(int control) {
-        mNodes.get(control).start();
+        mInstances.get(control).start();
     }
 
-    /** A backend server announces itself to some instance, soon to another if that one is down. */
+    /**
+     * Announces a backend server to a random instance. If that instance is stopped, chooses another
+     * random instance after {@value #ANNOUNCE_RETRY_MILLIS} ms.
+     */
     public void announce(Supplier<Backend> announcement) {
-        Backend b = announcement.get();
+        Backend backend = announcement.get();
         int control = mTime.random().nextInt(count());
         if (isUp(control)) {
-            call(control, c -> new ControlEvent.BackendAnnounced(c, b), a -> {});
+            call(control, c -> new ControlEvent.BackendAnnounced(c, backend), a -> {});
         } else {
-            mTime.after(ANNOUNCE_AGAIN_MILLIS, () -> announce(announcement));
+            mTime.after(ANNOUNCE_RETRY_MILLIS, () -> announce(announcement));
         }
     }
 
-    /** Makes a call; it is never answered by an instance that is down. */
+    /** Makes a call to an instance. A stopped instance never answers. */
     public void call(
             int control, LongFunction<ControlEvent> event, Consumer<ControlEffect.Answer> answer) {
-        transit(() -> mNodes.get(control).call(event, answer));
+        deliverAfterDelay(() -> mInstances.get(control).call(event, answer));
     }
 
-    private void transit(Runnable arrival) {
-        mTime.afterRandomDelay(1, MOST_TRANSIT_MILLIS, arrival);
+    private void deliverAfterDelay(Runnable arrival) {
+        mTime.afterRandomDelay(1, MAX_TRANSIT_MILLIS, arrival);
     }
 
-    private Node node(String name) {
-        return mNodes.stream().filter(n -> n.mName.equals(name)).findFirst().orElseThrow();
+    private Instance instance(String name) {
+        return mInstances.stream().filter(i -> i.mName.equals(name)).findFirst().orElseThrow();
     }
 
-    private final class Node {
+    private final class Instance {
         private final String mName;
         private final Map<Long, Consumer<ControlEffect.Answer>> mCalls = new HashMap<>();
         private ControlReducer mReducer;
         private int mStarts;
 
-        Node(String name) {
+        Instance(String name) {
             mName = name;
         }
 
@@ -98,7 +107,7 @@
             ControlConfig config =
                     ControlConfig.builder(new ReplicaId(mName, 1), mStarts, mAddresses).build();
             mReducer = new ControlReducer(config, null, mTime.random().nextLong());
-            offer(
+            step(
                     new ControlEvent.ReplicaEvent(
                             new ConsensusEvent.Recovered(
                                     HardState.INITIAL, Snapshot.NONE, List.of(), 0)));
@@ -107,39 +116,40 @@
         void call(LongFunction<ControlEvent> event, Consumer<ControlEffect.Answer> answer) {
             long call = ++mLastCall;
             mCalls.put(call, answer);
-            offer(event.apply(call));
+            step(event.apply(call));
         }
 
-        void offer(ControlEvent event) {
+        void step(ControlEvent event) {
             if (mReducer != null) {
-                mReducer.step(mTime.instant(), event, this::take);
+                mReducer.step(mTime.instant(), event, this::onEffect);
             }
         }
 
-        private void take(ControlEffect effect) {
+        private void onEffect(ControlEffect effect) {
             if (effect instanceof ControlEffect.Answer a) {
-                Consumer<ControlEffect.Answer> taker = mCalls.remove(a.call());
-                transit(() -> taker.accept(a));
+                Consumer<ControlEffect.Answer> receiver = mCalls.remove(a.call());
+                deliverAfterDelay(() -> receiver.accept(a));
             } else if (effect instanceof ControlEffect.RequestPeerUpdate e) {
-                ask(e);
+                requestPeerUpdate(e);
             } else if (effect instanceof ControlEffect.AnnounceToPeers e) {
                 ControlEvent event =
                         new ControlEvent.PeerAnnounced(e.announcements(), e.crashes(), e.loads());
-                e.peers().forEach(p -> transit(() -> node(p).offer(event)));
+                e.peers().forEach(p -> deliverAfterDelay(() -> instance(p).step(event)));
             }
         }
 
-        private void ask(ControlEffect.RequestPeerUpdate e) {
-            LongFunction<ControlEvent> question =
+        private void requestPeerUpdate(ControlEffect.RequestPeerUpdate e) {
+            LongFunction<ControlEvent> request =
                     call ->
                             new ControlEvent.PeerUpdateRequested(
                                     call, mName, e.cursor(), e.crashesSeen(), e.withRouters());
-            transit(() -> node(e.peer()).call(question, a -> answered(e.peer(), a)));
+            deliverAfterDelay(
+                    () -> instance(e.peer()).call(request, a -> onPeerUpdate(e.peer(), a)));
         }
 
-        private void answered(String peer, ControlEffect.Answer answer) {
+        private void onPeerUpdate(String peer, ControlEffect.Answer answer) {
             ControlEffect.AnswerPeerUpdate a = (ControlEffect.AnswerPeerUpdate) answer;
-            offer(
+            step(
                     new ControlEvent.PeerUpdateReceived(
                             peer, a.share(), a.crashes(), a.routers(), a.status()));
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
@@ -16,7 +16,7 @@
 import org.laurelweir.routing.RouterEvent;
 import org.laurelweir.routing.RouterReducer;
 
-/** A router that exchanges with the control instances and calls backend servers. */
+/** A simulated router that exchanges with the control instances and calls backend servers. */
 public final class FleetRouter {
     private static final int TICK_MILLIS = 10;
     private static final Duration EXCHANGE_INTERVAL = Duration.ofMillis(300);
@@ -30,13 +30,13 @@
     private Consumer<DirectEvent> mCallEvents;
     private RouterReducer mReducer;
     private int mStarts;
-    private int mControl;
+    private int mControlIndex;
     private long mLastCaller;
 
     /**
      * Creates a router and starts it.
      *
-     * @param number tells it from others, and which control instance it asks first
+     * @param number sets the router's name and the control instance that it exchanges with first
      */
     public FleetRouter(
             VirtualTime time, FleetControls controls, FleetBackends backends, int number) {
@@ -44,12 +44,12 @@
         mControls = controls;
         mBackends = backends;
         mName = "r" + number;
-        mControl = number % controls.count();
+        mControlIndex = number % controls.count();
         start();
-        time.every(TICK_MILLIS, () -> give(new RouterEvent.Tick()));
+        time.every(TICK_MILLIS, () -> step(new RouterEvent.Tick()));
     }
 
-    /** Starts it anew; it knows nothing of before, and what it had under way is lost. */
+    /** Starts or restarts the router. A restart loses its state and the requests in flight. */
     public void start() {
         mStarts++;
         int run = mStarts;
@@ -57,7 +57,7 @@
         mCallEvents =
                 e -> {
                     if (run == mStarts) {
-                        give(new RouterEvent.Direct(e));
+                        step(new RouterEvent.Direct(e));
                     }
                 };
         mReducer =
@@ -66,50 +66,53 @@
                                 mName, mStarts, mTime.random().nextLong(), EXCHANGE_INTERVAL, 16));
     }
 
-    /** Takes a caller's request; the caller is told OK, or why it got no whole answer. */
+    /**
+     * Submits a caller's request. The caller gets {@code OK}, or the code with which its answer
+     * failed.
+     */
     public void submit(RoutedRequest request, Consumer<ResultCode> caller) {
         mCallers.put(++mLastCaller, caller);
-        give(new RouterEvent.Direct(new DirectEvent.Arrived(mLastCaller, request)));
+        step(new RouterEvent.Direct(new DirectEvent.Arrived(mLastCaller, request)));
     }
 
-    private void give(RouterEvent event) {
+    private void step(RouterEvent event) {
         int run = mStarts;
         mReducer.step(
                 mTime.instant(),
                 event,
                 e -> {
                     if (run == mStarts) {
-                        take(e);
+                        onEffect(e);
                     }
                 });
     }
 
-    private void take(RouterEffect effect) {
+    private void onEffect(RouterEffect effect) {
         if (effect instanceof RouterEffect.SendExchange e) {
             exchange(e);
         } else if (effect instanceof RouterEffect.Direct d) {
-            take(d.effect());
+            onEffect(d.effect());
         }
     }
 
-    private void take(DirectEffect effect) {
+    private void onEffect(DirectEffect effect) {
         if (effect instanceof DirectEffect.BeginCall e) {
             mBackends.call(e, mCallEvents);
         } else if (effect instanceof DirectEffect.CancelCall e) {
             mBackends.cancel(e.call(), mCallEvents);
         } else if (effect instanceof DirectEffect.AnswerWhole e) {
-            tell(e.caller(), ResultCode.OK);
+            answerCaller(e.caller(), ResultCode.OK);
         } else if (effect instanceof DirectEffect.AnswerEnd e) {
-            tell(e.caller(), ResultCode.OK);
+            answerCaller(e.caller(), ResultCode.OK);
         } else if (effect instanceof DirectEffect.AnswerError e) {
-            tell(e.caller(), e.code());
+            answerCaller(e.caller(), e.code());
         }
     }
 
-    private void tell(long caller, ResultCode code) {
-        Consumer<ResultCode> told = mCallers.remove(caller);
-        if (told != null) {
-            told.accept(code);
+    private void answerCaller(long caller, ResultCode code) {
+        Consumer<ResultCode> receiver = mCallers.remove(caller);
+        if (receiver != null) {
+            receiver.accept(code);
         }
     }
 
@@ -118,14 +121,14 @@
         boolean[] ended = {false};
         RouterReport report = new RouterReport(mName, mStarts, "dc", "rg", mName, mName);
         mControls.call(
-                mControl,
+                mControlIndex,
                 call ->
                         new ControlEvent.RouterExchanged(
                                 call, report, e.cursor(), 0, e.crashes(), e.loads()),
                 answer -> {
                     if (run == mStarts && !ended[0]) {
                         ended[0] = true;
-                        give(answered((AnswerExchange) answer));
+                        step(exchangeAnswered((AnswerExchange) answer));
                     }
                 });
         mTime.after(
@@ -133,13 +136,13 @@
                 () -> {
                     if (run == mStarts && !ended[0]) {
                         ended[0] = true;
-                        mControl = (mControl + 1) % mControls.count();
-                        give(new RouterEvent.ExchangeFailed("no answer"));
+                        mControlIndex = (mControlIndex + 1) % mControls.count();
+                        step(new RouterEvent.ExchangeFailed("no answer"));
                     }
                 });
     }
 
-    private static RouterEvent answered(AnswerExchange a) {
+    private static RouterEvent exchangeAnswered(AnswerExchange a) {
         return new RouterEvent.ExchangeAnswered(
                 a.membership(), a.crashes(), a.digest(), a.loads(), a.routerCount());
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/package-info.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/package-info.java
@@ -1,2 +1,4 @@
-/** A fleet of reducers in virtual time: control instances and routers, without processes. */
+/**
+ * A simulated fleet in virtual time: control instances and routers as reducers, without processes.
+ */
 package org.laurelweir.fleet;
