--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Admission.java
@@ -11,8 +11,10 @@
 import org.laurelweir.placement.WorkEstimate;
 
 /**
- * Decides about attempts that have not started: run now, wait a short time, go to the next in rank,
- * or be refused at once with the time to come back. Nothing is held longer than the queue's age.
+ * Decides about attempts that have not started: start them now, queue them for a short time,
+ * redirect them to the next backend server in rank, or refuse them with a retry-after time.
+ *
+ * <p>No attempt waits longer than the maximum age of the queue.
  */
 final class Admission {
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(200);
@@ -21,31 +23,31 @@
     private final String mSelf;
     private final FairQueue mQueue = new FairQueue();
     private final RunningLoad mLoad;
-    private final RunTimes mTimes;
-    private final NextInRank mNext;
-    private final DecisionReport mReport;
-    private final Endings mEndings;
+    private final RunTimes mRunTimes;
+    private final RedirectRanking mRedirectRanking;
+    private final DecisionLogger mDecisionLogger;
+    private final AttemptFinisher mFinisher;
     private final Execution mExecution;
-    private final FrameSender mFrames;
+    private final FrameSender mFrameSender;
     private SidecarSettings mSettings;
     private BoundPolicy mPolicy;
 
     Admission(
             String self,
             RunningLoad load,
-            RunTimes times,
-            NextInRank next,
-            Endings endings,
+            RunTimes runTimes,
+            RedirectRanking redirectRanking,
+            AttemptFinisher finisher,
             Execution execution,
-            FrameSender frames) {
+            FrameSender frameSender) {
         mSelf = self;
         mLoad = load;
-        mTimes = times;
-        mNext = next;
-        mReport = new DecisionReport(load, next);
-        mEndings = endings;
+        mRunTimes = runTimes;
+        mRedirectRanking = redirectRanking;
+        mDecisionLogger = new DecisionLogger(load, redirectRanking);
+        mFinisher = finisher;
         mExecution = execution;
-        mFrames = frames;
+        mFrameSender = frameSender;
     }
 
     void setSettings(SidecarSettings settings) {
@@ -57,41 +59,47 @@
         return server.equals(mSelf);
     }
 
-    int waiting() {
+    int waitingCount() {
         return mQueue.size();
     }
 
-    /** Forgets an attempt that was ended by others while it waited. */
-    void forget(Attempt attempt) {
+    /**
+     * Removes an attempt from the queue that has ended for another reason, such as a revocation.
+     */
+    void removeWaiting(Attempt attempt) {
         mQueue.remove(attempt);
     }
 
-    /** Decides about an attempt that has just arrived, given what of its prompt is cached here. */
-    void place(Step step, Attempt attempt, int cachedTokens) {
+    /**
+     * Decides about an attempt that has just arrived.
+     *
+     * @param cachedTokens how many tokens of its prompt the backend server has cached
+     */
+    void decide(Step step, Attempt attempt, int cachedTokens) {
         AttemptRequest request = attempt.request();
         WorkEstimate work = estimate(request, cachedTokens);
         attempt.setWork(Math.max(1, work.units(mSettings.bound().prefillWeight())));
-        boolean reachable = !isHopeless(step, attempt, Duration.ZERO);
-        String next = next(attempt);
+        boolean reachable = !isDeadlineUnreachable(step, attempt, Duration.ZERO);
+        String target = redirectTarget(attempt);
         BoundQuery query =
-                new BoundQuery(work, request.redirects(), !next.isEmpty(), false, reachable);
+                new BoundQuery(work, request.redirects(), !target.isEmpty(), false, reachable);
         BoundDecision decision = mPolicy.decide(query, mLoad.work(), mLoad.mean(step.now()));
         switch (decision) {
             case ADMIT -> admit(step, attempt);
             case WAIT -> enqueue(step, attempt);
             default -> {
-                String choice = decision == BoundDecision.REDIRECT ? next : "";
-                refuseUnplaced(step, attempt, reachable, choice);
+                String choice = decision == BoundDecision.REDIRECT ? target : "";
+                refuseNotAdmitted(step, attempt, reachable, choice);
             }
         }
     }
 
-    private void refuseUnplaced(Step step, Attempt attempt, boolean reachable, String next) {
+    private void refuseNotAdmitted(Step step, Attempt attempt, boolean reachable, String target) {
         if (reachable) {
-            refuse(step, attempt, ResultCode.OVERLOADED, AdmissionReason.OVER_BOUND, next);
+            refuse(step, attempt, ResultCode.OVERLOADED, AdmissionReason.OVER_BOUND, target);
             return;
         }
-        refuse(step, attempt, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, next);
+        refuse(step, attempt, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, target);
     }
 
     private WorkEstimate estimate(AttemptRequest request, int cachedTokens) {
@@ -107,47 +115,54 @@
             enqueue(step, attempt);
             return;
         }
-        // Also counted in the queue's virtual time, or what an account was given while nobody
-        // waited would not count against it the moment somebody does.
+        // The attempt also passes through the queue, so that it counts in the virtual time.
+        // Otherwise the work that an account got while the queue was empty would not count against
+        // its share as soon as other attempts wait.
         mQueue.add(step.now(), attempt);
         mQueue.take();
         start(step, attempt, AdmissionReason.WITHIN_BOUND);
     }
 
     private void enqueue(Step step, Attempt attempt) {
-        if (isHopeless(step, attempt, mTimes.untilEnded(mQueue.size() + 1, mLoad.running()))) {
+        if (isDeadlineUnreachable(
+                step, attempt, mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running()))) {
             refuse(
                     step,
                     attempt,
                     ResultCode.DEADLINE_UNREACHABLE,
                     AdmissionReason.DEADLINE,
-                    next(attempt));
+                    redirectTarget(attempt));
             return;
         }
         mQueue.add(step.now(), attempt);
-        Attempt excess = mQueue.overflow(mSettings.queue());
+        Attempt excess = mQueue.findExcess(mSettings.queue());
         while (excess != null) {
             mQueue.remove(excess);
-            refuse(step, excess, ResultCode.OVERLOADED, AdmissionReason.QUEUE_FULL, next(excess));
-            excess = mQueue.overflow(mSettings.queue());
+            refuse(
+                    step,
+                    excess,
+                    ResultCode.OVERLOADED,
+                    AdmissionReason.QUEUE_FULL,
+                    redirectTarget(excess));
+            excess = mQueue.findExcess(mSettings.queue());
         }
-        if (mQueue.all().contains(attempt)) {
-            report(step, attempt, mSelf, AdmissionReason.QUEUED);
-            mFrames.send(step, attempt, new Frame.Accepted(mQueue.size()));
+        if (mQueue.attempts().contains(attempt)) {
+            logDecision(step, attempt, mSelf, AdmissionReason.QUEUED);
+            mFrameSender.send(step, attempt, new Frame.Accepted(mQueue.size()));
         }
     }
 
-    /** Starts those that wait, in their order, while they fit under the bound. */
+    /** Starts waiting attempts in the order of the queue while their work fits under the bound. */
     void admitWaiting(Step step) {
-        Attempt next = mQueue.next();
-        while (next != null && fits(step, next)) {
+        Attempt next = mQueue.peek();
+        while (next != null && fitsUnderBound(step, next)) {
             mQueue.take();
             start(step, next, AdmissionReason.WAITED);
-            next = mQueue.next();
+            next = mQueue.peek();
         }
     }
 
-    private boolean fits(Step step, Attempt attempt) {
+    private boolean fitsUnderBound(Step step, Attempt attempt) {
         return LoadBound.admits(
                 mLoad.work(),
                 attempt.work(),
@@ -156,75 +171,81 @@
                 mSettings.bound().capacityFloor());
     }
 
-    /** Refuses what has waited too long or can't be answered in time any more. */
-    void expire(Step step) {
-        for (Attempt a : mQueue.waitingSince(step.now().minus(mSettings.queue().age()))) {
+    /**
+     * Refuses the attempts that have reached the maximum age or can no longer meet their deadline.
+     */
+    void refuseExpired(Step step) {
+        for (Attempt a : mQueue.enqueuedUntil(step.now().minus(mSettings.queue().age()))) {
             mQueue.remove(a);
-            refuse(step, a, ResultCode.OVERLOADED, AdmissionReason.QUEUE_AGE, next(a));
+            refuse(step, a, ResultCode.OVERLOADED, AdmissionReason.QUEUE_AGE, redirectTarget(a));
         }
-        for (Attempt a : mQueue.all()) {
-            if (isHopeless(step, a, Duration.ZERO)) {
+        for (Attempt a : mQueue.attempts()) {
+            if (isDeadlineUnreachable(step, a, Duration.ZERO)) {
                 mQueue.remove(a);
                 refuse(step, a, ResultCode.DEADLINE_UNREACHABLE, AdmissionReason.DEADLINE, "");
             }
         }
     }
 
-    /** Refuses an attempt because nothing new is taken, and names who may take it. */
-    void turnAway(Step step, Attempt attempt, ResultCode code, AdmissionReason reason) {
+    /**
+     * Refuses an attempt because this backend server takes no new work, and names a redirect target
+     * if there is one.
+     */
+    void refuseNewWork(Step step, Attempt attempt, ResultCode code, AdmissionReason reason) {
         mQueue.remove(attempt);
-        refuse(step, attempt, code, reason, next(attempt));
+        refuse(step, attempt, code, reason, redirectTarget(attempt));
     }
 
-    /** Refuses all that waits because nothing new is taken. */
-    void turnAllAway(Step step, ResultCode code, AdmissionReason reason) {
-        mQueue.all().forEach(a -> turnAway(step, a, code, reason));
+    /** Refuses all waiting attempts because this backend server takes no new work. */
+    void refuseAllWaiting(Step step, ResultCode code, AdmissionReason reason) {
+        mQueue.attempts().forEach(a -> refuseNewWork(step, a, code, reason));
     }
 
-    /** Sends an attempt to the backend server that holds its chat's history. */
-    void sendElsewhere(Step step, Attempt attempt, String server) {
+    /** Redirects an attempt to the backend server that holds its chat's history. */
+    void redirectToChat(Step step, Attempt attempt, String server) {
         refuse(step, attempt, ResultCode.CHAT_ELSEWHERE, AdmissionReason.CHAT_ELSEWHERE, server);
     }
 
     private void start(Step step, Attempt attempt, AdmissionReason reason) {
-        report(step, attempt, mSelf, reason);
+        logDecision(step, attempt, mSelf, reason);
         mExecution.start(step, attempt);
     }
 
     private void refuse(
-            Step step, Attempt attempt, ResultCode code, AdmissionReason reason, String next) {
-        report(step, attempt, next.isEmpty() ? code.name() : next, reason);
-        Duration retryAfter = next.isEmpty() ? retryAfter(attempt) : Duration.ZERO;
-        mEndings.refuse(step, attempt, new Frame.Refused(code, reason.text(), next, retryAfter));
+            Step step, Attempt attempt, ResultCode code, AdmissionReason reason, String target) {
+        logDecision(step, attempt, target.isEmpty() ? code.name() : target, reason);
+        Duration retryAfter = target.isEmpty() ? retryAfter(attempt) : Duration.ZERO;
+        mFinisher.refuse(step, attempt, new Frame.Refused(code, reason.text(), target, retryAfter));
     }
 
-    private void report(Step step, Attempt attempt, String choice, AdmissionReason reason) {
+    private void logDecision(Step step, Attempt attempt, String choice, AdmissionReason reason) {
         double bound =
                 LoadBound.bound(
                         mLoad.mean(step.now()),
                         mSettings.bound().effectiveFactor(),
                         mSettings.bound().capacityFloor());
-        mReport.decided(step, attempt.request(), choice, reason, bound);
+        mDecisionLogger.log(step, attempt.request(), choice, reason, bound);
     }
 
-    private String next(Attempt attempt) {
-        return mNext.next(attempt.request(), mSettings.bound().maxRedirects());
+    private String redirectTarget(Attempt attempt) {
+        return mRedirectRanking.redirectTarget(attempt.request(), mSettings.bound().maxRedirects());
     }
 
-    private boolean isHopeless(Step step, Attempt attempt, Duration wait) {
+    private boolean isDeadlineUnreachable(Step step, Attempt attempt, Duration wait) {
         Duration left = Duration.between(step.now(), attempt.deadline());
-        return mTimes.isHopeless(attempt.work(), wait, left);
+        return mRunTimes.isDeadlineUnreachable(attempt.work(), wait, left);
     }
 
     /**
-     * Returns when to come back: when those that run and wait now have likely ended, spread by up
-     * to the same time again, so that callers refused together don't return together.
+     * Returns after which time the caller should retry: the expected time until enough attempts
+     * have ended for all that wait now and one more. A part that depends on the attempt's id, up to
+     * the same time again, spreads the retries of callers that are refused together.
      */
     private Duration retryAfter(Attempt attempt) {
-        Duration busy = mTimes.untilEnded(mQueue.size() + 1, mLoad.running());
-        Duration base = busy.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : busy;
+        Duration untilFree = mRunTimes.timeUntilEnded(mQueue.size() + 1, mLoad.running());
+        Duration base = untilFree.compareTo(MIN_RETRY_AFTER) < 0 ? MIN_RETRY_AFTER : untilFree;
         long spread = Math.floorMod(attempt.id().hashCode(), base.toMillis());
-        Duration whole = base.plusMillis(spread);
-        return whole.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : whole;
+        Duration total = base.plusMillis(spread);
+        return total.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : total;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Arrivals.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/AttemptDeduplicator.java
@@ -9,50 +9,52 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Takes what routers say about attempts and tells whether each is new, held, or past, so that none
- * ever runs twice and none runs after it was denied.
+ * Handles the messages of routers that request, resume or revoke attempts. Tells a new attempt from
+ * one that this sidecar holds or held before, so that no attempt runs twice and none runs after a
+ * router was told that it was not run.
  */
-final class Arrivals {
+final class AttemptDeduplicator {
     private final BackendRef mSelf;
     private final AttemptTable mTable;
     private final AttemptMemory mMemory;
-    private final Followers mFollowers;
-    private final FrameSender mFrames;
+    private final FollowingStreams mStreams;
+    private final FrameSender mFrameSender;
     private final OutputTotal mOutputTotal;
 
-    Arrivals(
+    AttemptDeduplicator(
             BackendRef self,
             AttemptTable table,
             AttemptMemory memory,
-            Followers followers,
-            FrameSender frames,
+            FollowingStreams streams,
+            FrameSender frameSender,
             OutputTotal outputTotal) {
         mSelf = self;
         mTable = table;
         mMemory = memory;
-        mFollowers = followers;
-        mFrames = frames;
+        mStreams = streams;
+        mFrameSender = frameSender;
         mOutputTotal = outputTotal;
     }
 
     /**
-     * Takes a message that begins an attempt.
+     * Handles a request for an attempt.
      *
-     * @return the attempt where it is new and has to be placed, else null
+     * @return the new attempt, for which admission has to decide; null if the message is answered
+     *     here
      */
-    Attempt begin(Step step, long stream, AttemptRequest request) {
+    Attempt request(Step step, long stream, AttemptRequest request) {
         if (!request.target().equals(mSelf)) {
             refuse(step, stream, request.id(), ResultCode.OTHER_INCARNATION);
             return null;
         }
         Attempt held = mTable.find(request.id());
         if (held != null) {
-            mFollowers.followAgain(step, held, stream);
+            mStreams.followOnRepeatedRequest(step, held, stream);
             return null;
         }
-        AttemptMemory.Past past = mMemory.find(request.id());
-        if (past != AttemptMemory.Past.UNKNOWN) {
-            answerPast(step, stream, request.id(), past);
+        AttemptMemory.Outcome outcome = mMemory.find(request.id());
+        if (outcome != AttemptMemory.Outcome.UNKNOWN) {
+            replyFromMemory(step, stream, request.id(), outcome);
             return null;
         }
         Attempt attempt = new Attempt(request, step.now(), mOutputTotal);
@@ -61,41 +63,45 @@
         return attempt;
     }
 
-    /** Takes a message that follows an attempt over a new stream. */
+    /** Handles a request to follow an attempt over a new stream. */
     void resume(Step step, SidecarEvent.AttemptResumed event) {
         AttemptId id = event.attempt();
         if (!event.target().equals(mSelf)) {
-            answerPast(step, event.stream(), id, AttemptMemory.Past.FORGOTTEN);
+            replyFromMemory(step, event.stream(), id, AttemptMemory.Outcome.FORGOTTEN);
             return;
         }
         Attempt held = mTable.find(id);
         if (held != null) {
-            mFollowers.resume(step, held, event.stream(), event.offset());
+            mStreams.resume(step, held, event.stream(), event.offset());
             return;
         }
-        AttemptMemory.Past past = mMemory.find(id);
-        if (past == AttemptMemory.Past.UNKNOWN) {
-            // The message that begins it may still be under way on the connection that was given
-            // up. Saying "not run" has to make it true.
-            mMemory.put(step.now(), id, AttemptMemory.Past.NEVER_STARTED);
-            past = AttemptMemory.Past.NEVER_STARTED;
+        AttemptMemory.Outcome outcome = mMemory.find(id);
+        if (outcome == AttemptMemory.Outcome.UNKNOWN) {
+            // The request for this attempt may still be under way on a connection that the router
+            // has closed. It is recorded as never started, so that the reply "not run" stays true
+            // when the request arrives.
+            mMemory.put(step.now(), id, AttemptMemory.Outcome.NEVER_STARTED);
+            outcome = AttemptMemory.Outcome.NEVER_STARTED;
         }
-        answerPast(step, event.stream(), id, past);
+        replyFromMemory(step, event.stream(), id, outcome);
     }
 
     /**
-     * Takes a revocation: an attempt that has not started by now never will.
+     * Handles a revocation. An attempt that has not started yet never starts after it.
      *
-     * @return the attempt that waits and has to be refused, else null; the answer is emitted
+     * @return the waiting attempt, which the caller has to refuse, or null; the reply is already
+     *     emitted
      */
     Attempt revoke(Step step, SidecarEvent.AttemptRevoked event) {
         AttemptId id = event.attempt();
         Attempt held = event.target().equals(mSelf) ? mTable.find(id) : null;
-        step.emit(new SidecarEffect.AnswerRevoke(event.call(), revoked(step, event, held), mSelf));
+        step.emit(
+                new SidecarEffect.AnswerRevoke(
+                        event.call(), revokedState(step, event, held), mSelf));
         return held != null && held.phase() == Attempt.Phase.WAITING ? held : null;
     }
 
-    private AttemptState revoked(Step step, SidecarEvent.AttemptRevoked event, Attempt held) {
+    private AttemptState revokedState(Step step, SidecarEvent.AttemptRevoked event, Attempt held) {
         if (!event.target().equals(mSelf)) {
             return AttemptState.OTHER_INCARNATION;
         }
@@ -106,25 +112,26 @@
                 case ENDED -> AttemptState.FINISHED;
             };
         }
-        AttemptMemory.Past past = mMemory.find(event.attempt());
-        if (past == AttemptMemory.Past.UNKNOWN) {
-            mMemory.put(step.now(), event.attempt(), AttemptMemory.Past.NEVER_STARTED);
+        AttemptMemory.Outcome outcome = mMemory.find(event.attempt());
+        if (outcome == AttemptMemory.Outcome.UNKNOWN) {
+            mMemory.put(step.now(), event.attempt(), AttemptMemory.Outcome.NEVER_STARTED);
         }
-        return switch (past) {
+        return switch (outcome) {
             case UNKNOWN, NEVER_STARTED -> AttemptState.NEVER_STARTED;
             case RAN -> AttemptState.FINISHED;
             case FORGOTTEN -> AttemptState.OTHER_INCARNATION;
         };
     }
 
-    private void answerPast(Step step, long stream, AttemptId id, AttemptMemory.Past past) {
-        switch (past) {
+    private void replyFromMemory(
+            Step step, long stream, AttemptId id, AttemptMemory.Outcome outcome) {
+        switch (outcome) {
             case NEVER_STARTED -> refuse(step, stream, id, ResultCode.REVOKED);
-            case RAN -> mFollowers.refuseOffset(step, id, stream);
+            case RAN -> mStreams.sendOutputNotKept(step, id, stream);
             default -> {
                 String message = "this sidecar can't tell whether the attempt ran";
                 Frame unknown = new Frame.Failed(ResultCode.OUTCOME_UNKNOWN, message);
-                mFrames.sendLast(step, stream, id, unknown);
+                mFrameSender.sendLast(step, stream, id, unknown);
             }
         }
     }
@@ -132,6 +139,6 @@
     private void refuse(Step step, long stream, AttemptId id, ResultCode code) {
         String message = "refused by " + mSelf.id() + " in incarnation " + mSelf.incarnation();
         Frame refused = new Frame.Refused(code, message, "", Duration.ZERO);
-        mFrames.sendLast(step, stream, id, refused);
+        mFrameSender.sendLast(step, stream, id, refused);
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionReport.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/DecisionLogger.java
@@ -3,26 +3,26 @@
 import org.laurelweir.attempt.AttemptRequest;
 import org.laurelweir.lib.Decision;
 
-/** Reports each admission decision with its inputs. */
-final class DecisionReport {
+/** Logs each admission decision with its inputs. */
+final class DecisionLogger {
     private static final String PROGRAM = "sidecar";
 
     private final RunningLoad mLoad;
-    private final NextInRank mNext;
+    private final RedirectRanking mRedirectRanking;
 
-    DecisionReport(RunningLoad load, NextInRank next) {
+    DecisionLogger(RunningLoad load, RedirectRanking redirectRanking) {
         mLoad = load;
-        mNext = next;
+        mRedirectRanking = redirectRanking;
     }
 
     /**
-     * Reports a decision.
+     * Logs a decision.
      *
-     * @param choice the backend server, or the result code's name where the request was refused
-     * @param reason why
-     * @param bound the load above which the request would not be taken
+     * @param choice the backend server, or the name of the result code if the request was refused
+     * @param reason why it was chosen or refused
+     * @param bound the load above which the request is not admitted
      */
-    void decided(
+    void log(
             Step step,
             AttemptRequest request,
             String choice,
@@ -35,7 +35,7 @@
                                 .chat(request.chat())
                                 .account(request.account())
                                 .service(request.service())
-                                .candidates(mNext.candidates(request))
+                                .candidates(mRedirectRanking.topCandidates(request))
                                 .choice(choice, reason.text())
                                 .load(mLoad.work(), bound)
                                 .build()));
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Drain.java
@@ -5,100 +5,110 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Leaving, by an operator's wish or because the process stops. From then on nothing new starts;
- * what waits is refused as not run, what runs goes on to its end, and the directory of chats goes
- * to those that become their homes. An operator's wish can be taken back, a stop can't.
+ * Drains the backend server on an operator's order or because the sidecar stops.
+ *
+ * <p>While it drains, nothing new starts, waiting attempts are refused as not run, and running
+ * attempts complete. The chat directory goes to the servers that become the chats' homes. An
+ * operator's order can be withdrawn, a stop can't.
  */
 final class Drain {
     private final AttemptTable mTable;
     private final Admission mAdmission;
-    private final ChatQuestions mQuestions;
-    private final ChatHomes mHomes;
+    private final PendingChatLookups mLookups;
+    private final ChatLocations mChatLocations;
     private final Execution mExecution;
     private boolean mOrdered;
-    private Instant mStopRequested;
+    private Instant mStopRequestTime;
     private boolean mStopped;
 
     Drain(
             AttemptTable table,
             Admission admission,
-            ChatQuestions questions,
-            ChatHomes homes,
+            PendingChatLookups lookups,
+            ChatLocations chatLocations,
             Execution execution) {
         mTable = table;
         mAdmission = admission;
-        mQuestions = questions;
-        mHomes = homes;
+        mLookups = lookups;
+        mChatLocations = chatLocations;
         mExecution = execution;
     }
 
-    /** Takes the operator's wish, as control repeats it with every exchange. */
-    void order(Step step, boolean drain) {
-        boolean before = isDraining();
-        mOrdered = drain;
-        changed(step, before);
+    /**
+     * Sets whether an operator wants this server drained. Control repeats the order in every
+     * exchange.
+     */
+    void setOrdered(Step step, boolean ordered) {
+        boolean wasDraining = isDraining();
+        mOrdered = ordered;
+        onDrainingChanged(step, wasDraining);
     }
 
-    /** Takes the wish that the process stops. */
-    void stop(Step step) {
-        boolean before = isDraining();
-        if (mStopRequested == null) {
-            mStopRequested = step.now();
+    /** Starts the drain before the process stops. */
+    void requestStop(Step step) {
+        boolean wasDraining = isDraining();
+        if (mStopRequestTime == null) {
+            mStopRequestTime = step.now();
         }
-        changed(step, before);
+        onDrainingChanged(step, wasDraining);
     }
 
-    private void changed(Step step, boolean before) {
-        if (isDraining() && !before) {
-            mHomes.handOver(step);
-            mQuestions.all().forEach(a -> turnAway(step, a));
-            mAdmission.turnAllAway(step, code(), AdmissionReason.DRAINING);
+    private void onDrainingChanged(Step step, boolean wasDraining) {
+        if (isDraining() && !wasDraining) {
+            mChatLocations.handOverDirectory(step);
+            mLookups.waitingAttempts().forEach(a -> refuse(step, a));
+            mAdmission.refuseAllWaiting(step, refusalCode(), AdmissionReason.DRAINING);
         }
-        if (!isDraining() && before) {
-            mHomes.joined(step.now());
+        if (!isDraining() && wasDraining) {
+            mChatLocations.onJoined(step.now());
         }
     }
 
     /** Refuses an attempt that has not started. */
-    void turnAway(Step step, Attempt attempt) {
-        mQuestions.forget(attempt);
-        mAdmission.turnAway(step, attempt, code(), AdmissionReason.DRAINING);
+    void refuse(Step step, Attempt attempt) {
+        mLookups.remove(attempt);
+        mAdmission.refuseNewWork(step, attempt, refusalCode(), AdmissionReason.DRAINING);
     }
 
     boolean isDraining() {
-        return mOrdered || mStopRequested != null;
+        return mOrdered || mStopRequestTime != null;
     }
 
     boolean isStopped() {
         return mStopped;
     }
 
-    private ResultCode code() {
-        return mStopRequested != null ? ResultCode.SHUTTING_DOWN : ResultCode.DRAINING;
+    private ResultCode refusalCode() {
+        return mStopRequestTime != null ? ResultCode.SHUTTING_DOWN : ResultCode.DRAINING;
     }
 
     /**
-     * Ends a stop once every attempt's ending went out, or once it has taken as long as it may.
+     * Completes a stop once the final frames of all attempts are sent, or once the drain timeout is
+     * over.
      *
-     * @return whether the stop has ended just now
+     * @return whether this call completed the stop
      */
-    boolean endStop(Step step, Duration timeout) {
-        if (mStopped || mStopRequested == null) {
+    boolean finishStop(Step step, Duration timeout) {
+        if (mStopped || mStopRequestTime == null) {
             return false;
         }
-        if (!mStopRequested.plus(timeout).isAfter(step.now())) {
-            giveUpRunning(step);
+        if (!mStopRequestTime.plus(timeout).isAfter(step.now())) {
+            abortRunning(step);
         }
-        mStopped = mTable.all().stream().allMatch(Attempt::isEndingSent);
+        mStopped = mTable.attempts().stream().allMatch(Attempt::isFinalFrameSent);
         return mStopped;
     }
 
-    private void giveUpRunning(Step step) {
-        for (Attempt a : mTable.all()) {
+    private void abortRunning(Step step) {
+        for (Attempt a : mTable.attempts()) {
             if (a.phase() == Attempt.Phase.RUNNING) {
-                mExecution.cancel(step, a, ResultCode.OUTCOME_UNKNOWN, "the sidecar had to stop");
+                mExecution.abort(
+                        step,
+                        a,
+                        ResultCode.OUTCOME_UNKNOWN,
+                        "the sidecar stopped before the answer was complete");
             }
-            a.setEndingSent();
+            a.setFinalFrameSent();
         }
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/Timeouts.java
@@ -5,63 +5,72 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Ends what has taken, or was kept, long enough, and breaks silences that last too long. Looks only
- * at attempts that changed or about which something is due: with a look at each, a tick would take
- * longer the more there are.
+ * Aborts attempts that run too long or that no stream follows, drops ended attempts after their
+ * retention, and sends progress frames. Each tick checks only the attempts that changed or are due,
+ * so that its cost does not grow with the number of attempts held.
  */
 final class Timeouts {
-    private final DueOrder mDue = new DueOrder();
+    private final DueQueue mDueQueue = new DueQueue();
     private final AttemptTable mTable;
-    private final Endings mEndings;
+    private final AttemptFinisher mFinisher;
     private final Execution mExecution;
-    private final Followers mFollowers;
+    private final FollowingStreams mStreams;
     private SidecarSettings mSettings = SidecarSettings.DEFAULT;
 
-    Timeouts(AttemptTable table, Endings endings, Execution execution, Followers followers) {
+    Timeouts(
+            AttemptTable table,
+            AttemptFinisher finisher,
+            Execution execution,
+            FollowingStreams streams) {
         mTable = table;
-        mEndings = endings;
+        mFinisher = finisher;
         mExecution = execution;
-        mFollowers = followers;
+        mStreams = streams;
     }
 
-    void check(Step step, SidecarSettings settings) {
+    void checkDue(Step step, SidecarSettings settings) {
         if (!settings.equals(mSettings)) {
             mSettings = settings;
-            mTable.all().forEach(this::schedule);
+            mTable.attempts().forEach(this::schedule);
         }
         mTable.takeChanged().forEach(this::schedule);
-        for (Attempt a : mDue.take(step.now())) {
+        for (Attempt a : mDueQueue.takeDue(step.now())) {
             checkOne(step, a, settings);
             schedule(a);
         }
     }
 
     private void schedule(Attempt attempt) {
-        if (mTable.holds(attempt)) {
-            mDue.set(attempt, nextDue(attempt));
+        if (mTable.contains(attempt)) {
+            mDueQueue.schedule(attempt, nextCheckTime(attempt));
         } else {
-            mDue.remove(attempt);
+            mDueQueue.remove(attempt);
         }
     }
 
-    /** Returns when to look at an attempt again, if it does not change before; never too late. */
-    private Instant nextDue(Attempt attempt) {
-        Instant next = timeout(attempt);
+    /**
+     * Returns when to check an attempt again unless it changes before. The time may be early but
+     * never late.
+     */
+    private Instant nextCheckTime(Attempt attempt) {
+        Instant nextCheck = timeoutTime(attempt);
         if (!attempt.isFollowed()) {
-            return next;
+            return nextCheck;
         }
-        return earlier(next, attempt.lastFrame().plus(mSettings.progressInterval()));
+        return earlier(nextCheck, attempt.lastFrameTime().plus(mSettings.progressInterval()));
     }
 
-    private Instant timeout(Attempt attempt) {
+    private Instant timeoutTime(Attempt attempt) {
         if (attempt.phase() == Attempt.Phase.ENDED) {
-            return keptUntil(attempt, mSettings.output().keepTime());
+            return outputExpiry(attempt, mSettings.output().keepTime());
         }
         if (attempt.phase() == Attempt.Phase.WAITING) {
             return Instant.MAX;
         }
-        Instant latest = latestEnd(attempt, mSettings);
-        return isUnwanted(attempt) ? earlier(latest, unwantedUntil(attempt, mSettings)) : latest;
+        Instant runDeadline = runDeadline(attempt, mSettings);
+        return isAbandoned(attempt)
+                ? earlier(runDeadline, abandonedExpiry(attempt, mSettings))
+                : runDeadline;
     }
 
     private static Instant earlier(Instant a, Instant b) {
@@ -72,50 +81,52 @@
         if (attempt.phase() == Attempt.Phase.RUNNING) {
             checkRunning(step, attempt, settings);
         } else if (attempt.phase() == Attempt.Phase.ENDED) {
-            checkKept(step, attempt, settings.output().keepTime());
+            checkEnded(step, attempt, settings.output().keepTime());
         }
-        if (mTable.holds(attempt)) {
-            mFollowers.sendProgress(step, attempt, settings.progressInterval());
+        if (mTable.contains(attempt)) {
+            mStreams.sendProgress(step, attempt, settings.progressInterval());
         }
     }
 
     private void checkRunning(Step step, Attempt attempt, SidecarSettings settings) {
-        if (!step.now().isBefore(latestEnd(attempt, settings))) {
-            String message = "no whole answer within the deadline";
-            mExecution.cancel(step, attempt, ResultCode.DEADLINE_EXCEEDED, message);
+        if (!step.now().isBefore(runDeadline(attempt, settings))) {
+            String message = "the answer was not complete at the deadline";
+            mExecution.abort(step, attempt, ResultCode.DEADLINE_EXCEEDED, message);
             return;
         }
-        if (isUnwanted(attempt) && !step.now().isBefore(unwantedUntil(attempt, settings))) {
-            mExecution.cancel(step, attempt, ResultCode.CANCELLED, "nobody follows");
+        if (isAbandoned(attempt) && !step.now().isBefore(abandonedExpiry(attempt, settings))) {
+            mExecution.abort(step, attempt, ResultCode.CANCELLED, "nobody follows");
         }
     }
 
-    private static boolean isUnwanted(Attempt attempt) {
+    private static boolean isAbandoned(Attempt attempt) {
         return !attempt.isFollowed() && attempt.isCancellable();
     }
 
-    /** Returns how long an attempt that nobody follows goes on. */
-    private static Instant unwantedUntil(Attempt attempt, SidecarSettings settings) {
-        return attempt.followedUntil().plus(settings.output().keepTime());
+    /** Returns when an attempt that no stream follows is cancelled. */
+    private static Instant abandonedExpiry(Attempt attempt, SidecarSettings settings) {
+        return attempt.unfollowedSince().plus(settings.output().keepTime());
     }
 
     /**
-     * Returns when an attempt that still runs is given up. One whose outcome a resend will ask for
-     * may take as long as a drain would wait for it: its caller's deadline is not the resend's.
+     * Returns when a running attempt is aborted: at its deadline. An attempt that a resend may ask
+     * for gets the drain timeout in addition, because the resend has a later deadline than the
+     * first caller.
      */
-    private static Instant latestEnd(Attempt attempt, SidecarSettings settings) {
+    private static Instant runDeadline(Attempt attempt, SidecarSettings settings) {
         Duration extra = attempt.isCancellable() ? Duration.ZERO : settings.drainTimeout();
         return attempt.deadline().plus(extra);
     }
 
-    private void checkKept(Step step, Attempt attempt, Duration keepTime) {
-        if (!step.now().isBefore(keptUntil(attempt, keepTime))) {
-            mEndings.drop(step, attempt);
+    private void checkEnded(Step step, Attempt attempt, Duration keepTime) {
+        if (!step.now().isBefore(outputExpiry(attempt, keepTime))) {
+            mFinisher.drop(step, attempt);
         }
     }
 
-    private static Instant keptUntil(Attempt attempt, Duration keepTime) {
-        Duration wanted = attempt.request().outputKeepTime();
-        return attempt.ended().plus(wanted.compareTo(keepTime) > 0 ? wanted : keepTime);
+    private static Instant outputExpiry(Attempt attempt, Duration keepTime) {
+        Duration requestedKeepTime = attempt.request().outputKeepTime();
+        return attempt.endTime()
+                .plus(requestedKeepTime.compareTo(keepTime) > 0 ? requestedKeepTime : keepTime);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/Requests.java
@@ -6,7 +6,7 @@
 import org.laurelweir.lib.AttemptId;
 import org.laurelweir.lib.BackendRef;
 
-/** Begins requests for tests, each with something to vary. */
+/** Builders of attempt requests with the default values of these tests. */
 final class Requests {
     static final String SERVICE = "seilhjerne";
 
@@ -24,12 +24,13 @@
                 .service(SERVICE)
                 .call(call(0))
                 .timeLeft(Duration.ofMinutes(1))
-                .cost(output(100));
+                .cost(outputCost(100));
     }
 
-    /** Returns a call that must not run twice. */
-    static AttemptRequest.Builder order(long number, String key, Duration keepOutput) {
-        return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(keepOutput);
+    /** Returns a request that must not run twice. */
+    static AttemptRequest.Builder nonIdempotentRequest(
+            long number, String key, Duration outputKeepTime) {
+        return request(number).idempotent(false).idempotencyKey(key).outputKeepTime(outputKeepTime);
     }
 
     static AttemptId id(long number) {
@@ -41,7 +42,7 @@
                 "POST", "/v1/chat/completions", List.of(), new byte[bodyBytes], true);
     }
 
-    static AttemptRequest.Cost output(int tokens) {
+    static AttemptRequest.Cost outputCost(int tokens) {
         return new AttemptRequest.Cost(0, tokens);
     }
 }
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/SidecarDriver.java
@@ -13,7 +13,7 @@
 import org.laurelweir.membership.MembershipDelta;
 import org.laurelweir.membership.ServiceLoad;
 
-/** Drives one sidecar's reducer step by step and keeps what it wanted done. */
+/** Drives a sidecar's reducer step by step and collects its effects. */
 final class SidecarDriver {
     private final SidecarReducer mSidecar =
             new SidecarReducer(
@@ -26,28 +26,28 @@
                             1));
     private final List<SidecarEffect> mEffects = new ArrayList<>();
     private Instant mNow = Instant.parse("2026-12-02T10:00:00Z");
-    private long mStreams;
+    private long mStreamCount;
 
-    /** Begins an attempt on a new stream and returns the stream. */
-    long begin(AttemptRequest.Builder request) {
-        step(new SidecarEvent.AttemptRequested(++mStreams, request.build()));
-        return mStreams;
+    /** Requests an attempt on a new stream and returns the stream. */
+    long requestAttempt(AttemptRequest.Builder request) {
+        step(new SidecarEvent.AttemptRequested(++mStreamCount, request.build()));
+        return mStreamCount;
     }
 
-    /** Follows an attempt on a new stream and returns the stream. */
+    /** Resumes an attempt on a new stream and returns the stream. */
     long resume(AttemptId id, long offset) {
         step(
                 new SidecarEvent.AttemptResumed(
-                        ++mStreams, id, new BackendRef("engine-1", 1), offset));
-        return mStreams;
+                        ++mStreamCount, id, new BackendRef("engine-1", 1), offset));
+        return mStreamCount;
     }
 
     void step(SidecarEvent event) {
         mSidecar.step(mNow, event, mEffects::add);
     }
 
-    /** Lets time pass, with a tick at its end. */
-    void pass(Duration time) {
+    /** Advances the time and sends one tick. */
+    void advance(Duration time) {
         mNow = mNow.plus(time);
         step(new SidecarEvent.Tick());
     }
@@ -67,8 +67,8 @@
                         fence));
     }
 
-    /** Has the backend server answer an attempt wholly. */
-    void answer(AttemptId id, byte[] body) {
+    /** Lets the backend server answer an attempt completely. */
+    void answerAttempt(AttemptId id, byte[] body) {
         step(new SidecarEvent.EngineHeadReceived(id, 200, List.of()));
         step(new SidecarEvent.EngineDataReceived(id, body));
         step(new SidecarEvent.EngineFinished(id, Frame.Usage.NONE));
@@ -86,7 +86,7 @@
                 1);
     }
 
-    /** Returns the members engine-1 up to a number, serving. */
+    /** Returns the serving members engine-1 to engine-{@code count}. */
     static List<Backend> members(int count) {
         List<Backend> members = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
@@ -95,14 +95,14 @@
         return members;
     }
 
-    /** Takes all effects of a kind since the last call for any kind. */
+    /** Returns the effects of a kind, and clears all effects collected since the last call. */
     <T extends SidecarEffect> List<T> take(Class<T> kind) {
         List<T> found = mEffects.stream().filter(kind::isInstance).map(kind::cast).toList();
         mEffects.clear();
         return found;
     }
 
-    /** Takes the frames on a stream since effects were last taken. */
+    /** Returns the frames on a stream, and clears all effects collected since the last call. */
     List<Frame> takeFrames(long stream) {
         return take(SidecarEffect.SendFrame.class).stream()
                 .filter(f -> f.stream() == stream)
@@ -110,7 +110,7 @@
                 .toList();
     }
 
-    /** Takes the last frame on a stream since effects were last taken. */
+    /** Returns the last frame on a stream, and clears all effects collected since the last call. */
     Frame takeLastFrame(long stream) {
         List<Frame> frames = takeFrames(stream);
         return frames.get(frames.size() - 1);
