--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -30,11 +30,11 @@
 import org.laurelweir.control.rpc.PendingCalls;
 import org.laurelweir.control.rpc.ReadConfirmer;
 import org.laurelweir.control.rpc.ReplicaRpc;
+import org.laurelweir.control.storage.DisklessLogStorage;
 import org.laurelweir.control.storage.FileLogStorage;
 import org.laurelweir.control.storage.LogStorage;
 import org.laurelweir.control.storage.LogWriter;
-import org.laurelweir.control.storage.NoLogStorage;
-import org.laurelweir.control.storage.PatientOpening;
+import org.laurelweir.control.storage.StorageOpener;
 import org.laurelweir.coordination.ControlConfig;
 import org.laurelweir.coordination.ControlEffect;
 import org.laurelweir.coordination.ControlEvent;
@@ -119,7 +119,7 @@
         mChannels.start();
         mStorage = openStorage();
         Recovered recovered = mStorage.recovered();
-        mRecoveredEmpty = isEmpty(recovered) && !mStorage.isBesideDamagedLog();
+        mRecoveredEmpty = isEmpty(recovered) && !mStorage.hasDamagedLog();
         ReplicaId self = new ReplicaId(mFile.name(), mStorage.storageId());
         Map<String, String> others = mFile.others();
         listen(self);
@@ -138,9 +138,9 @@
             return noStorage(random);
         }
         Path folder = mFile.dataFolder().get();
-        PatientOpening opening = new PatientOpening(mClock, ControlProgram::sleep);
+        StorageOpener opening = new StorageOpener(mClock, ControlProgram::sleep);
         LongSupplier newDisk = () -> ReplicaId.durableStorageId(random);
-        return opening.open(() -> FileLogStorage.openOrBeginAnew(folder, newDisk));
+        return opening.open(() -> FileLogStorage.openOrReplaceDamaged(folder, newDisk));
     }
 
     private LogStorage noStorage(LongSupplier random) {
@@ -150,7 +150,7 @@
                     "data-folder: is missing; only an instance with seeds may do without");
         }
         sLogger.atInfo().log("there is no data folder: this instance learns and never votes");
-        return new NoLogStorage(ReplicaId.volatileStorageId(random));
+        return new DisklessLogStorage(ReplicaId.volatileStorageId(random));
     }
 
     private static void sleep(Duration time) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/WholeFile.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/AtomicFile.java
@@ -12,12 +12,13 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * A file that is replaced as a whole: written aside, synced, renamed, and the folder synced.
- * Readers see the old content or the new, never a mixture.
+ * A file whose content is replaced atomically: the new content is written to a temporary file and
+ * synced, the temporary file is renamed, and the folder is synced. Readers see the old content or
+ * the new one, never a mixture.
  */
-final class WholeFile {
-    /** The end of the name of a file written aside; one left by a crash is of no use. */
-    static final String ASIDE = ".tmp";
+final class AtomicFile {
+    /** Suffix of temporary files. A temporary file that a crash left can be deleted. */
+    static final String TEMPORARY_SUFFIX = ".tmp";
 
     private static final int MAGIC = 0x4c575731;
     private static final int HEADER_BYTES = 8;
@@ -27,11 +28,12 @@
     private final Disk mDisk;
 
     /**
-     * Creates an accessor.
+     * Creates an accessor; the file need not exist.
      *
-     * @param corruptCode the code under which damage is reported
+     * @param corruptCode the result code of the exception that {@link #read} throws for a damaged
+     *     file
      */
-    WholeFile(Path path, ResultCode corruptCode, Disk disk) {
+    AtomicFile(Path path, ResultCode corruptCode, Disk disk) {
         mPath = path;
         mCorruptCode = corruptCode;
         mDisk = disk;
@@ -46,32 +48,35 @@
     }
 
     void write(byte[] content) throws IOException {
-        Path aside = mPath.resolveSibling(mPath.getFileName() + ASIDE);
+        Path temporary = mPath.resolveSibling(mPath.getFileName() + TEMPORARY_SUFFIX);
         try {
-            writeAside(aside, content);
+            writeTemporary(temporary, content);
         } catch (IOException e) {
-            discard(aside, e);
+            deleteTemporary(temporary, e);
             throw e;
         }
-        Files.move(aside, mPath, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, mPath, StandardCopyOption.ATOMIC_MOVE);
         syncFolder(mPath.getParent(), mDisk);
     }
 
-    /** On a full disk what was written so far would take the room of the log itself. */
-    private static void discard(Path aside, IOException cause) {
+    /**
+     * Deletes an incomplete temporary file. On a full disk it would take the space that the log
+     * itself needs.
+     */
+    private static void deleteTemporary(Path temporary, IOException cause) {
         try {
-            Files.deleteIfExists(aside);
+            Files.deleteIfExists(temporary);
         } catch (IOException e) {
             cause.addSuppressed(e);
         }
     }
 
-    private void writeAside(Path aside, byte[] content) throws IOException {
+    private void writeTemporary(Path temporary, byte[] content) throws IOException {
         ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
         header.putInt(MAGIC).putInt(checksum(content)).flip();
         try (FileChannel channel =
                 FileChannel.open(
-                        aside,
+                        temporary,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE)) {
@@ -82,9 +87,9 @@
     }
 
     /**
-     * Reads the content.
+     * Reads the content and verifies its checksum.
      *
-     * @throws LaurelweirException with the code given at construction, if the file is damaged
+     * @throws LaurelweirException with the code passed to the constructor if the file is damaged
      */
     byte[] read() throws IOException {
         ByteBuffer file = ByteBuffer.wrap(Files.readAllBytes(mPath));
@@ -106,7 +111,10 @@
         return (int) crc.getValue();
     }
 
-    /** Makes the creation, renaming and removal of files in a folder last. */
+    /**
+     * Syncs a folder, so that the creation, renaming and deletion of files in it survive a power
+     * loss.
+     */
     static void syncFolder(Path folder, Disk disk) throws IOException {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             disk.sync(channel);
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DamagedLog.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DamagedLog.java
@@ -12,54 +12,56 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Sets a log aside that does not read back, so that its instance begins anew with an empty one, as
- * after the loss of a disk. Refused at each start instead, the process would end again and again,
- * and take its processor from the router beside it, until an operator comes.
+ * Sets a damaged log aside, so that its instance starts with an empty log, as after the loss of a
+ * disk. If the instance rejected the log at each start instead, the process would end and restart
+ * until an operator intervenes, and take processor time from the router on the same instance.
  *
- * <p>An empty log is another replica, with an id of its own: it votes and counts only once the
- * others have made it a voter. It must never help to found a second log, since what the damaged one
- * held may be on no other disk: {@link #isBeside} tells that there is one.
+ * <p>An empty log belongs to another replica with its own id: the replica votes and counts towards
+ * a quorum only after the other replicas have made it a voter. It must never help to bootstrap a
+ * second log, since the entries of the damaged log may be on no other disk. {@link #existsIn} tells
+ * that there is a damaged log.
  */
 final class DamagedLog {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    /** The folder in the data folder that holds the newest log that was set aside. */
-    private static final String ASIDE = "damaged";
+    /** Name of the subfolder that holds the most recent damaged log. */
+    private static final String FOLDER_NAME = "damaged";
 
     private DamagedLog() {}
 
-    /** Returns whether a failure to open a log says that it is damaged. */
+    /** Returns whether a failure to open a log means that the log is damaged. */
     static boolean isDamage(LaurelweirException failure) {
         ResultCode code = failure.getCode();
         return code == ResultCode.LOG_CORRUPT || code == ResultCode.SNAPSHOT_CORRUPT;
     }
 
-    /** Returns whether a data folder holds a log that was set aside. */
-    static boolean isBeside(Path folder) {
-        return Files.exists(folder.resolve(ASIDE));
+    /** Returns whether a data folder holds a damaged log that was set aside. */
+    static boolean existsIn(Path folder) {
+        return Files.exists(folder.resolve(FOLDER_NAME));
     }
 
     /**
-     * Moves a log into the folder for damaged ones, in place of one that is there.
+     * Moves a log into the subfolder for damaged logs, and replaces a log that is there.
      *
-     * @throws IOException if the disk failed; the rest is moved by the next try
+     * @throws IOException if the disk fails; the next attempt moves the remaining files
      */
     static void setAside(LogFiles files, LaurelweirException damage) throws IOException {
         Path folder = files.folder();
-        Path aside = folder.resolve(ASIDE);
+        Path aside = folder.resolve(FOLDER_NAME);
         Files.createDirectories(aside);
-        WholeFile identity = files.identity();
+        AtomicFile identity = files.identity();
         if (identity.exists()) {
             removeAll(aside);
-            // First and for good: a log without its votes must not go by the id that gave them.
+            // The identity moves first and is synced: a log that has lost its votes must not be
+            // used under the storage id that cast them.
             move(identity.path(), aside);
-            WholeFile.syncFolder(folder, files.disk());
+            AtomicFile.syncFolder(folder, files.disk());
         }
         for (Path file : logFiles(files)) {
             move(file, aside);
         }
-        WholeFile.syncFolder(aside, files.disk());
-        WholeFile.syncFolder(folder, files.disk());
+        AtomicFile.syncFolder(aside, files.disk());
+        AtomicFile.syncFolder(folder, files.disk());
         sLogger.atSevere().log(
                 "the log is damaged and was moved to %s; this instance begins anew, without a vote"
                         + " until the others give it one: %s",
@@ -76,7 +78,7 @@
         Files.move(file, folder.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Returns all that is there of a log but its id and the lock, which its process holds. */
+    /** Returns the files of a log except for the lock, which this process holds. */
     private static List<Path> logFiles(LogFiles files) throws IOException {
         List<Path> found = new ArrayList<>();
         for (Path file : list(files.folder())) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DataFolder.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DataFolder.java
@@ -13,7 +13,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** Holds a data folder for one process and knows which disk it is. */
+/** Locks a data folder for one process and knows the folder's storage id. */
 final class DataFolder implements AutoCloseable {
     private final FileChannel mLock;
     private final long mStorageId;
@@ -24,17 +24,18 @@
     }
 
     /**
-     * Takes a folder, and creates it if need be.
+     * Locks a folder, creates it if it does not exist, and deletes temporary files that a crash
+     * left.
      *
-     * @param newStorageId draws an id if the folder is new
-     * @throws LaurelweirException {@code LOG_CORRUPT} if it holds a log without its id, {@code
-     *     BAD_SETTINGS_FILE} if another process has it
+     * @param newStorageId generates an id for a new folder
+     * @throws LaurelweirException {@code LOG_CORRUPT} if the folder holds a log without a storage
+     *     id, {@code BAD_SETTINGS_FILE} if another process has locked the folder
      */
-    static DataFolder take(LogFiles files, LongSupplier newStorageId) throws IOException {
+    static DataFolder open(LogFiles files, LongSupplier newStorageId) throws IOException {
         Files.createDirectories(files.folder());
         FileChannel lock = lock(files.lock());
         try {
-            removeAside(files.folder());
+            removeTemporaryFiles(files.folder());
             return new DataFolder(lock, storageId(files, newStorageId));
         } catch (IOException | RuntimeException e) {
             lock.close();
@@ -62,24 +63,26 @@
                 ResultCode.BAD_SETTINGS_FILE, lock.getParent() + " is in use by another process");
     }
 
-    private static void removeAside(Path folder) throws IOException {
+    private static void removeTemporaryFiles(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
-            List<Path> aside = files.filter(f -> f.toString().endsWith(WholeFile.ASIDE)).toList();
-            for (Path f : aside) {
+            List<Path> temporary =
+                    files.filter(f -> f.toString().endsWith(AtomicFile.TEMPORARY_SUFFIX)).toList();
+            for (Path f : temporary) {
                 Files.delete(f);
             }
         }
     }
 
     private static long storageId(LogFiles files, LongSupplier newStorageId) throws IOException {
-        WholeFile identity = files.identity();
+        AtomicFile identity = files.identity();
         if (identity.exists()) {
             return ByteBuffer.wrap(identity.read()).getLong();
         }
         boolean hasLog = files.hardState().exists() || files.snapshot().exists();
         if (hasLog || !Segment.numbersIn(files.folder()).isEmpty()) {
             throw new LaurelweirException(
-                    ResultCode.LOG_CORRUPT, files.folder() + " holds a log without its id");
+                    ResultCode.LOG_CORRUPT,
+                    files.folder() + " holds a log, but its storage id is missing");
         }
         long id = newStorageId.getAsLong();
         identity.write(ByteBuffer.allocate(Long.BYTES).putLong(id).array());
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Disk.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Disk.java
@@ -4,18 +4,19 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** Writes files, and makes what was written last. */
+/** Writes files and syncs them. Tests replace it to make writes and syncs fail. */
 @FunctionalInterface
 interface Disk {
-    /** The operating system's sync, with the file's size. */
+    /** Syncs a file's data and metadata through the operating system. */
     Disk DEFAULT = channel -> channel.force(true);
 
     void sync(FileChannel channel) throws IOException;
 
     /**
-     * Writes all of some bytes at the channel's position.
+     * Writes all bytes of a buffer at the channel's position.
      *
-     * @throws IOException if the disk refused, after any number of the bytes
+     * @throws IOException if the disk rejects the write; any number of the bytes may have been
+     *     written
      */
     default void write(FileChannel channel, ByteBuffer bytes) throws IOException {
         while (bytes.hasRemaining()) {
@@ -24,10 +25,10 @@
     }
 
     /**
-     * Returns a disk that tells a failed sync from all other failures. A write that was refused may
-     * be tried again; after a failed sync nobody knows what is on the disk.
+     * Returns a disk that reports a failed sync as {@link SyncFailure}. A failed write may be
+     * retried; after a failed sync the content of the disk is unknown.
      */
-    default Disk tellingSyncFailures() {
+    default Disk wrappingSyncFailures() {
         Disk disk = this;
         return new Disk() {
             @Override
@@ -46,7 +47,7 @@
         };
     }
 
-    /** A sync that failed. */
+    /** Reports a failed sync, after which the content of the disk is unknown. */
     final class SyncFailure extends IOException {
         private static final long serialVersionUID = 1;
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/NoLogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DisklessLogStorage.java
@@ -7,14 +7,18 @@
 import org.laurelweir.consensus.Snapshot;
 
 /**
- * Stands in for the storage of an instance without a disk. It keeps nothing: such a replica never
- * votes, and learns the log anew at each start.
+ * The storage of an instance without a disk. It stores nothing, so its replica never votes and
+ * receives the whole log again after each start.
  */
-public final class NoLogStorage implements LogStorage {
+public final class DisklessLogStorage implements LogStorage {
     private final long mStorageId;
 
-    /** Creates the storage of one start, under an id that says that there is no disk. */
-    public NoLogStorage(long storageId) {
+    /**
+     * Creates a storage.
+     *
+     * @param storageId an id that marks the replica as volatile; a new one for each start
+     */
+    public DisklessLogStorage(long storageId) {
         mStorageId = storageId;
     }
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/FileLogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/FileLogStorage.java
@@ -18,40 +18,45 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Keeps the log in a data folder. Entries are only ever appended: one with an index already used
- * replaces what came before it, so that no crash can leave a log cut and not yet continued.
+ * Stores the log in a data folder. Entries are only ever appended. An entry whose index is already
+ * used replaces the old entries from that index on, so a crash can't leave a log that is truncated
+ * but not yet continued.
  */
 public final class FileLogStorage implements LogStorage {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
     /**
-     * A segment that has reached this size is followed by a new one. A start reads one segment at a
-     * time whole; twice the bytes between two snapshots in the smallest heap that is in use, 64 MB.
+     * Size at which a new segment is started. A start reads each segment into memory as a whole.
+     * This is twice the bytes that are written between two snapshots with the smallest heap in use,
+     * 64 MB.
      */
     static final int SEGMENT_BYTES = 4 << 20;
 
     private final LogFiles mFiles;
     private final int mSegmentBytes;
     private final DataFolder mFolder;
-    private final SyncMark mMark;
+    private final SyncMark mSyncMark;
     private MarkFile mCommitMark;
     private final TreeMap<Long, Long> mLastIndexes;
     private Recovered mRecovered;
     private Segment mSegment;
     private boolean mFailed;
 
-    /** Up to which sequence the entries of effects are in the log. */
-    private long mAppended;
+    /** The sequence up to which the entries of effects are in the log. */
+    private long mAppendedSequence;
 
-    /** Up to which sequence the snapshots of effects are kept, and the log cut to them. */
-    private long mDone;
+    /**
+     * The sequence up to which effects are complete: their snapshots are stored and the log is
+     * compacted to them.
+     */
+    private long mCompletedSequence;
 
     private FileLogStorage(LogFiles files, int segmentBytes, DataFolder folder) throws IOException {
         mFiles = files;
         mSegmentBytes = segmentBytes;
         mFolder = folder;
         LogLoader loader = new LogLoader(files);
-        // Before the reading, which may be what a process ends in.
+        // Logged before reading, since reading may end the process.
         sLogger.atInfo().log("log in %s: %s", files.folder(), LogSize.of(files));
         loader.load();
         sLogger.atInfo().log("log read: %s", loader);
@@ -60,26 +65,29 @@
         if (!files.hardState().exists()) {
             files.hardState().write(HardStateCodec.encode(HardState.INITIAL));
         }
-        mMark = openMark();
+        mSyncMark = openSyncMark();
         try {
             mCommitMark = new MarkFile(files.commitMark());
             openSegment(loader);
         } catch (IOException e) {
-            // The opening may be tried many times, and descriptors are few.
+            // Opening may be retried many times, so file descriptors must not leak.
             closeFiles();
             throw e;
         }
     }
 
-    /** The mark is there before the first segment, so that a log without it was damaged. */
-    private SyncMark openMark() throws IOException {
+    /**
+     * Opens the sync mark and creates it if there is none. It is created before the first segment,
+     * so a log without a sync mark is damaged.
+     */
+    private SyncMark openSyncMark() throws IOException {
         boolean isNew = SyncMark.read(mFiles.syncMark()) == null;
         SyncMark mark = new SyncMark(mFiles.syncMark());
         try {
             if (isNew) {
                 mark.write(new SyncMark.Position(0, 0));
                 mFiles.disk().sync(mark.channel());
-                WholeFile.syncFolder(mFiles.folder(), mFiles.disk());
+                AtomicFile.syncFolder(mFiles.folder(), mFiles.disk());
             }
             return mark;
         } catch (IOException e) {
@@ -89,32 +97,32 @@
     }
 
     /**
-     * Opens a data folder, or creates it.
+     * Opens a data folder and creates it if it does not exist.
      *
-     * @param folder holds nothing else
-     * @param newStorageId draws the storage id of a new folder; must be random
-     * @throws LaurelweirException {@code LOG_CORRUPT} or {@code SNAPSHOT_CORRUPT} if something
-     *     acknowledged is damaged or missing, {@code BAD_SETTINGS_FILE} if another process has the
-     *     folder, {@code DISK_FAILED} if the disk reported an error
+     * @param folder holds nothing but the log
+     * @param newStorageId generates the storage id of a new folder; must be random
+     * @throws LaurelweirException {@code LOG_CORRUPT} or {@code SNAPSHOT_CORRUPT} if acknowledged
+     *     data is damaged or missing, {@code BAD_SETTINGS_FILE} if another process has locked the
+     *     folder, {@code DISK_FAILED} if the disk reports an error
      */
     public static FileLogStorage open(Path folder, LongSupplier newStorageId) {
         return open(folder, newStorageId, SEGMENT_BYTES, Disk.DEFAULT);
     }
 
     /**
-     * Opens a data folder; a log in it that is damaged is set aside, and an empty one begun under
-     * an id of its own.
+     * Opens a data folder. A damaged log in it is set aside and replaced by an empty log with a new
+     * storage id.
      *
-     * @param folder holds nothing else
-     * @param newStorageId draws the storage id of a new log; must be random
-     * @throws LaurelweirException {@code BAD_SETTINGS_FILE} if another process has the folder,
-     *     {@code DISK_FAILED} if the disk reported an error
+     * @param folder holds nothing but the log
+     * @param newStorageId generates the storage id of a new log; must be random
+     * @throws LaurelweirException {@code BAD_SETTINGS_FILE} if another process has locked the
+     *     folder, {@code DISK_FAILED} if the disk reports an error
      */
-    public static FileLogStorage openOrBeginAnew(Path folder, LongSupplier newStorageId) {
-        return openOrBeginAnew(folder, newStorageId, SEGMENT_BYTES, Disk.DEFAULT);
+    public static FileLogStorage openOrReplaceDamaged(Path folder, LongSupplier newStorageId) {
+        return openOrReplaceDamaged(folder, newStorageId, SEGMENT_BYTES, Disk.DEFAULT);
     }
 
-    static FileLogStorage openOrBeginAnew(
+    static FileLogStorage openOrReplaceDamaged(
             Path folder, LongSupplier newStorageId, int segmentBytes, Disk disk) {
         try {
             return open(folder, newStorageId, segmentBytes, disk);
@@ -137,13 +145,13 @@
 
     static FileLogStorage open(
             Path folder, LongSupplier newStorageId, int segmentBytes, Disk disk) {
-        LogFiles files = new LogFiles(folder, disk.tellingSyncFailures());
+        LogFiles files = new LogFiles(folder, disk.wrappingSyncFailures());
         try {
-            DataFolder taken = DataFolder.take(files, newStorageId);
+            DataFolder dataFolder = DataFolder.open(files, newStorageId);
             try {
-                return new FileLogStorage(files, segmentBytes, taken);
+                return new FileLogStorage(files, segmentBytes, dataFolder);
             } catch (IOException | RuntimeException e) {
-                taken.close();
+                dataFolder.close();
                 throw e;
             }
         } catch (IOException e) {
@@ -154,14 +162,15 @@
     private void openSegment(LogLoader loader) throws IOException {
         if (mLastIndexes.isEmpty()) {
             startSegment(loader.firstSegment());
-        } else if (loader.end() == 0) {
+        } else if (loader.newestSegmentEnd() == 0) {
             startSegment(mLastIndexes.lastKey());
         } else {
             long number = mLastIndexes.lastKey();
-            mSegment = Segment.open(mFiles.folder(), number, loader.end(), mFiles.disk());
+            mSegment =
+                    Segment.open(mFiles.folder(), number, loader.newestSegmentEnd(), mFiles.disk());
         }
-        mMark.write(mSegment.end());
-        mFiles.disk().sync(mMark.channel());
+        mSyncMark.write(mSegment.end());
+        mFiles.disk().sync(mSyncMark.channel());
     }
 
     private void startSegment(long number) throws IOException {
@@ -179,11 +188,13 @@
     }
 
     @Override
-    public boolean isBesideDamagedLog() {
-        return DamagedLog.isBeside(mFiles.folder());
+    public boolean hasDamagedLog() {
+        return DamagedLog.existsIn(mFiles.folder());
     }
 
-    /** {@inheritDoc} May be called once; the entries are not kept. */
+    /**
+     * {@inheritDoc} May be called only once, since the entries are not kept in memory afterwards.
+     */
     @Override
     public Recovered recovered() {
         Recovered recovered = mRecovered;
@@ -195,12 +206,14 @@
     public void persist(List<Persist> effects) {
         if (mFailed) {
             throw new LaurelweirException(
-                    ResultCode.DISK_FAILED, mFiles.folder() + " has failed before");
+                    ResultCode.DISK_FAILED,
+                    mFiles.folder() + ": an earlier sync failed, no more writes are accepted");
         }
         try {
             writeAll(effects);
         } catch (Disk.SyncFailure e) {
-            // After a failed sync the system may have dropped the data and call the next sync good.
+            // After a failed sync the operating system may have dropped the data and report success
+            // for the next sync.
             mFailed = true;
             throw diskFailed(mFiles.folder(), e);
         } catch (IOException e) {
@@ -215,36 +228,39 @@
             mCommitMark.write(index);
         } catch (IOException e) {
             sLogger.atWarning().atMostEvery(1, TimeUnit.MINUTES).log(
-                    "commit mark not written, the next start will be slower: %s", e);
+                    "the commit mark can't be written, the next start will be slower: %s", e);
         }
     }
 
-    /** Leaves out what an earlier try that was refused has carried out. */
+    /**
+     * Writes effects. Skips the parts that an earlier attempt, which failed later on, has
+     * completed.
+     */
     private void writeAll(List<Persist> effects) throws IOException {
         writeHardState(effects);
         List<LogEntry> batch = new ArrayList<>();
         for (Persist p : effects) {
-            boolean isNew = p.sequence() > mDone;
+            boolean isNew = p.sequence() > mCompletedSequence;
             if (isNew && p.discardLog()) {
                 batch.clear();
                 discardLog(p.snapshot());
             }
-            if (p.sequence() > mAppended) {
+            if (p.sequence() > mAppendedSequence) {
                 batch.addAll(p.entries());
             }
             if (isNew && p.snapshot() != null && !p.discardLog()) {
                 append(batch, p.sequence());
-                mDone = p.sequence() - 1;
+                mCompletedSequence = p.sequence() - 1;
                 batch.clear();
                 compactLog(p.snapshot());
-                mDone = p.sequence();
+                mCompletedSequence = p.sequence();
             }
         }
         append(batch, effects.get(effects.size() - 1).sequence());
-        mDone = mAppended;
+        mCompletedSequence = mAppendedSequence;
     }
 
-    /** Only the last one counts: the batch is acknowledged as a whole. */
+    /** Writes the last hard state only, since the batch is acknowledged as a whole. */
     private void writeHardState(List<Persist> effects) throws IOException {
         HardState last = null;
         for (Persist p : effects) {
@@ -255,12 +271,12 @@
         }
     }
 
-    /** Appends what the effects up to a sequence bring. */
+    /** Appends the entries of the effects up to a sequence. */
     private void append(List<LogEntry> batch, long sequence) throws IOException {
         if (!batch.isEmpty()) {
             append(batch);
         }
-        mAppended = sequence;
+        mAppendedSequence = sequence;
     }
 
     private void append(List<LogEntry> batch) throws IOException {
@@ -268,13 +284,13 @@
             startSegment(mSegment.number() + 1);
         }
         mSegment.append(batch);
-        mMark.write(mSegment.end());
+        mSyncMark.write(mSegment.end());
         for (LogEntry e : batch) {
             mLastIndexes.merge(mSegment.number(), e.index(), Math::max);
         }
     }
 
-    /** Keeps a snapshot of a part of this log, and removes the segments it covers. */
+    /** Stores a snapshot of a prefix of this log, and removes the segments that it covers. */
     private void compactLog(Snapshot snapshot) throws IOException {
         long first = mLastIndexes.firstKey();
         while (first < mSegment.number() && mLastIndexes.get(first) <= snapshot.index()) {
@@ -284,12 +300,12 @@
         removeSegmentsBefore(first);
     }
 
-    /** Keeps a snapshot that the log on disk does not lead to, and begins the log anew after it. */
+    /** Stores a snapshot that replaces the log on disk, and starts a new log after it. */
     private void discardLog(Snapshot snapshot) throws IOException {
         long next = mSegment.number() + 1;
         writeSnapshot(snapshot, next);
         startSegment(next);
-        mMark.write(mSegment.end());
+        mSyncMark.write(mSegment.end());
         removeSegmentsBefore(next);
     }
 
@@ -306,7 +322,7 @@
     }
 
     private void closeFiles() throws IOException {
-        mMark.close();
+        mSyncMark.close();
         if (mCommitMark != null) {
             mCommitMark.close();
         }
@@ -318,7 +334,7 @@
     @Override
     public void close() {
         try {
-            mFiles.disk().sync(mMark.channel());
+            mFiles.disk().sync(mSyncMark.channel());
             closeFiles();
             mFolder.close();
         } catch (IOException e) {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/HardStateCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/HardStateCodec.java
@@ -6,7 +6,8 @@
 import org.laurelweir.consensus.ReplicaId;
 
 /**
- * The content of the term and vote's file: term, storage id of the vote, its name; or just term.
+ * Encodes the content of the hard state file: the term, then the storage id and the name of the
+ * replica that got the vote. Without a vote the file holds the term only.
  */
 final class HardStateCodec {
     private HardStateCodec() {}
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogLoader.java
@@ -15,7 +15,8 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * Reads a data folder when it is opened, and refuses what an acknowledged write can't have left.
+ * Reads a data folder when it is opened. Rejects a folder whose state can't result from
+ * acknowledged writes and a crash.
  */
 final class LogLoader {
     private final LogFiles mFiles;
@@ -23,32 +24,32 @@
     private final TreeMap<Long, Long> mLastIndexes = new TreeMap<>();
     private Snapshot mSnapshot = Snapshot.NONE;
     private HardState mHardState = HardState.INITIAL;
-    private long mCommitted;
+    private long mCommitIndex;
     private long mFirstSegment = 1;
-    private long mEnd;
+    private long mNewestSegmentEnd;
 
-    /** The index of the record read last, kept or not. */
-    private long mReadUpTo;
+    /** The index of the last record that was read, whether or not its entry was kept. */
+    private long mLastReadIndex;
 
     LogLoader(LogFiles files) {
         mFiles = files;
     }
 
-    /** Reads everything. */
+    /** Reads the snapshot, the segments, the term and vote, and the commit mark. */
     void load() throws IOException {
         if (mFiles.snapshot().exists()) {
             SnapshotCodec.Stored stored = SnapshotCodec.decode(mFiles.snapshot().read());
             mSnapshot = stored.snapshot();
             mFirstSegment = stored.firstSegment();
         }
-        removeVoidSegments();
+        removeObsoleteSegments();
         loadSegments();
         loadHardState();
-        long[] committed = MarkFile.read(mFiles.commitMark(), 1);
-        mCommitted = committed == null ? 0 : committed[0];
+        long[] commitMark = MarkFile.read(mFiles.commitMark(), 1);
+        mCommitIndex = commitMark == null ? 0 : commitMark[0];
     }
 
-    private void removeVoidSegments() throws IOException {
+    private void removeObsoleteSegments() throws IOException {
         for (long number : Segment.numbersIn(mFiles.folder()).headSet(mFirstSegment)) {
             Files.delete(Segment.path(mFiles.folder(), number));
         }
@@ -58,14 +59,14 @@
         SyncMark.Position mark = SyncMark.read(mFiles.syncMark());
         SortedSet<Long> numbers = Segment.numbersIn(mFiles.folder());
         if (mark == null && (!numbers.isEmpty() || mFiles.snapshot().exists())) {
-            throw corrupt("the mark of what was synced is missing or damaged");
+            throw corrupt("the sync mark is missing or damaged");
         }
         long markedSegment = mark == null ? 0 : mark.segment();
         long lastSegment = numbers.isEmpty() ? mFirstSegment - 1 : numbers.last();
         if (markedSegment > lastSegment
                 || (!numbers.isEmpty() && numbers.first() != mFirstSegment)
                 || numbers.size() != lastSegment - mFirstSegment + 1) {
-            throw corrupt("segments " + mFirstSegment + " and on are not all there");
+            throw corrupt("segments " + mFirstSegment + " and later are not complete");
         }
         for (long number : numbers) {
             long syncedEnd = number == markedSegment ? mark.offset() : 0;
@@ -78,7 +79,8 @@
         SegmentScan scan = new SegmentScan(path.toString(), Files.readAllBytes(path));
         mLastIndexes.put(number, 0L);
         if (!scan.hasHeader()) {
-            // Its creation was cut short, unless something had been synced in it.
+            // A crash interrupted the segment's creation, unless bytes of it are known to be
+            // synced.
             if (!isNewest || syncedEnd > 0) {
                 throw scan.corrupt("the segment's header is damaged", 0);
             }
@@ -86,20 +88,20 @@
         }
         int end = scan.readRecords(entry -> add(number, entry));
         if (isNewest) {
-            scan.assertNeverAcknowledged(end, syncedEnd);
-            mEnd = end;
-        } else if (!scan.isWhole(end)) {
+            scan.checkTailUnacknowledged(end, syncedEnd);
+            mNewestSegmentEnd = end;
+        } else if (!scan.endsAt(end)) {
             throw scan.corrupt("a record is damaged", end);
         }
     }
 
     /**
-     * A record replaces those at and after its index, as the persist effect that brought it did.
-     * What the snapshot stands for is not kept, not even until all has been read: a segment may
-     * hold a log's length of it.
+     * Adds an entry. It replaces all entries from its index on, as the persist effect that wrote it
+     * did. Entries that the snapshot covers are dropped right away, since one segment may hold as
+     * many of them as the whole rest of the log.
      */
     private void add(long segment, LogEntry entry) {
-        if (entry.index() > Math.max(mReadUpTo, mSnapshot.index()) + 1) {
+        if (entry.index() > Math.max(mLastReadIndex, mSnapshot.index()) + 1) {
             throw corrupt("entries before " + entry.index() + " are missing");
         }
         while (!mEntries.isEmpty() && mEntries.get(mEntries.size() - 1).index() >= entry.index()) {
@@ -108,7 +110,7 @@
         if (entry.index() > mSnapshot.index()) {
             mEntries.add(entry);
         }
-        mReadUpTo = entry.index();
+        mLastReadIndex = entry.index();
         mLastIndexes.merge(segment, entry.index(), Math::max);
     }
 
@@ -125,11 +127,11 @@
         }
     }
 
-    private LaurelweirException corrupt(String what) {
-        return new LaurelweirException(ResultCode.LOG_CORRUPT, mFiles.folder() + ": " + what);
+    private LaurelweirException corrupt(String reason) {
+        return new LaurelweirException(ResultCode.LOG_CORRUPT, mFiles.folder() + ": " + reason);
     }
 
-    /** Returns what was read, for the log. */
+    /** Returns a summary for the log output: number and size of the entries, and the snapshot. */
     @Override
     public String toString() {
         long bytes = mEntries.stream().mapToLong(e -> e.payload().length).sum();
@@ -137,10 +139,10 @@
     }
 
     Recovered recovered() {
-        return new Recovered(mHardState, mSnapshot, List.copyOf(mEntries), mCommitted);
+        return new Recovered(mHardState, mSnapshot, List.copyOf(mEntries), mCommitIndex);
     }
 
-    /** Returns the highest index in each segment, by the segments' numbers. */
+    /** Returns the highest index in each segment, by segment number. */
     TreeMap<Long, Long> lastIndexes() {
         return mLastIndexes;
     }
@@ -149,8 +151,11 @@
         return mFirstSegment;
     }
 
-    /** Returns where the newest segment's valid records end, or 0 if it must be created anew. */
-    long end() {
-        return mEnd;
+    /**
+     * Returns the offset at which the valid records of the newest segment end, or 0 if the segment
+     * must be created again.
+     */
+    long newestSegmentEnd() {
+        return mNewestSegmentEnd;
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogSize.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogSize.java
@@ -5,11 +5,11 @@
 import java.nio.file.Path;
 
 /**
- * What a data folder takes on the disk.
+ * The disk space that the log in a data folder uses.
  *
- * @param segments how many segments there are
- * @param segmentBytes their bytes together
- * @param snapshotBytes the bytes of the snapshot's file, 0 without one
+ * @param segments the number of segments
+ * @param segmentBytes the total size of the segments
+ * @param snapshotBytes the size of the snapshot file, 0 if there is none
  */
 record LogSize(int segments, long segmentBytes, long snapshotBytes) {
     static LogSize of(LogFiles files) throws IOException {
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogStorage.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogStorage.java
@@ -5,39 +5,42 @@
 import org.laurelweir.consensus.ConsensusEvent.Recovered;
 
 /**
- * Keeps one replica's term, vote, log and snapshot. Used by one thread at a time.
+ * Stores one replica's term, vote, log and snapshot. Used by one thread at a time.
  *
- * <p>Every method throws {@link org.laurelweir.errors.LaurelweirException}: {@code DISK_FAILED} if
- * the disk reported an error, after which every further call fails the same way.
+ * <p>Every method throws {@link org.laurelweir.errors.LaurelweirException} with {@code DISK_FAILED}
+ * if the disk reports an error. After that every further call fails the same way.
  */
 public interface LogStorage extends AutoCloseable {
-    /** Returns the id drawn when the storage was created, part of the replica's id. */
+    /**
+     * Returns the id that was generated when the storage was created. It is part of the replica's
+     * id.
+     */
     long storageId();
 
     /**
-     * Returns whether a log was set aside here since it was damaged: one that is empty then is not
-     * new, and others may lack what was in the damaged one.
+     * Returns whether this folder holds a damaged log that was set aside. If so, an empty log does
+     * not mean a new deployment: the damaged log may hold entries that no other replica has.
      */
-    default boolean isBesideDamagedLog() {
+    default boolean hasDamagedLog() {
         return false;
     }
 
-    /** Returns what the disk held when the storage was opened. */
+    /** Returns the state that the disk held when the storage was opened. */
     Recovered recovered();
 
     /**
-     * Carries out effects in order and syncs once at the end.
+     * Persists effects in order and syncs once at the end.
      *
      * @param effects in the order of their sequences; not empty
-     * @throws org.laurelweir.errors.LaurelweirException {@code DISK_FULL} if the disk refused a
-     *     write; nothing is promised of these effects then, and they may be given again, with
-     *     others behind them
+     * @throws org.laurelweir.errors.LaurelweirException {@code DISK_FULL} if the disk rejects a
+     *     write. None of these effects is guaranteed to be persisted then; they may be passed
+     *     again, followed by others
      */
     void persist(List<Persist> effects);
 
     /**
-     * Notes, without a sync, up to which entry the log is committed. What can't be noted is left
-     * out: a start is slower without it.
+     * Records, without a sync, the index up to which the log is committed. A failure to write it is
+     * ignored: without it the next start is slower.
      */
     void markCommitted(long index);
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
@@ -14,40 +14,44 @@
 import org.laurelweir.lib.Service;
 
 /**
- * Carries out persist effects on a thread of its own, so that the event loop never waits for the
- * disk. All effects waiting when a sync ends share the next. The callbacks run on that thread; the
- * shell turns them into events.
+ * Persists effects on its own thread, so that the event loop never waits for the disk. All effects
+ * that arrive during a sync share the next one. The callbacks run on the writer's thread; the
+ * program turns them into events.
  */
 public final class LogWriter implements Service {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    /** Between two tries; a disk that has room again is noticed well within an election. */
-    private static final Duration PAUSE = Duration.ofMillis(250);
+    /**
+     * Interval between two attempts to write to a full disk. It is well below the election timeout,
+     * so a disk with space again is used before the next election.
+     */
+    private static final Duration RETRY_INTERVAL = Duration.ofMillis(250);
 
     private final LogStorage mStorage;
-    private final LongConsumer mPersisted;
-    private final Consumer<Throwable> mFailed;
+    private final LongConsumer mOnPersisted;
+    private final Consumer<Throwable> mOnFailure;
     private final Thread mThread = new Thread(this::run, "log-writer");
-    private List<Persist> mWaiting = new ArrayList<>();
+    private List<Persist> mPending = new ArrayList<>();
 
-    /** The index to note, 0 where there is none. */
-    private long mCommitted;
+    /** The committed index to write, 0 if there is none. */
+    private long mCommitIndex;
 
     private boolean mStopping;
-    private final CountDownLatch mStopped = new CountDownLatch(1);
+    private final CountDownLatch mStopRequested = new CountDownLatch(1);
 
     /**
      * Creates a writer.
      *
-     * @param storage closed by its owner, after this has stopped
-     * @param persisted told of each sequence up to which all has been synced
-     * @param failed told once that the disk or the writer failed; nothing is persisted any more,
-     *     and the replica must stop
+     * @param storage closed by its owner after this writer has stopped
+     * @param persisted receives the sequence up to which all effects have been synced, once per
+     *     batch
+     * @param failed called once if the disk or the writer fails; no more effects are persisted
+     *     then, and the replica must stop
      */
     public LogWriter(LogStorage storage, LongConsumer persisted, Consumer<Throwable> failed) {
         mStorage = storage;
-        mPersisted = persisted;
-        mFailed = failed;
+        mOnPersisted = persisted;
+        mOnFailure = failed;
     }
 
     @Override
@@ -55,24 +59,24 @@
         mThread.start();
     }
 
-    /** Hands over one effect. Called by one thread, in the order of the sequences. */
+    /** Queues one effect. Must be called by one thread, in the order of the sequences. */
     public synchronized void persist(Persist effect) {
-        mWaiting.add(effect);
+        mPending.add(effect);
         notifyAll();
     }
 
     /**
-     * Notes up to which entry the log is committed, once nothing waits to be persisted; of several
-     * indexes only the last one is written.
+     * Queues the index up to which the log is committed. It is written when no effects are pending;
+     * of several indexes only the last one is written.
      */
     public synchronized void markCommitted(long index) {
-        mCommitted = index;
+        mCommitIndex = index;
         notifyAll();
     }
 
     /**
-     * Persists what has been handed over, as far as the disk takes it, then ends. The thread is not
-     * interrupted: that would close the file channel in the middle of a write.
+     * Persists the queued effects unless the disk rejects them, then ends the thread. The thread is
+     * not interrupted, because an interrupt would close the file channel in the middle of a write.
      */
     @Override
     public void stop() {
@@ -86,53 +90,54 @@
 
     private synchronized void requestStop() {
         mStopping = true;
-        mStopped.countDown();
+        mStopRequested.countDown();
         notifyAll();
     }
 
     private void run() {
         try {
-            Work work = take();
-            while (!work.isEmpty() && carryOut(work)) {
-                work = take();
+            Work work = takeWork();
+            while (!work.isEmpty() && execute(work)) {
+                work = takeWork();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException | Error e) {
-            // Ended by an error in silence, it would leave a replica that acknowledges nothing.
-            sLogger.atSevere().withCause(e).log("the log writer ended");
-            mFailed.accept(e);
+            // If the thread ended silently, the replica would go on running without acknowledging
+            // anything.
+            sLogger.atSevere().withCause(e).log("the log writer failed; the replica must stop");
+            mOnFailure.accept(e);
         }
     }
 
     /**
-     * Does a piece of work.
+     * Executes a unit of work.
      *
-     * @return whether it is done; if not nothing may be persisted behind it
+     * @return whether it is done; if not, nothing may be persisted after it
      */
-    private boolean carryOut(Work work) throws InterruptedException {
+    private boolean execute(Work work) throws InterruptedException {
         if (work.batch().isEmpty()) {
-            mStorage.markCommitted(work.committed());
+            mStorage.markCommitted(work.commitIndex());
             return true;
         }
-        if (!persist(work.batch())) {
+        if (!persistWithRetries(work.batch())) {
             return false;
         }
-        mPersisted.accept(work.batch().get(work.batch().size() - 1).sequence());
+        mOnPersisted.accept(work.batch().get(work.batch().size() - 1).sequence());
         return true;
     }
 
     /**
-     * Persists a batch, again and again while the disk takes no writes: the instance goes on
-     * serving what it knows, and neither votes nor acknowledges what is not on the disk.
+     * Persists a batch, and retries while the disk is full. Meanwhile the instance serves the state
+     * that it has; it neither votes nor acknowledges anything that is not on the disk.
      *
-     * @return whether it is persisted; if not, the writer has been stopped
+     * @return whether the batch is persisted; if not, the writer has been stopped
      */
-    private boolean persist(List<Persist> batch) throws InterruptedException {
-        for (int tries = 1; ; tries++) {
+    private boolean persistWithRetries(List<Persist> batch) throws InterruptedException {
+        for (int attempts = 1; ; attempts++) {
             try {
                 mStorage.persist(batch);
-                noteRoom(tries);
+                logRecovery(attempts);
                 return true;
             } catch (LaurelweirException e) {
                 if (e.getCode() != ResultCode.DISK_FULL) {
@@ -142,39 +147,42 @@
                         "the disk takes no writes, %d effects wait, tried again: %s",
                         batch.size(), e);
             }
-            if (mStopped.await(PAUSE.toMillis(), TimeUnit.MILLISECONDS)) {
+            if (mStopRequested.await(RETRY_INTERVAL.toMillis(), TimeUnit.MILLISECONDS)) {
                 return false;
             }
         }
     }
 
-    private static void noteRoom(int tries) {
-        if (tries > 1) {
-            sLogger.atInfo().log("the disk takes writes again, after %d tries", tries);
+    private static void logRecovery(int attempts) {
+        if (attempts > 1) {
+            sLogger.atInfo().log("the disk accepts writes again after %d attempts", attempts);
         }
     }
 
-    /** Waits for something to do and takes all effects, or else the mark; nothing once stopped. */
-    private synchronized Work take() throws InterruptedException {
-        while (mWaiting.isEmpty() && mCommitted == 0 && !mStopping) {
+    /**
+     * Waits for work. Returns all pending effects or, if there are none, the committed index;
+     * returns empty work after a stop.
+     */
+    private synchronized Work takeWork() throws InterruptedException {
+        while (mPending.isEmpty() && mCommitIndex == 0 && !mStopping) {
             wait();
         }
-        if (!mWaiting.isEmpty()) {
-            List<Persist> batch = mWaiting;
-            mWaiting = new ArrayList<>();
+        if (!mPending.isEmpty()) {
+            List<Persist> batch = mPending;
+            mPending = new ArrayList<>();
             return new Work(batch, 0);
         }
-        long committed = mCommitted;
-        mCommitted = 0;
-        return new Work(List.of(), committed);
+        long commitIndex = mCommitIndex;
+        mCommitIndex = 0;
+        return new Work(List.of(), commitIndex);
     }
 
     /**
-     * What the thread does next: effects to persist, or an index to note, or neither at the end.
+     * A unit of work: effects to persist, or a committed index to write, or neither after a stop.
      */
-    private record Work(List<Persist> batch, long committed) {
+    private record Work(List<Persist> batch, long commitIndex) {
         boolean isEmpty() {
-            return batch.isEmpty() && committed == 0;
+            return batch.isEmpty() && commitIndex == 0;
         }
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/MarkFile.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/MarkFile.java
@@ -9,8 +9,8 @@
 import java.util.zip.CRC32C;
 
 /**
- * A file of a few numbers that are overwritten in place. Written without a sync, it survives the
- * end of the process, and after a loss of power it holds an older content, or none.
+ * A file of a few numbers that are overwritten in place, with a checksum. It is written without a
+ * sync: it survives the end of the process, but after a power loss it may be outdated or damaged.
  */
 final class MarkFile implements AutoCloseable {
     private final FileChannel mChannel;
@@ -19,7 +19,11 @@
         mChannel = FileChannel.open(path, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     }
 
-    /** Returns what a file of so many numbers holds, or null if it is missing or damaged. */
+    /**
+     * Returns the numbers in a file, or null if the file is missing or damaged.
+     *
+     * @param count how many numbers the file holds
+     */
     static long[] read(Path path, int count) throws IOException {
         if (!Files.exists(path)) {
             return null;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/RecordCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/RecordCodec.java
@@ -5,21 +5,23 @@
 import org.laurelweir.consensus.LogEntry;
 
 /**
- * One log entry in a segment: the length of the body, CRC-32C over length and body, then the body:
- * start of the batch, index, term, kind, payload.
+ * Encodes a log entry as a record of a segment: the length of the body, a CRC-32C over the length
+ * and the body, then the body. The body holds the offset at which the record's batch starts, the
+ * entry's index, term and kind, and the payload.
  */
 final class RecordCodec {
-    /** Bytes before the body. */
+    /** Size of the length and the checksum, which precede the body. */
     private static final int HEADER_BYTES = 8;
 
+    /** Size of the body without the payload. */
     private static final int BODY_FIXED_BYTES = 25;
 
     private RecordCodec() {}
 
     /**
-     * A record read back.
+     * A decoded record.
      *
-     * @param batchStart where in the segment the batch began that it was written with
+     * @param batchStart the offset in the segment at which the record's batch starts
      * @param end the offset just after the record
      */
     record Decoded(LogEntry entry, int batchStart, int end) {}
@@ -38,7 +40,7 @@
         out.putInt(start + 4, checksum(out.array(), start, out.position()));
     }
 
-    /** Reads the record at an offset, or returns null if there is no valid one. */
+    /** Decodes the record at an offset. Returns null if there is no valid record. */
     static Decoded decode(byte[] segment, int offset) {
         if (segment.length - offset < HEADER_BYTES + BODY_FIXED_BYTES) {
             return null;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Segment.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/Segment.java
@@ -14,9 +14,12 @@
 import java.util.stream.Stream;
 import org.laurelweir.consensus.LogEntry;
 
-/** The segment that records are appended to. Its name holds its number, which rises by one. */
+/**
+ * The newest segment of the log, to which records are appended. A segment's file name holds its
+ * number; numbers increase by one.
+ */
 final class Segment implements AutoCloseable {
-    /** What a segment begins with. */
+    /** The first bytes of every segment. */
     static final byte[] HEADER = {'l', 'w', 'l', 'o', 'g', 0, 0, 1};
 
     private static final String PREFIX = "log-";
@@ -34,7 +37,9 @@
         mSize = channel.size();
     }
 
-    /** Creates an empty segment, in place of one whose creation was cut short. */
+    /**
+     * Creates an empty segment. It replaces a segment whose creation was interrupted by a crash.
+     */
     static Segment create(Path folder, long number, Disk disk) throws IOException {
         FileChannel channel =
                 FileChannel.open(
@@ -47,12 +52,12 @@
                 () -> {
                     disk.write(channel, ByteBuffer.wrap(HEADER));
                     disk.sync(channel);
-                    WholeFile.syncFolder(folder, disk);
+                    AtomicFile.syncFolder(folder, disk);
                     return new Segment(number, channel, disk);
                 });
     }
 
-    /** Opens a segment to append after an offset, and cuts off what follows. */
+    /** Opens a segment to append at an offset, and truncates the segment there. */
     static Segment open(Path folder, long number, long end, Disk disk) throws IOException {
         FileChannel channel = FileChannel.open(path(folder, number), StandardOpenOption.WRITE);
         return prepare(
@@ -65,7 +70,10 @@
                 });
     }
 
-    /** Makes a segment of a channel, or closes it: an opening may be tried many times. */
+    /**
+     * Runs a preparation and closes the channel if it fails. Opening may be retried many times, so
+     * channels must not leak.
+     */
     private static Segment prepare(FileChannel channel, Preparation preparation)
             throws IOException {
         try {
@@ -76,7 +84,7 @@
         }
     }
 
-    /** What is done with a channel before a segment can be appended to. */
+    /** Prepares a channel so that records can be appended to it. */
     @FunctionalInterface
     private interface Preparation {
         Segment run() throws IOException;
@@ -86,7 +94,7 @@
         return folder.resolve(PREFIX + String.format("%016x", number));
     }
 
-    /** Returns the numbers of all segments in a folder. */
+    /** Returns the numbers of all segments in a folder, in ascending order. */
     static SortedSet<Long> numbersIn(Path folder) throws IOException {
         SortedSet<Long> numbers = new TreeSet<>();
         try (Stream<Path> files = Files.list(folder)) {
@@ -97,7 +105,10 @@
         return numbers;
     }
 
-    /** Appends entries as one batch and syncs them, in place of one that was refused before. */
+    /**
+     * Appends entries as one batch and syncs them. Overwrites the remains of an earlier append that
+     * failed.
+     */
     void append(List<LogEntry> entries) throws IOException {
         int bytes = entries.stream().mapToInt(RecordCodec::sizeOf).sum();
         ByteBuffer out = ByteBuffer.allocate(bytes);
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SegmentScan.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SegmentScan.java
@@ -6,7 +6,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** Reads one segment's records and judges what is not valid. */
+/** Reads the records of one segment and classifies invalid bytes. */
 final class SegmentScan {
     private final String mName;
     private final byte[] mBytes;
@@ -16,7 +16,7 @@
         mBytes = bytes;
     }
 
-    /** Returns whether the segment begins as it should. */
+    /** Returns whether the segment starts with a valid header. */
     boolean hasHeader() {
         return mBytes.length >= Segment.HEADER.length
                 && Arrays.equals(
@@ -24,9 +24,10 @@
     }
 
     /**
-     * Reads the valid records from the start on.
+     * Reads records from the start of the segment up to the first invalid one.
      *
-     * @return the offset just after them
+     * @param entries receives the entries in order
+     * @return the offset just after the last valid record
      */
     int readRecords(Consumer<LogEntry> entries) {
         int offset = Segment.HEADER.length;
@@ -39,23 +40,27 @@
         return offset;
     }
 
-    boolean isWhole(int end) {
+    /** Returns whether an offset is the end of the segment. */
+    boolean endsAt(int end) {
         return end == mBytes.length;
     }
 
     /**
-     * Judges what follows the valid records of the newest segment. A write cut short by a crash
-     * leaves an invalid end that nobody was told of; it may go. Anything else that is invalid was
-     * acknowledged, and a replica without it could help a quorum to forget it; so the replica must
-     * not start. Two signs tell that it was acknowledged: it lies before the mark of what was
-     * synced, or a valid record of a later batch follows, since a batch begins only after the sync
-     * of the one before. Records of the same batch may follow: the disk writes blocks in any order.
+     * Checks the bytes that follow the valid records of the newest segment. A write that a crash
+     * interrupted leaves an invalid tail that was never acknowledged; the caller may remove it. Any
+     * other invalid bytes were acknowledged. A replica that lost an acknowledged entry could form a
+     * quorum that does not know the entry, so it must not start.
+     *
+     * <p>Either of two facts proves that the tail was acknowledged: it starts before the synced
+     * end, or a valid record of a later batch follows, since a batch is written only after the
+     * previous one is synced. Valid records of the same batch may follow, because the disk writes
+     * blocks in any order.
      *
      * @param end the offset just after the valid records
-     * @param syncedEnd all before it is known synced
-     * @throws LaurelweirException {@code LOG_CORRUPT} if the end was acknowledged
+     * @param syncedEnd all bytes before this offset are known to be synced
+     * @throws LaurelweirException {@code LOG_CORRUPT} if the tail was acknowledged
      */
-    void assertNeverAcknowledged(int end, long syncedEnd) {
+    void checkTailUnacknowledged(int end, long syncedEnd) {
         if (end < syncedEnd) {
             throw corrupt("a synced record is damaged or missing", end);
         }
@@ -67,8 +72,8 @@
         }
     }
 
-    LaurelweirException corrupt(String what, long offset) {
+    LaurelweirException corrupt(String reason, long offset) {
         return new LaurelweirException(
-                ResultCode.LOG_CORRUPT, mName + ": " + what + ", at byte " + offset);
+                ResultCode.LOG_CORRUPT, mName + ": " + reason + ", at byte " + offset);
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SnapshotCodec.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SnapshotCodec.java
@@ -7,17 +7,19 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** The content of the snapshot's file. */
+/** Encodes the content of the snapshot file. */
 final class SnapshotCodec {
+    /** Size of the content without the membership and the state. */
     private static final int FIXED_BYTES = 28;
 
     private SnapshotCodec() {}
 
     /**
-     * A snapshot and where the log goes on.
+     * A snapshot and the start of the log that follows it.
      *
-     * @param firstSegment the first segment that belongs to the log; those before it are void or
-     *     covered by the snapshot. Kept with the snapshot so that one renaming switches both
+     * @param firstSegment the first segment that belongs to the log; the snapshot covers or
+     *     replaces all segments before it. It is stored with the snapshot so that one rename
+     *     switches both
      */
     record Stored(Snapshot snapshot, long firstSegment) {}
 
@@ -43,7 +45,10 @@
             Membership membership = Membership.decode(members);
             return new Stored(new Snapshot(index, term, membership, state), firstSegment);
         } catch (BufferUnderflowException | IllegalArgumentException e) {
-            throw new LaurelweirException(ResultCode.SNAPSHOT_CORRUPT, "unreadable snapshot", e);
+            throw new LaurelweirException(
+                    ResultCode.SNAPSHOT_CORRUPT,
+                    "the content of the snapshot file can't be decoded",
+                    e);
         }
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SyncMark.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/SyncMark.java
@@ -5,18 +5,18 @@
 import java.nio.file.Path;
 
 /**
- * A file that tells up to where the log has been synced. It is written after each sync and not
- * synced itself, which would double the cost of each batch. So it may lag behind after a loss of
- * power, and it survives the end of the process; it never runs ahead.
+ * A file that records the position up to which the log is synced. It is written after each sync of
+ * the log and is not synced itself, since that would double the cost of each batch. It survives the
+ * end of the process. After a power loss it may lag behind the log; it is never ahead of it.
  */
 final class SyncMark implements AutoCloseable {
-    private static final int NUMBERS = 2;
+    private static final int VALUE_COUNT = 2;
 
     /**
-     * A place in the log.
+     * A position in the log.
      *
      * @param segment the segment's number
-     * @param offset all before it is synced
+     * @param offset all bytes of the segment before this offset are synced
      */
     record Position(long segment, long offset) {}
 
@@ -26,9 +26,9 @@
         mFile = new MarkFile(path);
     }
 
-    /** Returns what the file says, or null if it is missing or damaged. */
+    /** Returns the recorded position, or null if the file is missing or damaged. */
     static Position read(Path path) throws IOException {
-        long[] values = MarkFile.read(path, NUMBERS);
+        long[] values = MarkFile.read(path, VALUE_COUNT);
         return values == null ? null : new Position(values[0], values[1]);
     }
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/package-info.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The replicated log's files: segments of checksummed records, the term and vote, snapshots. What a
- * call has returned from is synced.
+ * The files of the replicated log: segments of checksummed records, the term and vote, and
+ * snapshots. All data that a storage call wrote is synced before the call returns, except for the
+ * commit mark.
  */
 package org.laurelweir.control.storage;
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/DamagedLogTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/DamagedLogTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.laurelweir.consensus.HardState;
 
-/** What a start finds and leaves where a log does not read back. */
+/** Tests a start with a damaged log. */
 class DamagedLogTest {
     private static final int SEGMENT_BYTES = 300;
     private static final long OLD_ID = 7;
@@ -22,19 +22,20 @@
 
     @TempDir Path mFolder;
 
-    private FileLogStorage begin(long newId) {
-        return FileLogStorage.openOrBeginAnew(mFolder, () -> newId, SEGMENT_BYTES, channel -> {});
+    private FileLogStorage openStorage(long newId) {
+        return FileLogStorage.openOrReplaceDamaged(
+                mFolder, () -> newId, SEGMENT_BYTES, channel -> {});
     }
 
     @BeforeEach
     void writeLog() {
-        PersistSequence sequence = new PersistSequence(5);
-        try (FileLogStorage storage = begin(OLD_ID)) {
-            storage.persist(List.of(sequence.discard()));
+        PersistGenerator generator = new PersistGenerator(5);
+        try (FileLogStorage storage = openStorage(OLD_ID)) {
+            storage.persist(List.of(generator.snapshotReplacingLog()));
             for (int i = 0; i < 10; i++) {
-                storage.persist(sequence.nextBatch());
+                storage.persist(generator.nextBatch());
             }
-            assertThat(storage.isBesideDamagedLog()).isFalse();
+            assertThat(storage.hasDamagedLog()).isFalse();
         }
     }
 
@@ -45,63 +46,64 @@
         Files.write(file, bytes);
     }
 
-    private static void assertBegunAnew(FileLogStorage storage) {
+    private static void assertNewEmptyLog(FileLogStorage storage) {
         assertThat(storage.storageId()).isEqualTo(NEW_ID);
-        assertThat(storage.isBesideDamagedLog()).isTrue();
+        assertThat(storage.hasDamagedLog()).isTrue();
         var recovered = storage.recovered();
         assertThat(recovered.hardState()).isEqualTo(HardState.INITIAL);
         assertThat(recovered.snapshot().index()).isZero();
         assertThat(recovered.entries()).isEmpty();
     }
 
-    // A process ended at each start, since its log or snapshot did not read back.
+    // Guards against a process that ends at each start because its log or snapshot is damaged.
     @ParameterizedTest
     @ValueSource(strings = {"snapshot", "hard-state", "identity", "sync-mark"})
-    void aLogThatDoesNotReadBackIsSetAside(String damaged) throws IOException {
+    void aDamagedLogIsSetAside(String damaged) throws IOException {
         damage(damaged);
-        try (FileLogStorage storage = begin(NEW_ID)) {
-            assertBegunAnew(storage);
+        try (FileLogStorage storage = openStorage(NEW_ID)) {
+            assertNewEmptyLog(storage);
         }
-        try (FileLogStorage storage = begin(NEW_ID + 1)) {
-            assertBegunAnew(storage);
+        try (FileLogStorage storage = openStorage(NEW_ID + 1)) {
+            assertNewEmptyLog(storage);
         }
         assertThat(mFolder.resolve("damaged").resolve(damaged)).exists();
     }
 
-    // A log that was set aside in part went on under the id that had voted, without its votes.
+    // Guards against a log that is only partly set aside, here without its votes, and then used
+    // under the storage id that cast them.
     @Test
-    void aLogThatWasSetAsideInPartNeverGoesOnUnderItsId() throws IOException {
+    void aPartlyMovedLogGetsANewStorageId() throws IOException {
         damage("snapshot");
         Path aside = Files.createDirectories(mFolder.resolve("damaged"));
         Files.move(mFolder.resolve("identity"), aside.resolve("identity"));
         Files.move(mFolder.resolve("hard-state"), aside.resolve("hard-state"));
-        try (FileLogStorage storage = begin(NEW_ID)) {
-            assertBegunAnew(storage);
+        try (FileLogStorage storage = openStorage(NEW_ID)) {
+            assertNewEmptyLog(storage);
         }
         assertThat(aside.resolve("hard-state")).exists();
         assertThat(aside.resolve("snapshot")).exists();
     }
 
-    // Each damage left another copy of a log on a small disk.
+    // Guards against a small disk that fills up with copies of damaged logs.
     @Test
     void onlyTheNewestDamagedLogIsKept() throws IOException {
         damage("snapshot");
-        begin(NEW_ID).close();
-        long files = filesAside();
+        openStorage(NEW_ID).close();
+        long files = countFilesSetAside();
         writeLogAgain();
         damage("snapshot");
-        begin(NEW_ID + 1).close();
-        assertThat(filesAside()).isLessThanOrEqualTo(files + 10);
+        openStorage(NEW_ID + 1).close();
+        assertThat(countFilesSetAside()).isLessThanOrEqualTo(files + 10);
         assertThat(mFolder.resolve("damaged").resolve("identity")).exists();
     }
 
     private void writeLogAgain() {
-        try (FileLogStorage storage = begin(NEW_ID)) {
-            storage.persist(List.of(new PersistSequence(6).discard()));
+        try (FileLogStorage storage = openStorage(NEW_ID)) {
+            storage.persist(List.of(new PersistGenerator(6).snapshotReplacingLog()));
         }
     }
 
-    private long filesAside() throws IOException {
+    private long countFilesSetAside() throws IOException {
         try (Stream<Path> files = Files.list(mFolder.resolve("damaged"))) {
             return files.count();
         }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FileLogStorageTest.java
@@ -22,7 +22,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** What a restart finds on disk, after ordinary ends, cut-off writes and damage. */
+/** Tests the state that a restart recovers after normal stops, interrupted writes and damage. */
 class FileLogStorageTest {
     private static final int SEGMENT_BYTES = 300;
     private static final int MAX_BATCHES = 12;
@@ -56,16 +56,16 @@
     }
 
     @Property(seed = "1", tries = 80, shrinking = ShrinkingMode.OFF)
-    void restartFindsWhatWasPersisted(@ForAll long seed, @ForAll @IntRange(max = 6) int restarts) {
-        PersistSequence sequence = new PersistSequence(seed);
+    void restartRecoversPersistedState(@ForAll long seed, @ForAll @IntRange(max = 6) int restarts) {
+        PersistGenerator generator = new PersistGenerator(seed);
         try (MemoryLogStorage expected = new MemoryLogStorage(7)) {
             for (int r = 0; r <= restarts; r++) {
                 try (FileLogStorage storage = open()) {
                     assertThat(storage.storageId()).isEqualTo(7);
-                    assertThat(PersistSequence.render(storage.recovered()))
-                            .isEqualTo(PersistSequence.render(expected.recovered()));
+                    assertThat(PersistGenerator.render(storage.recovered()))
+                            .isEqualTo(PersistGenerator.render(expected.recovered()));
                     for (int i = 0; i < 5; i++) {
-                        List<Persist> batch = sequence.nextBatch();
+                        List<Persist> batch = generator.nextBatch();
                         storage.persist(batch);
                         expected.persist(batch);
                     }
@@ -74,14 +74,13 @@
         }
     }
 
-    // Callers see: nothing is served for longer after a start. Order: the process notes what was
-    // committed and is killed; or the note is damaged by a loss of power. Why: the note is read
-    // where it is whole, and passed over where not.
+    // The commit mark shortens the time until a restarted instance serves. It must survive the kill
+    // of a process, and be ignored if a power loss damaged it.
     @Example
-    void keepsTheCommitMarkAcrossAKillAndPassesOverADamagedOne() throws IOException {
-        PersistSequence sequence = new PersistSequence(5);
+    void keepsTheCommitMarkAcrossRestartsAndIgnoresADamagedOne() throws IOException {
+        PersistGenerator generator = new PersistGenerator(5);
         try (FileLogStorage storage = open()) {
-            storage.persist(sequence.nextBatch());
+            storage.persist(generator.nextBatch());
             storage.markCommitted(3);
             storage.markCommitted(2);
         }
@@ -95,22 +94,22 @@
         }
     }
 
-    // A caller's accepted change stays; one not yet accepted may be gone. Order: a batch is synced
-    // and acknowledged; power fails while the next is written, so that only a part of it reaches
-    // the disk, with blocks missing at its end or in its middle. Why: the mark and the batches'
-    // starts tell the cut-off batch from those acknowledged.
+    // Guards against the loss of an acknowledged batch when the power fails during the next write.
+    // Only a part of that write reaches the disk, with blocks missing at the end or in the middle.
+    // The sync mark and the batch starts in the records tell the interrupted batch from
+    // acknowledged ones.
     @Property(seed = "2", tries = 100, shrinking = ShrinkingMode.OFF)
-    void cutsBackAWriteThatWasCutOff(
+    void truncatesAnInterruptedWrite(
             @ForAll long seed, @ForAll @IntRange(max = 999) int cut, @ForAll boolean hole)
             throws IOException {
-        PersistSequence sequence = new PersistSequence(seed);
+        PersistGenerator generator = new PersistGenerator(seed);
         Path markFile = mFolder.resolve("sync-mark");
         String acknowledged;
         byte[] markBefore;
         try (FileLogStorage storage = open()) {
-            acknowledged = persistSome(storage, sequence, seed);
+            acknowledged = persistBatches(storage, generator, seed);
             markBefore = Files.readAllBytes(markFile);
-            storage.persist(List.of(new Persist(99, null, null, false, sequence.append())));
+            storage.persist(List.of(new Persist(99, null, null, false, generator.nextEntries())));
         }
         Files.write(markFile, markBefore);
         SyncMark.Position mark = SyncMark.read(markFile);
@@ -121,22 +120,23 @@
         damage(segment, start + length * cut / 1000, hole);
 
         try (FileLogStorage storage = open()) {
-            assertThat(PersistSequence.render(storage.recovered())).startsWith(acknowledged);
+            assertThat(PersistGenerator.render(storage.recovered())).startsWith(acknowledged);
         }
     }
 
-    private static String persistSome(FileLogStorage storage, PersistSequence sequence, long seed) {
+    private static String persistBatches(
+            FileLogStorage storage, PersistGenerator generator, long seed) {
         try (MemoryLogStorage expected = new MemoryLogStorage(7)) {
             for (long i = Math.floorMod(seed, MAX_BATCHES); i >= 0; i--) {
-                List<Persist> batch = sequence.nextBatch();
+                List<Persist> batch = generator.nextBatch();
                 storage.persist(batch);
                 expected.persist(batch);
             }
-            return PersistSequence.render(expected.recovered());
+            return PersistGenerator.render(expected.recovered());
         }
     }
 
-    /** Cuts a file at an offset, or zeroes up to ten bytes there. */
+    /** Truncates a file at an offset, or zeroes up to ten bytes there. */
     private static void damage(Path file, int offset, boolean hole) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
         if (!hole) {
@@ -151,77 +151,76 @@
         return Segment.path(mFolder, Segment.numbersIn(mFolder).last());
     }
 
-    // The replica does not start, with LOG_CORRUPT.
-    // Order: records are acknowledged, the process ends; one byte of any segment changes on disk.
-    // Why: dropping an acknowledged record could take it from the quorum that holds it.
+    // Changes one byte of any segment after its records were acknowledged. The replica must not
+    // start: if it dropped an acknowledged record, the quorum that holds the record could be lost.
     @Property(seed = "3", tries = 100, shrinking = ShrinkingMode.OFF)
-    void refusesADamagedSegment(@ForAll long seed, @ForAll @IntRange(max = 9999) int where)
+    void rejectsADamagedSegment(@ForAll long seed, @ForAll @IntRange(max = 9999) int where)
             throws IOException {
         try (FileLogStorage storage = open()) {
-            persistSome(storage, new PersistSequence(seed), seed);
+            persistBatches(storage, new PersistGenerator(seed), seed);
         }
-        Path segment = anySegment(where);
-        flip(segment, where % (int) Files.size(segment));
+        Path segment = segmentAt(where);
+        flipBit(segment, where % (int) Files.size(segment));
         assertFails(ResultCode.LOG_CORRUPT, this::open);
     }
 
-    // The replica does not start, or nothing is missing: what was cut off had been replaced.
-    // Order and reason as above, but a segment has lost its end.
+    // Truncates any segment after its records were acknowledged. The replica must not start, unless
+    // later records had replaced all records that were cut off.
     @Property(seed = "4", tries = 100, shrinking = ShrinkingMode.OFF)
-    void refusesASegmentCutShort(@ForAll long seed, @ForAll @IntRange(max = 9999) int where)
+    void rejectsATruncatedSegment(@ForAll long seed, @ForAll @IntRange(max = 9999) int where)
             throws IOException {
         String acknowledged;
         try (FileLogStorage storage = open()) {
-            acknowledged = persistSome(storage, new PersistSequence(seed), seed);
+            acknowledged = persistBatches(storage, new PersistGenerator(seed), seed);
         }
-        Path segment = anySegment(where);
+        Path segment = segmentAt(where);
         damage(segment, where % (int) Files.size(segment), false);
         try (FileLogStorage storage = open()) {
             assertThat(segment).isNotEqualTo(newestSegment());
-            assertThat(PersistSequence.render(storage.recovered())).isEqualTo(acknowledged);
+            assertThat(PersistGenerator.render(storage.recovered())).isEqualTo(acknowledged);
         } catch (LaurelweirException e) {
             assertThat(e.getCode()).isEqualTo(ResultCode.LOG_CORRUPT);
         }
     }
 
-    private Path anySegment(int where) throws IOException {
+    private Path segmentAt(int where) throws IOException {
         List<Long> segments = List.copyOf(Segment.numbersIn(mFolder));
         return Segment.path(mFolder, segments.get(where % segments.size()));
     }
 
-    // The replica does not start, with LOG_CORRUPT, though the mark has been lost with the power.
-    // Order: two batches are acknowledged; a byte of the first one changes on disk.
-    // Why: the second batch was begun only after the first had been synced.
+    // Changes a byte of an acknowledged batch that another batch follows, and takes the sync mark
+    // back as a power loss may do. The replica must not start: the second batch proves that the
+    // first one was synced.
     @Property(seed = "5", tries = 100, shrinking = ShrinkingMode.OFF)
-    void refusesDamageBeforeALaterBatch(@ForAll @IntRange(max = 9999) int where)
+    void rejectsDamageBeforeALaterBatch(@ForAll @IntRange(max = 9999) int where)
             throws IOException {
-        PersistSequence sequence = new PersistSequence(where);
+        PersistGenerator generator = new PersistGenerator(where);
         Path mark = mFolder.resolve("sync-mark");
         byte[] markBefore;
         long end;
         try (FileLogStorage storage = open()) {
             markBefore = Files.readAllBytes(mark);
-            storage.persist(List.of(new Persist(1, null, null, false, sequence.append())));
+            storage.persist(List.of(new Persist(1, null, null, false, generator.nextEntries())));
             end = Files.size(newestSegment());
-            storage.persist(List.of(new Persist(2, null, null, false, sequence.append())));
+            storage.persist(List.of(new Persist(2, null, null, false, generator.nextEntries())));
         }
         Files.write(mark, markBefore);
-        flip(newestSegment(), 8 + where % (int) (end - 8));
+        flipBit(newestSegment(), 8 + where % (int) (end - 8));
         assertFails(ResultCode.LOG_CORRUPT, this::open);
     }
 
-    private static void flip(Path file, int offset) throws IOException {
+    private static void flipBit(Path file, int offset) throws IOException {
         byte[] bytes = Files.readAllBytes(file);
         bytes[offset] ^= 0x10;
         Files.write(file, bytes);
     }
 
-    // The replica does not start, with the code of the file that is damaged, cut or missing.
+    // The replica must not start if one of these files is damaged, truncated or missing.
     @Property(seed = "6", tries = 100, shrinking = ShrinkingMode.OFF)
-    void refusesOtherDamage(@ForAll @IntRange(max = 9999) int where, @ForAll boolean cutOff)
-            throws IOException {
+    void rejectsADamagedMetadataFile(
+            @ForAll @IntRange(max = 9999) int where, @ForAll boolean cutOff) throws IOException {
         try (FileLogStorage storage = open()) {
-            storage.persist(List.of(new PersistSequence(where).discard()));
+            storage.persist(List.of(new PersistGenerator(where).snapshotReplacingLog()));
         }
         String name = List.of("snapshot", "hard-state", "sync-mark", "identity").get(where % 4);
         Path file = mFolder.resolve(name);
@@ -230,7 +229,7 @@
         if (cutOff) {
             Files.write(file, Arrays.copyOf(bytes, offset));
         } else {
-            flip(file, offset);
+            flipBit(file, offset);
         }
         boolean isSnapshot = name.equals("snapshot");
         assertFails(isSnapshot ? ResultCode.SNAPSHOT_CORRUPT : ResultCode.LOG_CORRUPT, this::open);
@@ -238,13 +237,14 @@
         assertFails(ResultCode.LOG_CORRUPT, this::open);
     }
 
-    // The replica stops with DISK_FAILED at the failed sync, and nothing is acknowledged after it,
-    // though a further sync would report success: the system may have dropped the failed write.
+    // The replica must stop with DISK_FAILED at a failed sync and acknowledge nothing after it,
+    // even if the next sync reports success: the operating system may have dropped the failed
+    // write.
     @Example
     void neverRetriesAfterAFailedSync() {
         AtomicBoolean fails = new AtomicBoolean();
         Disk disk = channel -> failIf(fails.get());
-        List<Persist> batch = new PersistSequence(1).nextBatch();
+        List<Persist> batch = new PersistGenerator(1).nextBatch();
         try (FileLogStorage storage = FileLogStorage.open(mFolder, () -> 7, SEGMENT_BYTES, disk)) {
             fails.set(true);
             assertFails(ResultCode.DISK_FAILED, () -> storage.persist(batch));
@@ -260,7 +260,7 @@
     }
 
     @Example
-    void lendsAFolderToOneProcess() {
+    void locksTheFolderAgainstASecondOpen() {
         try (FileLogStorage storage = open()) {
             assertThat(storage.storageId()).isEqualTo(7);
             assertFails(ResultCode.BAD_SETTINGS_FILE, this::open);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FullDiskTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/FullDiskTest.java
@@ -21,15 +21,20 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** A log whose disk refuses writes for a while, after any part of what was to be written. */
+/**
+ * Tests a log whose disk rejects writes for a while, after any part of the bytes has been written.
+ */
 class FullDiskTest {
     private static final int SEGMENT_BYTES = 300;
     private static final int BATCHES = 12;
-    private static final int MOST_TRIES = 10_000;
+    private static final int MAX_TRIES = 10_000;
 
     private Path mFolder;
     private boolean mIsFull;
-    private int mOneInSo;
+
+    /** While the disk is full, one in this many writes fails on average. */
+    private int mWritesPerFailure;
+
     private SplittableRandom mRandom = new SplittableRandom(1);
 
     private final Disk mDisk =
@@ -39,7 +44,7 @@
 
                 @Override
                 public void write(FileChannel channel, ByteBuffer bytes) throws IOException {
-                    if (mIsFull && mRandom.nextInt(mOneInSo) == 0) {
+                    if (mIsFull && mRandom.nextInt(mWritesPerFailure) == 0) {
                         channel.write(bytes.slice().limit(mRandom.nextInt(bytes.remaining())));
                         throw new IOException("No space left on device");
                     }
@@ -71,7 +76,7 @@
         return FileLogStorage.open(mFolder, () -> 7, SEGMENT_BYTES, mDisk);
     }
 
-    private static boolean isTaken(FileLogStorage storage, List<Persist> batch) {
+    private static boolean tryPersist(FileLogStorage storage, List<Persist> batch) {
         try {
             storage.persist(batch);
             return true;
@@ -81,83 +86,84 @@
         }
     }
 
-    // What had been acknowledged was gone, or twice in the log, after a disk had refused a write.
+    // Guards against acknowledged entries that are lost or duplicated when a batch is retried after
+    // the disk rejected a write.
     @Property(seed = "11", tries = 150, shrinking = ShrinkingMode.OFF)
-    void whatIsTriedAgainIsInTheLogOnce(@ForAll long seed) {
-        PersistSequence sequence = new PersistSequence(seed);
+    void retriedBatchIsInTheLogOnce(@ForAll long seed) {
+        PersistGenerator generator = new PersistGenerator(seed);
         mRandom = new SplittableRandom(seed);
-        mOneInSo = 6;
+        mWritesPerFailure = 6;
         try (MemoryLogStorage expected = new MemoryLogStorage(7)) {
             try (FileLogStorage storage = open()) {
                 mIsFull = true;
                 for (int i = 0; i < BATCHES; i++) {
-                    List<Persist> batch = new ArrayList<>(sequence.nextBatch());
-                    if (!isTaken(storage, batch)) {
-                        batch.addAll(sequence.nextBatch());
+                    List<Persist> batch = new ArrayList<>(generator.nextBatch());
+                    if (!tryPersist(storage, batch)) {
+                        batch.addAll(generator.nextBatch());
                     }
                     int tries = 0;
-                    while (!isTaken(storage, batch)) {
-                        assertThat(++tries).isLessThan(MOST_TRIES);
+                    while (!tryPersist(storage, batch)) {
+                        assertThat(++tries).isLessThan(MAX_TRIES);
                     }
                     expected.persist(batch);
                 }
                 mIsFull = false;
             }
             try (FileLogStorage storage = open()) {
-                assertThat(PersistSequence.render(storage.recovered()))
-                        .isEqualTo(PersistSequence.render(expected.recovered()));
+                assertThat(PersistGenerator.render(storage.recovered()))
+                        .isEqualTo(PersistGenerator.render(expected.recovered()));
             }
         }
     }
 
-    // A start refused its own log, or lacked what was acknowledged, after a full disk had cut off a
-    // write.
+    // Guards against a start that rejects its log, or lacks acknowledged entries, after a full disk
+    // interrupted a write.
     @Property(seed = "12", tries = 150, shrinking = ShrinkingMode.OFF)
-    void aStartAfterARefusedWriteFindsWhatWasAcknowledged(@ForAll long seed) {
-        PersistSequence sequence = new PersistSequence(seed);
+    void restartAfterAFailedWriteRecoversAcknowledgedEntries(@ForAll long seed) {
+        PersistGenerator generator = new PersistGenerator(seed);
         mRandom = new SplittableRandom(seed);
-        mOneInSo = 1;
+        mWritesPerFailure = 1;
         String acknowledged;
         try (MemoryLogStorage expected = new MemoryLogStorage(7);
                 FileLogStorage storage = open()) {
             for (int i = 0; i < BATCHES; i++) {
-                List<Persist> batch = sequence.nextBatch();
+                List<Persist> batch = generator.nextBatch();
                 storage.persist(batch);
                 expected.persist(batch);
             }
-            acknowledged = PersistSequence.render(expected.recovered());
+            acknowledged = PersistGenerator.render(expected.recovered());
             mIsFull = true;
-            Persist refused = new Persist(99, null, null, false, sequence.append());
-            assertThat(isTaken(storage, List.of(refused))).isFalse();
-            assertThat(isTaken(storage, List.of(refused))).isFalse();
+            Persist rejected = new Persist(99, null, null, false, generator.nextEntries());
+            assertThat(tryPersist(storage, List.of(rejected))).isFalse();
+            assertThat(tryPersist(storage, List.of(rejected))).isFalse();
             mIsFull = false;
         }
         try (FileLogStorage storage = open()) {
-            assertThat(PersistSequence.render(storage.recovered())).startsWith(acknowledged);
+            assertThat(PersistGenerator.render(storage.recovered())).startsWith(acknowledged);
         }
     }
 
-    // Each try to write a snapshot left something on a disk that had no room for it.
+    // Guards against files that each failed attempt to write a snapshot leaves on a full disk.
     @Example
-    void triesThatAreRefusedTakeNoRoom() throws IOException {
-        PersistSequence sequence = new PersistSequence(3);
-        mOneInSo = 1;
+    void failedSnapshotWritesTakeNoDiskSpace() throws IOException {
+        PersistGenerator generator = new PersistGenerator(3);
+        mWritesPerFailure = 1;
         try (FileLogStorage storage = open()) {
-            storage.persist(List.of(sequence.discard()));
-            Persist snapshot = sequence.snapshotWithEntries();
+            storage.persist(List.of(generator.snapshotReplacingLog()));
+            Persist snapshot = generator.snapshotWithEntries();
             mIsFull = true;
-            assertThat(isTaken(storage, List.of(snapshot))).isFalse();
-            long before = bytes();
+            assertThat(tryPersist(storage, List.of(snapshot))).isFalse();
+            long before = folderBytes();
             for (int i = 0; i < 20; i++) {
-                assertThat(isTaken(storage, List.of(snapshot))).isFalse();
+                assertThat(tryPersist(storage, List.of(snapshot))).isFalse();
             }
-            assertThat(bytes()).isLessThanOrEqualTo(before + SEGMENT_BYTES);
+            assertThat(folderBytes()).isLessThanOrEqualTo(before + SEGMENT_BYTES);
             mIsFull = false;
-            assertThat(isTaken(storage, List.of(snapshot))).isTrue();
+            assertThat(tryPersist(storage, List.of(snapshot))).isTrue();
         }
     }
 
-    private long bytes() throws IOException {
+    private long folderBytes() throws IOException {
         long bytes = 0;
         for (Path f : files()) {
             bytes += Files.size(f);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/LogWriterTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/LogWriterTest.java
@@ -15,16 +15,16 @@
 import org.laurelweir.junit.Await;
 import org.laurelweir.lib.ResultCode;
 
-/** How the writer's thread batches, reports and fails. */
+/** Tests how the writer batches effects, reports progress and handles disk failures. */
 class LogWriterTest {
-    /** A storage whose first write waits to be let go, and which may fail. */
+    /** A storage whose writes wait for a latch, and which can be made to fail. */
     private static final class SlowStorage implements LogStorage {
-        private final CountDownLatch mEntered = new CountDownLatch(1);
-        private final CountDownLatch mLetGo = new CountDownLatch(1);
+        private final CountDownLatch mPersistCalled = new CountDownLatch(1);
+        private final CountDownLatch mMayProceed = new CountDownLatch(1);
         private final List<Integer> mBatches = new ArrayList<>();
-        private final List<Long> mMarks = new ArrayList<>();
+        private final List<Long> mCommitIndexes = new ArrayList<>();
         private boolean mFails;
-        private int mRefusals;
+        private int mRemainingFailures;
 
         @Override
         public long storageId() {
@@ -38,13 +38,13 @@
 
         @Override
         public void persist(List<Persist> effects) {
-            mEntered.countDown();
-            await(mLetGo);
+            mPersistCalled.countDown();
+            await(mMayProceed);
             if (mFails) {
                 throw new LaurelweirException(ResultCode.DISK_FAILED, "no space");
             }
-            if (mRefusals > 0) {
-                mRefusals--;
+            if (mRemainingFailures > 0) {
+                mRemainingFailures--;
                 throw new LaurelweirException(ResultCode.DISK_FULL, "no space");
             }
             mBatches.add(effects.size());
@@ -52,7 +52,7 @@
 
         @Override
         public void markCommitted(long index) {
-            mMarks.add(index);
+            mCommitIndexes.add(index);
         }
 
         @Override
@@ -72,42 +72,42 @@
     }
 
     @Test
-    void effectsThatComeDuringASyncShareTheNext() {
+    void effectsQueuedDuringASyncShareTheNextSync() {
         SlowStorage storage = new SlowStorage();
         List<Long> persisted = new ArrayList<>();
         LogWriter writer = new LogWriter(storage, persisted::add, e -> {});
         writer.start();
         writer.persist(effect(1));
-        await(storage.mEntered);
+        await(storage.mPersistCalled);
         for (long sequence = 2; sequence <= 5; sequence++) {
             writer.persist(effect(sequence));
         }
-        storage.mLetGo.countDown();
+        storage.mMayProceed.countDown();
         writer.stop();
         assertThat(storage.mBatches).containsExactly(1, 4);
         assertThat(persisted).containsExactly(1L, 5L);
     }
 
     @Test
-    void notesTheLastCommittedIndexBehindWhatIsToBePersisted() {
+    void writesOnlyTheLastCommitIndexAfterPendingEffects() {
         SlowStorage storage = new SlowStorage();
         LogWriter writer = new LogWriter(storage, sequence -> {}, e -> {});
         writer.start();
         writer.persist(effect(1));
-        await(storage.mEntered);
+        await(storage.mPersistCalled);
         writer.markCommitted(3);
         writer.markCommitted(4);
         writer.persist(effect(2));
-        storage.mLetGo.countDown();
+        storage.mMayProceed.countDown();
         writer.stop();
         assertThat(storage.mBatches).containsExactly(1, 1);
-        assertThat(storage.mMarks).containsExactly(4L);
+        assertThat(storage.mCommitIndexes).containsExactly(4L);
     }
 
-    // Nothing is reported as persisted once the disk has failed; the shell is told and must stop.
-    // Order: a write fails, another one waits behind it. Why: the thread ends at the failure.
+    // Guards against effects that are reported as persisted after the disk has failed: one write
+    // fails while another one is pending. The writer's thread must end and report the failure.
     @Test
-    void endsAtTheFirstFailure() throws Exception {
+    void stopsAtTheFirstDiskFailure() throws Exception {
         SlowStorage storage = new SlowStorage();
         storage.mFails = true;
         LinkedBlockingQueue<Long> persisted = new LinkedBlockingQueue<>();
@@ -115,9 +115,9 @@
         LogWriter writer = new LogWriter(storage, persisted::add, failed::complete);
         writer.start();
         writer.persist(effect(1));
-        await(storage.mEntered);
+        await(storage.mPersistCalled);
         writer.persist(effect(2));
-        storage.mLetGo.countDown();
+        storage.mMayProceed.countDown();
         assertThat(failed.get(60, TimeUnit.SECONDS))
                 .isInstanceOfSatisfying(
                         LaurelweirException.class,
@@ -126,16 +126,17 @@
         assertThat(persisted).isEmpty();
     }
 
-    // A control instance ended, beside a router that served, when its disk was full for a moment.
+    // Guards against a control instance that ends because its disk is full for a moment, although
+    // the router on the same instance is serving.
     @Test
-    void waitsForADiskThatIsFull() {
+    void retriesWhileDiskIsFull() {
         SlowStorage storage = new SlowStorage();
-        storage.mRefusals = 3;
+        storage.mRemainingFailures = 3;
         LinkedBlockingQueue<Long> persisted = new LinkedBlockingQueue<>();
         CompletableFuture<Throwable> failed = new CompletableFuture<>();
         LogWriter writer = new LogWriter(storage, persisted::add, failed::complete);
         writer.start();
-        storage.mLetGo.countDown();
+        storage.mMayProceed.countDown();
         writer.persist(effect(1));
         Await.until("the effect is persisted", () -> !persisted.isEmpty());
         writer.persist(effect(2));
@@ -145,18 +146,19 @@
         assertThat(storage.mBatches).containsExactly(1, 1);
     }
 
-    // An effect that waited behind one that was given up would leave a hole in the log.
+    // Guards against a gap in the log: while the disk rejects one effect and the writer is stopped,
+    // later effects must not be persisted.
     @Test
-    void persistsNothingBehindWhatAFullDiskRefusedUntilTheStop() {
+    void skipsLaterEffectsWhenStoppedWhileDiskIsFull() {
         SlowStorage storage = new SlowStorage();
-        storage.mRefusals = Integer.MAX_VALUE;
+        storage.mRemainingFailures = Integer.MAX_VALUE;
         LinkedBlockingQueue<Long> persisted = new LinkedBlockingQueue<>();
         LogWriter writer = new LogWriter(storage, persisted::add, e -> {});
         writer.start();
         writer.persist(effect(1));
-        await(storage.mEntered);
+        await(storage.mPersistCalled);
         writer.persist(effect(2));
-        storage.mLetGo.countDown();
+        storage.mMayProceed.countDown();
         writer.stop();
         assertThat(persisted).isEmpty();
         assertThat(storage.mBatches).isEmpty();
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/MemoryLogStorage.java
@@ -8,15 +8,15 @@
 import org.laurelweir.consensus.LogEntry;
 import org.laurelweir.consensus.Snapshot;
 
-/** Keeps the log in memory; what the file storage is compared with. */
+/** Stores the log in memory. Tests compare the file storage with it. */
 public final class MemoryLogStorage implements LogStorage {
     private final long mStorageId;
     private final List<LogEntry> mEntries = new ArrayList<>();
     private HardState mHardState = HardState.INITIAL;
     private Snapshot mSnapshot = Snapshot.NONE;
-    private long mCommitted;
+    private long mCommitIndex;
 
-    /** Creates an empty storage. */
+    /** Creates an empty storage that reports the given id. */
     public MemoryLogStorage(long storageId) {
         mStorageId = storageId;
     }
@@ -28,7 +28,7 @@
 
     @Override
     public Recovered recovered() {
-        return new Recovered(mHardState, mSnapshot, List.copyOf(mEntries), mCommitted);
+        return new Recovered(mHardState, mSnapshot, List.copyOf(mEntries), mCommitIndex);
     }
 
     @Override
@@ -56,7 +56,7 @@
 
     @Override
     public void markCommitted(long index) {
-        mCommitted = index;
+        mCommitIndex = index;
     }
 
     @Override
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/PersistSequence.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/PersistGenerator.java
@@ -12,15 +12,15 @@
 import org.laurelweir.consensus.ReplicaId;
 import org.laurelweir.consensus.Snapshot;
 
-/** Makes effects such as a reducer may emit, from a seed. */
-final class PersistSequence {
+/** Generates persist effects as a consensus reducer emits them, from a seed. */
+final class PersistGenerator {
     private final SplittableRandom mRandom;
     private long mSequence;
     private long mTerm;
-    private long mLast;
+    private long mLastIndex;
     private long mSnapshotIndex;
 
-    PersistSequence(long seed) {
+    PersistGenerator(long seed) {
         mRandom = new SplittableRandom(seed);
     }
 
@@ -35,15 +35,16 @@
 
     private Persist next() {
         return switch (mRandom.nextInt(10)) {
-            case 0 -> new Persist(++mSequence, newTerm(), null, false, replace());
+            case 0 -> new Persist(++mSequence, newTerm(), null, false, replacementEntries());
             case 1 -> snapshotWithEntries();
-            case 2 -> discard();
-            default -> new Persist(++mSequence, null, null, false, append());
+            case 2 -> snapshotReplacingLog();
+            default -> new Persist(++mSequence, null, null, false, nextEntries());
         };
     }
 
+    /** Returns an effect with a snapshot of the log so far and entries after it. */
     Persist snapshotWithEntries() {
-        return new Persist(++mSequence, null, snapshot(mLast), false, append());
+        return new Persist(++mSequence, null, snapshot(mLastIndex), false, nextEntries());
     }
 
     private HardState newTerm() {
@@ -52,26 +53,30 @@
         return new HardState(mTerm, voted ? new ReplicaId("b", mTerm) : null);
     }
 
-    /** Replaces some entries after the snapshot, as a new leader may. */
-    private List<LogEntry> replace() {
-        mLast -= mRandom.nextLong(mLast - mSnapshotIndex + 1);
-        return append();
+    /**
+     * Returns entries that replace some of those after the snapshot, as a new leader may send them.
+     */
+    private List<LogEntry> replacementEntries() {
+        mLastIndex -= mRandom.nextLong(mLastIndex - mSnapshotIndex + 1);
+        return nextEntries();
     }
 
-    List<LogEntry> append() {
+    /** Returns one to four entries that follow the last one. */
+    List<LogEntry> nextEntries() {
         List<LogEntry> entries = new ArrayList<>();
         for (int i = mRandom.nextInt(4); i >= 0; i--) {
             byte[] payload = new byte[mRandom.nextInt(20)];
             Arrays.fill(payload, (byte) mRandom.nextInt());
-            entries.add(new LogEntry(++mLast, mTerm, LogEntry.Kind.COMMAND, payload));
+            entries.add(new LogEntry(++mLastIndex, mTerm, LogEntry.Kind.COMMAND, payload));
         }
         return entries;
     }
 
-    Persist discard() {
-        mLast += mRandom.nextInt(5) + 1;
-        Snapshot snapshot = snapshot(mLast);
-        return new Persist(++mSequence, newTerm(), snapshot, true, append());
+    /** Returns an effect whose snapshot replaces the whole log, with entries after it. */
+    Persist snapshotReplacingLog() {
+        mLastIndex += mRandom.nextInt(5) + 1;
+        Snapshot snapshot = snapshot(mLastIndex);
+        return new Persist(++mSequence, newTerm(), snapshot, true, nextEntries());
     }
 
     private Snapshot snapshot(long index) {
@@ -81,7 +86,7 @@
         return new Snapshot(index, mTerm, members, state);
     }
 
-    /** Renders what a storage holds, payloads included, to compare by. */
+    /** Renders a recovered state, payloads included, for comparison. */
     static String render(Recovered r) {
         StringBuilder out = new StringBuilder();
         out.append(r.hardState()).append(' ').append(r.snapshot());
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/PatientOpeningTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/storage/StorageOpenerTest.java
@@ -13,13 +13,13 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** A start on a disk that takes no writes. */
-class PatientOpeningTest {
+/** Tests starts on a disk that rejects writes. */
+class StorageOpenerTest {
     @TempDir Path mFolder;
 
     private Instant mNow = Instant.EPOCH;
     private int mTries;
-    private final PatientOpening mOpening = new PatientOpening(() -> mNow, this::sleep);
+    private final StorageOpener mOpener = new StorageOpener(() -> mNow, this::sleep);
 
     private void sleep(Duration time) {
         mNow = mNow.plus(time);
@@ -30,18 +30,18 @@
         throw new LaurelweirException(code, "no space left");
     }
 
-    // Operators see: a control instance that ends with status 52 each second. Order: its disk is
-    // full, the process ends once and is started again, and seconds later the disk has room. Why:
-    // the start waits for the disk; what had been synced before is there.
+    // Guards against a control instance that ends with status 52 each second while its disk is
+    // full. The start must wait until the disk has space, and then recover all data that was synced
+    // before.
     @Test
-    void aStartWaitsForADiskThatIsFull() {
-        PersistSequence sequence = new PersistSequence(5);
+    void retriesWhileDiskIsFull() {
+        PersistGenerator generator = new PersistGenerator(5);
         String before;
-        try (LogStorage storage = storage(channel -> {})) {
-            storage.persist(sequence.nextBatch());
+        try (LogStorage storage = openFileStorage(channel -> {})) {
+            storage.persist(generator.nextBatch());
         }
-        try (LogStorage storage = storage(channel -> {})) {
-            before = PersistSequence.render(storage.recovered());
+        try (LogStorage storage = openFileStorage(channel -> {})) {
+            before = PersistGenerator.render(storage.recovered());
         }
         AtomicInteger failures = new AtomicInteger();
         Disk full =
@@ -50,27 +50,27 @@
                         throw new IOException("no space left");
                     }
                 };
-        try (LogStorage storage = mOpening.open(() -> storage(full))) {
-            assertThat(PersistSequence.render(storage.recovered())).isEqualTo(before);
+        try (LogStorage storage = mOpener.open(() -> openFileStorage(full))) {
+            assertThat(PersistGenerator.render(storage.recovered())).isEqualTo(before);
         }
         assertThat(failures.get()).isGreaterThan(12);
     }
 
-    private LogStorage storage(Disk disk) {
+    private LogStorage openFileStorage(Disk disk) {
         return FileLogStorage.open(mFolder, () -> 7, 300, disk);
     }
 
     @Test
-    void aDiskThatStaysFullEndsTheProcessAfterAMinute() {
-        assertThatThrownBy(() -> mOpening.open(() -> fail(ResultCode.DISK_FAILED)))
+    void failsAfterAMinuteOfFullDisk() {
+        assertThatThrownBy(() -> mOpener.open(() -> fail(ResultCode.DISK_FAILED)))
                 .hasMessageContaining("no space left");
         assertThat(mTries).isGreaterThan(200);
         assertThat(mNow).isBefore(Instant.EPOCH.plusSeconds(62));
     }
 
     @Test
-    void aDamagedLogIsNotTriedAgain() {
-        assertThatThrownBy(() -> mOpening.open(() -> fail(ResultCode.LOG_CORRUPT)))
+    void doesNotRetryADamagedLog() {
+        assertThatThrownBy(() -> mOpener.open(() -> fail(ResultCode.LOG_CORRUPT)))
                 .hasMessageContaining("no space left");
         assertThat(mTries).isEqualTo(1);
     }
