--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -14,19 +14,19 @@
 import org.laurelweir.runtime.log.DecisionLog;
 import org.laurelweir.runtime.process.Program;
 
-/** Carries out the reducer's effects, on its thread; nothing here blocks. */
+/** Executes the reducer's effects on the reducer's thread. Nothing here blocks. */
 final class ControlEffects implements Consumer<ControlEffect> {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
     private final PendingCalls mCalls;
     private final PeerCalls mPeers;
-    private final LogWriter mLog;
+    private final LogWriter mLogWriter;
     private final LogCodec mCodec;
     private final Executor mBackground;
     private final Consumer<ControlEvent> mEvents;
     private final ControlMetrics mMetrics;
-    private final CompletableFuture<Void> mHandedOver = new CompletableFuture<>();
-    private volatile boolean mWritten;
+    private final CompletableFuture<Void> mLeadershipTransferEnded = new CompletableFuture<>();
+    private volatile boolean mHasWritten;
 
     ControlEffects(
             PendingCalls calls,
@@ -38,54 +38,57 @@
             ControlMetrics metrics) {
         mCalls = calls;
         mPeers = peers;
-        mLog = log;
+        mLogWriter = log;
         mCodec = codec;
         mBackground = background;
         mEvents = events;
         mMetrics = metrics;
     }
 
-    /** Returns whether anything has been given to the disk since the start. */
+    /** Returns whether any effect has been passed to the log writer since the start. */
     boolean hasWritten() {
-        return mWritten;
+        return mHasWritten;
     }
 
-    /** Ends once this instance need not be waited for as a leader; only after it was asked to. */
-    CompletableFuture<Void> handedOver() {
-        return mHandedOver;
+    /**
+     * Returns a future that completes when a requested leadership transfer has ended, or none was
+     * needed. Only meaningful after the transfer was requested.
+     */
+    CompletableFuture<Void> leadershipTransferEnded() {
+        return mLeadershipTransferEnded;
     }
 
     @Override
     public void accept(ControlEffect e) {
         if (e instanceof ControlEffect.Answer a) {
-            mMetrics.answered(a);
+            mMetrics.onAnswer(a);
             mCalls.answer(a);
         } else if (e instanceof ControlEffect.Persist p) {
-            mWritten = true;
-            mLog.persist(p.persist());
+            mHasWritten = true;
+            mLogWriter.persist(p.persist());
         } else if (e instanceof ControlEffect.MarkCommitted m) {
-            mLog.markCommitted(m.index());
+            mLogWriter.markCommitted(m.index());
         } else if (e instanceof ControlEffect.SendToReplica s) {
             mPeers.send(s.send());
         } else if (e instanceof ControlEffect.RequestPeerUpdate a) {
-            mPeers.ask(a);
+            mPeers.requestUpdate(a);
         } else if (e instanceof ControlEffect.AnnounceToPeers a) {
             mPeers.announce(a);
         } else if (e instanceof ControlEffect.EncodeSnapshot s) {
             mBackground.execute(() -> encode(s));
         } else if (e instanceof ControlEffect.ReportStatus r) {
-            mMetrics.reported(r);
+            mMetrics.onReport(r);
         } else if (e instanceof ControlEffect.LeadershipTransferEnded) {
-            mHandedOver.complete(null);
+            mLeadershipTransferEnded.complete(null);
         } else if (e instanceof ControlEffect.LogDecision d) {
             DecisionLog.write(d.decision());
         }
     }
 
     /**
-     * Off the reducer's thread: a large state would keep heartbeats waiting. The executor would
-     * keep a failure to itself, and the log would grow without another snapshot until the heap is
-     * full.
+     * Encodes a snapshot on the background executor, since encoding a large state would delay
+     * heartbeats. The executor does not report failures, and without snapshots the log would grow
+     * until the heap is full, so a failure ends the process.
      */
     private void encode(ControlEffect.EncodeSnapshot s) {
         try {
@@ -93,7 +96,7 @@
             sLogger.atInfo().log("snapshot at %d taken: %d B", s.index(), state.length);
             mEvents.accept(new ControlEvent.ReplicaEvent(new SnapshotTaken(s.index(), state)));
         } catch (RuntimeException | Error e) {
-            Program.fail("the state can't be encoded", e);
+            Program.fail("the state can't be encoded for a snapshot", e);
         }
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlFile.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlFile.java
@@ -17,27 +17,28 @@
  * A control instance's own settings file.
  *
  * @param name unique in the deployment
- * @param region where it stands
- * @param dataCentre where it stands
- * @param listen where routers, sidecars, operators and peers reach it; with port 0 the operating
- *     system chooses, which is of use to an instance without peers only
- * @param portFile where to write the port
- * @param metricsListen where metrics, health and readiness are served
- * @param metricsPortFile where to write their port
- * @param peers every control instance by name; this one may be left out
- * @param seeds control instances through which an open deployment finds the others; then there are
- *     no peers, and this instance's name is where it listens
- * @param seedPort the port on which seeds are reached, 0 for that of each seed's own address
- * @param mayFound whether this is the first start of the whole deployment, in which a core may be
- *     made of empty disks
- * @param dataFolder where the log is kept; an instance with seeds may do without one, and then
- *     never votes and learns all anew at each start
- * @param bootstrapSettings a tree file, applied as the first change of an empty log
- * @param electionTimeout silence after which a leader is given up; the same on every instance
- * @param exchangeInterval how often sidecars and routers are asked to exchange
- * @param vanishAfter silence after which a sidecar counts as gone
- * @param threads event loops for connections
- * @param log how to log
+ * @param region the region of the instance
+ * @param dataCentre the data centre of the instance
+ * @param listen the address for routers, sidecars, operators and peers; with port 0 the operating
+ *     system chooses the port, which is useful only for an instance without peers
+ * @param portFile the file to write the port to
+ * @param metricsListen the address that serves metrics, health and readiness
+ * @param metricsPortFile the file to write the metrics port to
+ * @param peers the addresses of all control instances by name; this instance may be omitted
+ * @param seeds control instances through which the instances of a deployment with automatic joining
+ *     find each other; if set, there are no peers, and this instance's name is its address
+ * @param seedPort the port of all seeds, 0 to use the port of each seed's address
+ * @param mayFound whether this is the first start of the whole deployment, in which instances with
+ *     empty disks may bootstrap the log
+ * @param dataFolder the folder of the log; an instance with seeds may omit it, and then never votes
+ *     and receives the whole log again after each start
+ * @param bootstrapSettings a tree file that is applied as the first change of an empty log
+ * @param electionTimeout time without a message from the leader after which a new leader is
+ *     elected; the same on every instance
+ * @param exchangeInterval the interval at which sidecars and routers are asked to exchange
+ * @param vanishAfter time without an exchange after which a sidecar counts as departed
+ * @param threads the number of event loops for connections
+ * @param log the log settings
  */
 @ProgramName("control")
 public record ControlFile(
@@ -59,12 +60,15 @@
         @Default("3s") @Range(min = "500ms", max = "1m") Duration vanishAfter,
         @Default("2") @Range(min = "1", max = "64") int threads,
         LogSettings log) {
-    /** Returns whether control instances join by themselves. */
-    boolean isOpen() {
+    /** Returns whether control instances join automatically, which they do if there are seeds. */
+    boolean isAutoJoin() {
         return !seeds.isEmpty();
     }
 
-    /** Returns the other instances that the file names, by name. */
+    /**
+     * Returns the addresses of the other instances in the file, by name. A seed's name is its
+     * address.
+     */
     Map<String, String> others() {
         Map<String, String> others = new TreeMap<>();
         peers.forEach((name, e) -> others.put(name, e.toString()));
@@ -76,8 +80,10 @@
         return others;
     }
 
-    /** Returns whether this instance may make the first core: in an open deployment a seed must. */
-    boolean isFounder() {
-        return mayFound && (!isOpen() || others().size() < seeds.size());
+    /**
+     * Returns whether this instance may bootstrap the log. With automatic joining only a seed may.
+     */
+    boolean mayBootstrap() {
+        return mayFound && (!isAutoJoin() || others().size() < seeds.size());
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlMetrics.java
@@ -13,12 +13,12 @@
 import org.laurelweir.coordination.ControlEffect.ReportStatus;
 import org.laurelweir.runtime.metrics.Readiness;
 
-/** What a control instance shows of itself. */
+/** The metrics and the readiness of a control instance. */
 final class ControlMetrics implements Readiness {
     private final Meter mExchanges;
     private final Meter mCommands;
     private final Meter mRefusals;
-    private volatile ReportStatus mLast;
+    private volatile ReportStatus mLastReport;
 
     ControlMetrics(MetricRegistry registry) {
         mExchanges = registry.meter("control.exchanges");
@@ -43,21 +43,21 @@
                 name,
                 (Gauge<Long>)
                         () -> {
-                            ReportStatus r = mLast;
+                            ReportStatus r = mLastReport;
                             return r == null ? 0 : value.applyAsLong(r);
                         });
     }
 
-    /** Returns where the other control instances are reached; nothing before the first report. */
+    /** Returns the addresses of the other control instances, or empty before the first report. */
     Optional<Collection<String>> peers() {
-        return Optional.ofNullable(mLast).map(ReportStatus::peers);
+        return Optional.ofNullable(mLastReport).map(ReportStatus::peers);
     }
 
-    void reported(ReportStatus report) {
-        mLast = report;
+    void onReport(ReportStatus report) {
+        mLastReport = report;
     }
 
-    void answered(Answer answer) {
+    void onAnswer(Answer answer) {
         if (answer instanceof AnswerExchange) {
             mExchanges.mark();
         } else if (answer instanceof AnswerCommand) {
@@ -69,7 +69,7 @@
 
     @Override
     public Optional<String> notReadyReason() {
-        ReportStatus r = mLast;
+        ReportStatus r = mLastReport;
         if (r == null) {
             return Optional.of("starting");
         }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -21,8 +21,8 @@
 import org.laurelweir.consensus.ConsensusEvent.Persisted;
 import org.laurelweir.consensus.ConsensusEvent.Recovered;
 import org.laurelweir.consensus.ReplicaId;
-import org.laurelweir.control.replica.FirstMembership;
-import org.laurelweir.control.replica.FirstSettings;
+import org.laurelweir.control.replica.MembershipBootstrap;
+import org.laurelweir.control.replica.SettingsBootstrap;
 import org.laurelweir.control.rpc.ControlGateway;
 import org.laurelweir.control.rpc.ControlRpc;
 import org.laurelweir.control.rpc.PeerCalls;
@@ -58,12 +58,12 @@
 import org.laurelweir.runtime.rpc.TrafficCounters;
 import org.laurelweir.wire.CommandCodec;
 
-/** A control instance: the reducer with its disk, its servers and its connections. */
+/** A control instance: connects the reducer to its storage, its servers and its peers. */
 public final class ControlProgram implements Service {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration GRACE = Duration.ofMillis(500);
-    private static final Duration HAND_OVER = Duration.ofSeconds(2);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration SHUTDOWN_GRACE = Duration.ofMillis(500);
+    private static final Duration LEADERSHIP_TRANSFER_TIMEOUT = Duration.ofSeconds(2);
     private static final int HEARTBEATS_PER_ELECTION = 6;
 
     private final ControlFile mFile;
@@ -79,11 +79,11 @@
     private final EventLoops mLoops;
     private final Channels mChannels;
     private final TrafficCounters mTraffic = new TrafficCounters(mRegistry);
-    // Calls may arrive as soon as the server listens; they wait the moment until the loop runs.
+    // Calls may arrive as soon as the server listens. They wait until the loop runs.
     private final CompletableFuture<ReducerLoop<ControlEvent, ControlEffect>> mLoop =
             new CompletableFuture<>();
     private LogStorage mStorage;
-    private LogWriter mLog;
+    private LogWriter mLogWriter;
     private RpcServer mServer;
     private ControlEffects mEffects;
     private MetricsServer mMetricsServer;
@@ -91,11 +91,11 @@
     private boolean mRecoveredEmpty;
 
     /**
-     * Creates an instance that has not started.
+     * Creates an instance that is not started.
      *
-     * @param file its settings
-     * @param clock tells the time
-     * @param console takes the line that says where it listens
+     * @param file the instance's settings
+     * @param clock tells the current time
+     * @param console receives the line with the address on which the instance listens
      */
     public ControlProgram(ControlFile file, InstantSource clock, Consumer<String> console) {
         mFile = file;
@@ -123,10 +123,10 @@
         ReplicaId self = new ReplicaId(mFile.name(), mStorage.storageId());
         Map<String, String> others = mFile.others();
         listen(self);
-        PeerCalls peers = new PeerCalls(self, others, mFile.isOpen(), mChannels, this::offer);
+        PeerCalls peers = new PeerCalls(self, others, mFile.isAutoJoin(), mChannels, this::offer);
         startReducer(self, others, peers, recovered);
-        found(self, peers);
-        mConfirmer.begin();
+        bootstrap(self, peers);
+        mConfirmer.start();
         startMetrics();
         mFile.portFile().ifPresent(f -> PortFile.write(f, mServer.port()));
         mConsole.accept("listening on " + address());
@@ -135,19 +135,19 @@
     private LogStorage openStorage() {
         LongSupplier random = new SecureRandom()::nextLong;
         if (mFile.dataFolder().isEmpty()) {
-            return noStorage(random);
+            return disklessStorage(random);
         }
         Path folder = mFile.dataFolder().get();
         StorageOpener opening = new StorageOpener(mClock, ControlProgram::sleep);
-        LongSupplier newDisk = () -> ReplicaId.durableStorageId(random);
-        return opening.open(() -> FileLogStorage.openOrReplaceDamaged(folder, newDisk));
+        LongSupplier newStorageId = () -> ReplicaId.durableStorageId(random);
+        return opening.open(() -> FileLogStorage.openOrReplaceDamaged(folder, newStorageId));
     }
 
-    private LogStorage noStorage(LongSupplier random) {
-        if (!mFile.isOpen()) {
+    private LogStorage disklessStorage(LongSupplier random) {
+        if (!mFile.isAutoJoin()) {
             throw new LaurelweirException(
                     ResultCode.BAD_SETTINGS_FILE,
-                    "data-folder: is missing; only an instance with seeds may do without");
+                    "data-folder: is missing; it is optional only for an instance with seeds");
         }
         sLogger.atInfo().log("there is no data folder: this instance learns and never votes");
         return new DisklessLogStorage(ReplicaId.volatileStorageId(random));
@@ -157,14 +157,17 @@
         try {
             Thread.sleep(time.toMillis());
         } catch (InterruptedException e) {
-            throw new LaurelweirException(ResultCode.SHUTTING_DOWN, "stopped while it started", e);
+            throw new LaurelweirException(
+                    ResultCode.SHUTTING_DOWN,
+                    "interrupted during the start, while waiting for the disk",
+                    e);
         }
     }
 
-    /** Returns where the instance is reached. Valid once started. */
+    /** Returns the address at which the instance is reached. Valid after {@link #start}. */
     public Endpoint address() {
-        Endpoint told = mFile.peers().get(mFile.name());
-        return told != null ? told : mFile.listen().withPort(mServer.port());
+        Endpoint configured = mFile.peers().get(mFile.name());
+        return configured != null ? configured : mFile.listen().withPort(mServer.port());
     }
 
     private void listen(ReplicaId self) {
@@ -177,7 +180,7 @@
         mServer =
                 RpcServer.builder(mLoops, mTraffic)
                         .listen(mFile.listen().host(), mFile.listen().port())
-                        .grace(GRACE)
+                        .grace(SHUTDOWN_GRACE)
                         .service(
                                 new ControlRpc(
                                         mCalls,
@@ -193,9 +196,10 @@
 
     private void startReducer(
             ReplicaId self, Map<String, String> others, PeerCalls peers, Recovered recovered) {
-        mLog = new LogWriter(mStorage, this::persisted, Program::halt);
+        mLogWriter = new LogWriter(mStorage, this::persisted, Program::halt);
         mEffects =
-                new ControlEffects(mCalls, peers, mLog, mCodec, mBackground, this::offer, mMetrics);
+                new ControlEffects(
+                        mCalls, peers, mLogWriter, mCodec, mBackground, this::offer, mMetrics);
         Map<String, String> addresses = new TreeMap<>(others);
         addresses.put(mFile.name(), address().toString());
         long incarnation = mClock.instant().toEpochMilli();
@@ -208,12 +212,12 @@
                                 self.storageId() ^ incarnation),
                         mClock,
                         new ControlEvent.Tick(),
-                        TICK,
+                        TICK_INTERVAL,
                         mEffects,
                         Program::halt);
-        // First of all events: before it the replica knows neither its vote nor its log.
+        // Must be the first event: it tells the replica its vote and its log.
         loop.offer(new ControlEvent.ReplicaEvent(recovered));
-        mLog.start();
+        mLogWriter.start();
         loop.start();
         mLoop.complete(loop);
     }
@@ -222,7 +226,7 @@
         Duration election = mFile.electionTimeout();
         MembershipConfig defaults = MembershipConfig.builder(mFile.name(), incarnation).build();
         return ControlConfig.builder(self, incarnation, addresses)
-                .autoJoin(mFile.isOpen())
+                .autoJoin(mFile.isAutoJoin())
                 .consensus(
                         ConsensusConfig.builder()
                                 .electionTimeout(election)
@@ -235,13 +239,13 @@
                 .build();
     }
 
-    private void found(ReplicaId self, PeerCalls peers) {
-        if (mFile.isFounder()) {
-            new FirstMembership(self, peers, this::isEmpty, this::offer, mBackground).begin();
+    private void bootstrap(ReplicaId self, PeerCalls peers) {
+        if (mFile.mayBootstrap()) {
+            new MembershipBootstrap(self, peers, this::isEmpty, this::offer, mBackground).start();
         }
         if (mRecoveredEmpty && mFile.bootstrapSettings().isPresent()) {
             Map<String, Map<String, String>> nodes = TreeFile.read(mFile.bootstrapSettings().get());
-            new FirstSettings(nodes, mFile.name(), mCalls, this::offer, mBackground).begin();
+            new SettingsBootstrap(nodes, mFile.name(), mCalls, this::offer, mBackground).start();
         }
     }
 
@@ -252,7 +256,9 @@
         mFile.metricsPortFile().ifPresent(f -> PortFile.write(f, port));
     }
 
-    /** Returns what a program that embeds this instance may ask of it. Once started. */
+    /**
+     * Returns the interface for a program that embeds this instance. Valid after {@link #start}.
+     */
     public ControlGateway gateway() {
         return new ControlGateway(mCalls, this::offer);
     }
@@ -273,28 +279,33 @@
         offer(new ControlEvent.ReplicaEvent(new Persisted(sequence)));
     }
 
-    /** While the server still runs: the successor's votes and the last answers pass through it. */
-    private void handOver() {
+    /**
+     * Transfers the leadership to another instance. Runs before the server stops, since the
+     * successor's votes and the last answers pass through it.
+     */
+    private void transferLeadership() {
         if (!mLoop.isDone()) {
             return;
         }
         offer(new ControlEvent.ReplicaEvent(new ConsensusEvent.LeadershipTransferRequested()));
-        // Whatever happens, the instance stops; the others then elect after their timeout.
-        mEffects.handedOver()
-                .completeOnTimeout(null, HAND_OVER.toMillis(), TimeUnit.MILLISECONDS)
+        // The instance stops in any case. If the transfer does not end in time, the others elect a
+        // leader after their election timeout.
+        mEffects.leadershipTransferEnded()
+                .completeOnTimeout(
+                        null, LEADERSHIP_TRANSFER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                 .join();
     }
 
     @Override
     public void stop() {
-        handOver();
+        transferLeadership();
         if (mServer != null) {
             mServer.stop();
         }
         mBackground.shutdownNow();
         if (mLoop.isDone()) {
             mLoop.join().stop();
-            mLog.stop();
+            mLogWriter.stop();
             mStorage.close();
         }
         mChannels.stop();
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/Main.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/Main.java
@@ -14,7 +14,7 @@
 
     private Main() {}
 
-    /** Runs until SIGTERM or SIGINT. */
+    /** Runs a control instance until SIGTERM or SIGINT. */
     public static void main(String[] args) {
         Program.run(NAME, () -> create(args));
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/package-info.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The program on the few instances with disks: keeps the replicated log and what follows from it,
- * hears sidecars and routers, and tells them what is new.
+ * The control program, which runs on a few instances that usually have disks. It replicates the
+ * settings, claims and orders in a log, receives the reports of sidecars and routers, and answers
+ * with the changes that they lack.
  */
 package org.laurelweir.control;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstMembership.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/MembershipBootstrap.java
@@ -19,12 +19,12 @@
 import org.laurelweir.wire.v1.IdentifyReply;
 
 /**
- * Writes the first membership of a new deployment: by the instance whose name sorts first of those
- * with a disk, once every instance has answered and every disk is new. Were one allowed to be
- * missing, an instance that lost its disk could found a second log beside the first while the
- * others are out of reach.
+ * Proposes the first membership of a new deployment. Of the instances with a disk, the one whose
+ * name sorts first does so, once every instance has answered and every disk is new. If an instance
+ * were allowed to be missing, an instance that lost its disk could bootstrap a second log while the
+ * others are unreachable.
  */
-public final class FirstMembership {
+public final class MembershipBootstrap {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
     private static final long RETRY_MILLIS = 250;
 
@@ -35,15 +35,15 @@
     private final ScheduledExecutorService mTimer;
 
     /**
-     * Creates the founder.
+     * Creates a bootstrap that is not started.
      *
-     * @param self this instance with its disk's id
-     * @param peers asks every other control instance
-     * @param empty whether this instance's disk holds nothing yet
-     * @param events takes the first membership
+     * @param self this instance with its storage id
+     * @param peers calls the other control instances
+     * @param empty returns whether this instance's storage is still empty
+     * @param events receives the first membership
      * @param timer runs the retries
      */
-    public FirstMembership(
+    public MembershipBootstrap(
             ReplicaId self,
             PeerCalls peers,
             BooleanSupplier empty,
@@ -56,39 +56,42 @@
         mTimer = timer;
     }
 
-    /** Asks the peers until the first membership is written, here or elsewhere. */
-    public void begin() {
+    /**
+     * Asks the peers until the first membership is written by this instance or another one. Does
+     * nothing on an instance without a disk or with a log.
+     */
+    public void start() {
         if (mSelf.isDurable() && mEmpty.getAsBoolean()) {
-            ask();
+            identifyPeers();
         }
     }
 
-    private void ask() {
+    private void identifyPeers() {
         FutureCallback<List<IdentifyReply>> callback =
                 new FutureCallback<>() {
                     @Override
                     public void onSuccess(List<IdentifyReply> replies) {
-                        take(replies);
+                        onReplies(replies);
                     }
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        askLater();
+                        scheduleRetry();
                     }
                 };
         Futures.addCallback(mPeers.identifyAll(), callback, MoreExecutors.directExecutor());
     }
 
-    private void askLater() {
-        mTimer.schedule(this::ask, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleRetry() {
+        mTimer.schedule(this::identifyPeers, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void take(List<IdentifyReply> replies) {
+    private void onReplies(List<IdentifyReply> replies) {
         if (!mEmpty.getAsBoolean()) {
             return;
         }
         if (replies.contains(null)) {
-            askLater();
+            scheduleRetry();
             return;
         }
         List<ReplicaId> all = new ArrayList<>(List.of(mSelf));
@@ -99,7 +102,8 @@
         }
         if (!replies.stream().allMatch(IdentifyReply::getEmpty)) {
             sLogger.atWarning().log(
-                    "%s has a new disk and others have not: it waits to be made a replica", mSelf);
+                    "%s has an empty disk, other instances have a log; it waits to be added",
+                    mSelf);
             return;
         }
         mEvents.accept(
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/FirstSettings.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/SettingsBootstrap.java
@@ -17,10 +17,11 @@
 import org.laurelweir.coordination.ControlEvent;
 
 /**
- * Applies a tree file as the first change of an empty log. Every instance may try: the change has
- * one id, so it is applied once, and it expects nodes that do not exist, so it undoes nothing.
+ * Applies a tree file as the first change of an empty log. Every instance may try: all use the same
+ * change id, so the change is applied once. It expects that its nodes do not exist, so it
+ * overwrites nothing.
  */
-public final class FirstSettings {
+public final class SettingsBootstrap {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
     private static final String CHANGE_ID = "first-settings";
     private static final long RETRY_MILLIS = 100;
@@ -31,15 +32,15 @@
     private final Command.ChangeSettings mChange;
 
     /**
-     * Creates the change.
+     * Creates a bootstrap that is not started.
      *
      * @param nodes the values of each node by its path
-     * @param author whom the history names
-     * @param calls where calls wait
-     * @param events takes the change
+     * @param author the author that the settings history shows
+     * @param calls registers the calls that wait for an answer
+     * @param events receives the change
      * @param timer runs the retries
      */
-    public FirstSettings(
+    public SettingsBootstrap(
             Map<String, Map<String, String>> nodes,
             String author,
             PendingCalls calls,
@@ -55,8 +56,8 @@
         mChange = new Command.ChangeSettings(Instant.EPOCH, CHANGE_ID, author, changes);
     }
 
-    /** Tries until settings are in force, from this file or otherwise. */
-    public void begin() {
+    /** Retries until there are settings, from this file or from another change. */
+    public void start() {
         mEvents.accept(
                 new ControlEvent.SettingsRequested(mCalls.open(this::onSettings), null, false, 0));
     }
@@ -70,9 +71,10 @@
 
     private void onChanged(Answer answer) {
         if (answer instanceof AnswerCommand a && a.result() instanceof SettingsResult r) {
-            sLogger.atInfo().log("first settings: %s %s", r.code(), r.answer().faults());
+            sLogger.atInfo().log(
+                    "bootstrap settings: result %s, faults %s", r.code(), r.answer().faults());
             return;
         }
-        mTimer.schedule(this::begin, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        mTimer.schedule(this::start, RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/package-info.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/replica/package-info.java
@@ -1,2 +1,2 @@
-/** What a replica does at its very first start: the first membership, the first settings. */
+/** Bootstraps a new deployment: the first membership and the first settings. */
 package org.laurelweir.control.replica;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/CallsInFlight.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/CallsInFlight.java
@@ -1,28 +1,31 @@
 package org.laurelweir.control.rpc;
 
 /**
- * The messages to one peer that have no answer. Thread-safe.
+ * Limits the messages to one peer that have no answer. Thread-safe.
  *
- * <p>A peer that takes nothing must not fill the memory with messages that are sent anew: a leader
- * repeats what a silent follower lacks with each heartbeat, and a message of some megabytes waits
- * for a second and a half before it is given up.
+ * <p>Messages to a peer that does not answer must not fill the memory. A leader sends a silent
+ * follower the missing entries again with each heartbeat, and a message of some megabytes waits for
+ * a second and a half before it times out.
  */
 final class CallsInFlight {
-    private static final int MOST_CALLS = 64;
+    private static final int MAX_CALLS = 64;
 
-    /** As much as a leader with a heap of 64 MB has under way to one follower. */
-    private static final int MOST_BYTES = 1 << 20;
+    /** As many bytes as a leader with a heap of 64 MB has in flight to one follower. */
+    private static final int MAX_BYTES = 1 << 20;
 
-    /** Heartbeats and votes are below; they pass while something large is under way. */
+    /**
+     * Messages of at most this size, such as heartbeats and votes, are sent even if large messages
+     * are in flight.
+     */
     private static final int SMALL_BYTES = 4 << 10;
 
     private int mCalls;
     private long mBytes;
 
-    /** Returns whether a message may be sent, and if so counts it. */
-    synchronized boolean begin(int bytes) {
-        boolean fits = bytes <= SMALL_BYTES || mBytes < MOST_BYTES;
-        if (mCalls >= MOST_CALLS || !fits) {
+    /** Returns whether a message may be sent, and counts it if so. */
+    synchronized boolean tryBegin(int bytes) {
+        boolean fits = bytes <= SMALL_BYTES || mBytes < MAX_BYTES;
+        if (mCalls >= MAX_CALLS || !fits) {
             return false;
         }
         mCalls++;
@@ -30,7 +33,7 @@
         return true;
     }
 
-    /** Takes note that a message was answered or given up. */
+    /** Removes a message that was answered or timed out from the counts. */
     synchronized void end(int bytes) {
         mCalls--;
         mBytes -= bytes;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlGateway.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlGateway.java
@@ -10,8 +10,8 @@
 import org.laurelweir.membership.Backend;
 
 /**
- * What a program that embeds a control instance may ask of it, in place of calls over gRPC. Every
- * answer comes on the reducer's thread, exactly once, and must not block it.
+ * The interface for a program that embeds a control instance, in place of calls over gRPC. Each
+ * answer comes exactly once, on the reducer's thread, and the callback must not block.
  */
 public final class ControlGateway {
     private final PendingCalls mCalls;
@@ -20,8 +20,8 @@
     /**
      * Creates the gateway.
      *
-     * @param calls where calls wait
-     * @param events takes events, from any thread
+     * @param calls registers the calls that wait for an answer
+     * @param events receives events, from any thread
      */
     public ControlGateway(PendingCalls calls, Consumer<ControlEvent> events) {
         mCalls = calls;
@@ -29,20 +29,22 @@
     }
 
     /**
-     * Passes on the announcement of a backend server without a sidecar.
+     * Announces a backend server without a sidecar.
      *
-     * @param backend its session is the announcement's own number, its incarnation when it started
-     * @param answer told once the announcement is taken
+     * @param backend its session is the number of the announcement, its incarnation the time when
+     *     it started
+     * @param answer receives the answer once the announcement is applied
      */
     public void announce(Backend backend, Consumer<Answer> answer) {
         mEvents.accept(new ControlEvent.BackendAnnounced(mCalls.open(answer), backend));
     }
 
     /**
-     * Passes on that a backend server without a sidecar leaves for good.
+     * Withdraws a backend server without a sidecar that leaves for good.
      *
-     * @param backend its incarnation is when it started, 0 where it does not tell
-     * @param answer an AnswerAnnounced once it is taken, or a Refuse where nothing is known of it
+     * @param backend its incarnation is the time when it started, 0 if unknown
+     * @param answer receives an AnswerAnnounced once the withdrawal is applied, or an AnswerError
+     *     if the backend server is unknown
      */
     public void withdraw(BackendRef backend, Consumer<Answer> answer) {
         mEvents.accept(new ControlEvent.BackendWithdrawn(mCalls.open(answer), backend));
@@ -51,10 +53,10 @@
     /**
      * Replaces the settings tree.
      *
-     * @param revision the operator's number; the highest wins
+     * @param revision the operator's revision number; the highest wins
      * @param nodes the values of every node by its path
      * @param source the operator's own text
-     * @param answer an AnswerCommand, or a Refuse that says which instance to ask
+     * @param answer receives an AnswerCommand, or an AnswerError that names the instance to ask
      */
     public void replaceSettings(
             long revision,
@@ -68,9 +70,9 @@
     }
 
     /**
-     * Reads the operator's own text, the newest that was accepted.
+     * Reads the most recent text of an operator that was accepted.
      *
-     * @param answer an AnswerSource, or a Refuse that says which instance to ask
+     * @param answer receives an AnswerSource, or an AnswerError that names the instance to ask
      */
     public void readSource(Consumer<Answer> answer) {
         mEvents.accept(new ControlEvent.SourceRequested(mCalls.open(answer)));
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ControlRpc.java
@@ -46,9 +46,12 @@
 import org.laurelweir.wire.v1.StatusReply;
 import org.laurelweir.wire.v1.StatusRequest;
 
-/** Serves routers, sidecars and operators: each call becomes an event and waits for its answer. */
+/**
+ * Serves routers, sidecars and operators. Each call becomes an event for the reducer and waits for
+ * the reducer's answer.
+ */
 public final class ControlRpc extends ControlServiceImplBase {
-    private static final int MOST_HISTORY = 1000;
+    private static final int MAX_HISTORY_ENTRIES = 1000;
 
     private final PendingCalls mCalls;
     private final Consumer<ControlEvent> mEvents;
@@ -61,11 +64,11 @@
     /**
      * Creates the service.
      *
-     * @param calls where calls wait
-     * @param events takes events, from any thread
-     * @param exchangeInterval how long askers wait between exchanges
-     * @param controls every control instance, host:port
-     * @param confirmer tells how old the settings may be
+     * @param calls registers the calls that wait for an answer
+     * @param events receives events, from any thread
+     * @param exchangeInterval the interval between exchanges of a sidecar or router
+     * @param controls returns the addresses of all control instances, host:port
+     * @param confirmer tells as of when the settings are confirmed
      */
     public ControlRpc(
             PendingCalls calls,
@@ -96,18 +99,22 @@
             default ->
                     out.onError(
                             Status.INVALID_ARGUMENT
-                                    .withDescription("no reporter")
+                                    .withDescription("no reporter: expected a sidecar or a router")
                                     .asRuntimeException());
         }
     }
 
-    /** An exchange that was asked for. */
+    /** A pending exchange. */
     private record ExchangeCall(
             ExchangeRequest request,
             StreamObserver<ExchangeReply> out,
-            LargeAnswers.Ticket ticket) {}
+            LargeAnswers.PendingAnswer pendingAnswer) {}
 
-    /** The first question is answered at once: the router takes in the tree while it waits. */
+    /**
+     * Passes a router's exchange to the reducer once the settings are confirmed. The first exchange
+     * is passed on at once, so that the router can load the tree while it waits for the
+     * confirmation.
+     */
     private void routerExchanged(ExchangeCall call, MembershipCursor cursor) {
         ExchangeRequest r = call.request();
         Runnable answer =
@@ -130,7 +137,8 @@
     }
 
     private long openExchange(ExchangeCall call) {
-        // Taken before the settings are read: they hold at least what was confirmed by now.
+        // Read before the settings are read: the settings contain at least all changes up to this
+        // time.
         ElapsedClock.Mark confirmed = mConfirmer.confirmed();
         return mCalls.open(
                 answer -> {
@@ -140,35 +148,38 @@
                                     .addAllControls(mControls.get())
                                     .build();
                     int bytes = reply.getSerializedSize();
-                    // With the age of the moment in which it goes, which may be some time later.
-                    call.ticket()
+                    // The age is computed when the reply is sent, which may be some time later.
+                    call.pendingAnswer()
                             .send(
                                     bytes,
-                                    () -> PendingCalls.send(call.out(), aged(reply, confirmed)));
+                                    () -> PendingCalls.send(call.out(), withAge(reply, confirmed)));
                 });
     }
 
-    private ExchangeReply aged(ExchangeReply reply, ElapsedClock.Mark confirmed) {
+    private ExchangeReply withAge(ExchangeReply reply, ElapsedClock.Mark confirmed) {
         OptionalLong age = mConfirmer.ageMillis(confirmed);
         return age.isEmpty()
                 ? reply
-                : reply.toBuilder().setSettingsAgeMillis(toWire(age.getAsLong())).build();
+                : reply.toBuilder().setSettingsAgeMillis(ageToWire(age.getAsLong())).build();
     }
 
-    /** Returns an age that fits its field: one that is cut could look newer than the answer. */
-    static int toWire(long ageMillis) {
+    /**
+     * Returns an age that fits its field. A truncated value could make the settings look newer than
+     * they are.
+     */
+    static int ageToWire(long ageMillis) {
         return (int) Math.min(ageMillis, Integer.MAX_VALUE);
     }
 
     @Override
     public void claim(ClaimRequest r, StreamObserver<ClaimReply> out) {
-        // Kept for no time, a claim would let the resend run a second time.
+        // A claim without a retention time would let a retry run a second time.
         if (r.getKey().isEmpty() || r.getRetentionMillis() <= 0) {
             PendingCalls.send(
                     out,
                     ClaimReply.newBuilder()
                             .setCode(ResultCode.BAD_REQUEST.number())
-                            .setMessage("a claim needs a key and a time to be kept")
+                            .setMessage("a claim needs a key and a retention time")
                             .build());
             return;
         }
@@ -187,7 +198,7 @@
                     out,
                     ChangeSettingsReply.newBuilder()
                             .setCode(ResultCode.BAD_REQUEST.number())
-                            .setMessage("a change needs an id, so that it can be sent again")
+                            .setMessage("a change needs an id, so that it can be retried")
                             .build());
             return;
         }
@@ -241,7 +252,10 @@
                     HistoryReply.newBuilder().setCode(ResultCode.BAD_REQUEST.number()).build());
             return;
         }
-        int limit = r.getLimit() == 0 ? MOST_HISTORY : Math.min(r.getLimit(), MOST_HISTORY);
+        int limit =
+                r.getLimit() == 0
+                        ? MAX_HISTORY_ENTRIES
+                        : Math.min(r.getLimit(), MAX_HISTORY_ENTRIES);
         mEvents.accept(
                 new ControlEvent.HistoryRequested(mCalls.open(out, Replies::history), path, limit));
     }
@@ -279,7 +293,7 @@
                     out,
                     ChangeMembersReply.newBuilder()
                             .setCode(ResultCode.BAD_REQUEST.number())
-                            .setMessage("no step")
+                            .setMessage("no step: expected ADD_LEARNER, PROMOTE or REMOVE")
                             .build());
             return;
         }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/DocumentBudget.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/DocumentBudget.java
@@ -1,33 +1,35 @@
 package org.laurelweir.control.rpc;
 
 /**
- * Bytes of settings documents that are read, or wait for their answer, at the same time. A document
- * takes many times its size while it is read, translated and encoded, so that a few operators at
- * once could fill the heap. Thread-safe.
+ * Limits the total size of settings documents that are being processed at the same time. Reading,
+ * translating and encoding a document takes many times its size, so a few operators at once could
+ * fill the heap. Thread-safe.
  */
 public final class DocumentBudget {
     /**
-     * A sixteenth of the smallest heap that control is run with, and as much as four documents of
-     * 900 routes have. Who is turned away comes back within a second.
+     * A sixteenth of the smallest heap that control runs with, and the size of four documents of
+     * 900 routes. A rejected caller retries within a second.
      */
-    private static final int MOST_BYTES = 1 << 20;
+    private static final int MAX_BYTES = 1 << 20;
 
     private long mBytes;
 
     /**
-     * Takes a document in, alone whatever its size, or beside others as far as there is room.
+     * Reserves space for a document. A document of any size fits if it is the only one.
      *
-     * @return whether it may be read; if so it is to be given back once it is answered
+     * @param bytes size of the document
+     * @return whether the document may be read; if so, the space must be given back once the
+     *     document is answered
      */
     public synchronized boolean take(int bytes) {
-        if (mBytes > 0 && mBytes + bytes > MOST_BYTES) {
+        if (mBytes > 0 && mBytes + bytes > MAX_BYTES) {
             return false;
         }
         mBytes += bytes;
         return true;
     }
 
-    /** Gives back what a document took. */
+    /** Gives back the space of a document. */
     public synchronized void giveBack(int bytes) {
         mBytes -= bytes;
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/LargeAnswers.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/LargeAnswers.java
@@ -10,86 +10,89 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends answers, of the large ones only some at the same time. After a start of everything each
- * router asks for all there is at once, and each answer is encoded for its connection and held
- * until its reader has taken it: some hundred of them would fill the heap of an instance that has
- * just started, however small its link. Those beyond the bound wait their turn, and are dropped
- * where their callers have given up. Thread-safe.
+ * Sends answers and limits the total size of large answers that are being sent. When all instances
+ * start at once, each router asks for the whole state at the same time. Each answer is encoded for
+ * its connection and held until its reader has received it; a few hundred of them would fill the
+ * heap of an instance that has just started, however slow its link is. Answers above the limit wait
+ * in a queue, and are dropped if their callers cancel. Thread-safe.
  */
 final class LargeAnswers {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    /** A smaller answer is sent at once: a router's view of what changed in a second. */
+    /** Smaller answers are sent at once, such as a router's changes of one second. */
     static final int LARGE_BYTES = 32 << 10;
 
-    /** Beside the log, which may take a fifth of the heap, and the state. */
-    private static final int HEAP_OF_ANSWERS = 16;
+    /**
+     * Large answers may take this fraction of the heap, next to the log, which may take a fifth of
+     * it, and the state.
+     */
+    private static final int HEAP_DIVISOR = 16;
 
-    private final long mMostBytes;
-    private final Deque<Ticket> mWaiting = new ArrayDeque<>();
-    private long mBytes;
+    private final long mMaxBytes;
+    private final Deque<PendingAnswer> mWaiting = new ArrayDeque<>();
+    private long mBytesInFlight;
 
-    /** Creates the bound of this process's heap. */
+    /** Creates a limit of a sixteenth of this process's maximum heap. */
     LargeAnswers() {
-        this(Runtime.getRuntime().maxMemory() / HEAP_OF_ANSWERS);
+        this(Runtime.getRuntime().maxMemory() / HEAP_DIVISOR);
     }
 
-    LargeAnswers(long mostBytes) {
-        mMostBytes = mostBytes;
+    LargeAnswers(long maxBytes) {
+        mMaxBytes = maxBytes;
     }
 
     /**
-     * Opens the ticket of a call; before the call's method returns, since gRPC takes no handlers
+     * Registers a call. Must run before the call's method returns, since gRPC accepts no handlers
      * later.
      */
-    Ticket open(StreamObserver<?> call) {
-        Ticket ticket = new Ticket();
+    PendingAnswer open(StreamObserver<?> call) {
+        PendingAnswer pending = new PendingAnswer();
         if (call instanceof ServerCallStreamObserver<?> c) {
-            c.setOnCloseHandler(ticket::end);
-            c.setOnCancelHandler(ticket::end);
+            c.setOnCloseHandler(pending::end);
+            c.setOnCancelHandler(pending::end);
         }
-        return ticket;
+        return pending;
     }
 
-    /** Returns the bytes of the large answers that are on their way. */
-    synchronized long bytes() {
-        return mBytes;
+    /** Returns the total size of the large answers that are being sent. */
+    synchronized long bytesInFlight() {
+        return mBytesInFlight;
     }
 
     private boolean hasRoom(int bytes) {
-        return mBytes == 0 || mBytes + bytes <= mMostBytes;
+        return mBytesInFlight == 0 || mBytesInFlight + bytes <= mMaxBytes;
     }
 
-    private List<Ticket> takeDue() {
-        List<Ticket> due = new ArrayList<>();
+    private List<PendingAnswer> takeReady() {
+        List<PendingAnswer> ready = new ArrayList<>();
         while (!mWaiting.isEmpty() && hasRoom(mWaiting.peek().mBytes)) {
-            Ticket next = mWaiting.remove();
-            next.take();
-            due.add(next);
+            PendingAnswer next = mWaiting.remove();
+            next.reserve();
+            ready.add(next);
         }
-        return due;
+        return ready;
     }
 
-    /** One call's place among the answers. */
-    final class Ticket {
+    /** The answer of one call: not yet sent, queued, being sent, or ended. */
+    final class PendingAnswer {
         private Runnable mSend;
         private int mBytes;
-        private boolean mTaken;
+        private boolean mReserved;
         private boolean mEnded;
 
         /**
-         * Sends the call's answer, now or when others have been taken by their readers.
+         * Sends the call's answer at once, or when enough earlier answers have ended.
          *
-         * @param bytes its size
-         * @param send sends it; not run where the call has ended meanwhile
+         * @param bytes size of the answer
+         * @param send sends the answer; not run if the call has ended
          */
         void send(int bytes, Runnable send) {
-            if (bytes < LARGE_BYTES || mayGo(bytes, send)) {
+            if (bytes < LARGE_BYTES || reserveOrQueue(bytes, send)) {
                 send.run();
             }
         }
 
-        private boolean mayGo(int bytes, Runnable send) {
+        private boolean reserveOrQueue(int bytes, Runnable send) {
             synchronized (LargeAnswers.this) {
                 mBytes = bytes;
                 mSend = send;
@@ -97,38 +100,38 @@
                     return false;
                 }
                 if (mWaiting.isEmpty() && hasRoom(bytes)) {
-                    take();
+                    reserve();
                     return true;
                 }
                 mWaiting.add(this);
                 sLogger.atInfo().atMostEvery(1, TimeUnit.SECONDS).log(
                         "%d large answers wait, %d B are on their way",
-                        mWaiting.size(), LargeAnswers.this.mBytes);
+                        mWaiting.size(), LargeAnswers.this.mBytesInFlight);
                 return false;
             }
         }
 
-        private void take() {
-            mTaken = true;
-            LargeAnswers.this.mBytes += mBytes;
+        private void reserve() {
+            mReserved = true;
+            LargeAnswers.this.mBytesInFlight += mBytes;
         }
 
-        /** The reader has the answer, or has given up. */
+        /** Ends the call: the reader has received the answer or has cancelled the call. */
         void end() {
-            List<Ticket> due;
+            List<PendingAnswer> ready;
             synchronized (LargeAnswers.this) {
                 if (mEnded) {
                     return;
                 }
                 mEnded = true;
-                if (mTaken) {
-                    LargeAnswers.this.mBytes -= mBytes;
+                if (mReserved) {
+                    LargeAnswers.this.mBytesInFlight -= mBytes;
                 } else {
                     mWaiting.remove(this);
                 }
-                due = takeDue();
+                ready = takeReady();
             }
-            due.forEach(t -> t.mSend.run());
+            ready.forEach(t -> t.mSend.run());
         }
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -34,57 +34,60 @@
 import org.laurelweir.wire.v1.ShareMembershipRequest;
 
 /**
- * Calls to the other control instances. None is tried again here: each is lost or answered, and the
- * reducer decides what follows. A call without an answer in time makes its connection suspect, and
- * the next call takes a new one.
+ * Calls the other control instances. No call is retried here: each is lost or answered, and the
+ * reducer decides what to do next. If a call fails or times out, the next call uses a new
+ * connection.
  */
 public final class PeerCalls {
     private static final Duration TIMEOUT = Duration.ofMillis(1500);
 
     /**
-     * Messages of this size and more are compressed. A settings tree with its operator's text goes
-     * to another data centre with each change, and repeats itself; heartbeats and single commands
-     * would only cost processor time.
+     * Messages of this size or more are compressed. A settings tree and its operator's text are
+     * sent to other data centres with each change, and they compress well. For heartbeats and
+     * single commands compression would only cost processor time.
      */
-    private static final int LEAST_COMPRESSED_BYTES = 16 << 10;
+    private static final int MIN_COMPRESSED_BYTES = 16 << 10;
 
     private static final String COMPRESSION = "gzip";
 
     private final ReplicaId mSelf;
     private final Map<String, String> mAddresses;
-    private final boolean mOpen;
+    private final boolean mAutoJoin;
     private final Channels mChannels;
     private final Consumer<ControlEvent> mEvents;
     private final Map<String, CallsInFlight> mInFlight = new ConcurrentHashMap<>();
-    private final Set<String> mAsked = ConcurrentHashMap.newKeySet();
+    private final Set<String> mPendingUpdates = ConcurrentHashMap.newKeySet();
 
     /**
-     * Creates the caller.
+     * Creates the calls.
      *
-     * @param self this instance with its disk's id
+     * @param self this instance with its storage id
      * @param addresses the other control instances by name, host:port
-     * @param open whether there may be others, whose names are their addresses
-     * @param channels connections
-     * @param events takes answers, from any thread
+     * @param autoJoin whether there may be other instances, whose names are their addresses
+     * @param channels provides connections
+     * @param events receives answers, from any thread
      */
     public PeerCalls(
             ReplicaId self,
             Map<String, String> addresses,
-            boolean open,
+            boolean autoJoin,
             Channels channels,
             Consumer<ControlEvent> events) {
         mSelf = self;
         mAddresses = new TreeMap<>(addresses);
-        mOpen = open;
+        mAutoJoin = autoJoin;
         mChannels = channels;
         mEvents = events;
     }
 
     private String addressOf(String name) {
-        return mAddresses.getOrDefault(name, mOpen ? name : null);
+        return mAddresses.getOrDefault(name, mAutoJoin ? name : null);
     }
 
-    /** Sends a replica's message. It is lost if the peer is slow or unknown. */
+    /**
+     * Sends a replica's message. The message is dropped if the peer is unknown or has too many
+     * unanswered messages.
+     */
     public void send(ConsensusEffect.Send send) {
         String name = send.to().name();
         String address = addressOf(name);
@@ -94,7 +97,7 @@
         ReplicaEnvelope message = ReplicaCodec.toWire(mSelf, send.to(), send.message());
         int bytes = message.getSerializedSize();
         CallsInFlight inFlight = mInFlight.computeIfAbsent(name, n -> new CallsInFlight());
-        if (!inFlight.begin(bytes)) {
+        if (!inFlight.tryBegin(bytes)) {
             return;
         }
         ManagedChannel channel = mChannels.get(address);
@@ -110,14 +113,14 @@
         ReplicaServiceFutureStub stub =
                 ReplicaServiceGrpc.newFutureStub(c)
                         .withDeadlineAfter(TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
-        boolean isLarge = message.getSerializedSize() >= LEAST_COMPRESSED_BYTES;
+        boolean isLarge = message.getSerializedSize() >= MIN_COMPRESSED_BYTES;
         return isLarge ? stub.withCompression(COMPRESSION) : stub;
     }
 
-    /** Asks a peer what it hears, unless it still owes an answer. */
-    public void ask(RequestPeerUpdate ask) {
-        String address = addressOf(ask.peer());
-        if (address == null || !mAsked.add(ask.peer())) {
+    /** Requests a peer's update, unless an earlier request to the peer is still pending. */
+    public void requestUpdate(RequestPeerUpdate request) {
+        String address = addressOf(request.peer());
+        if (address == null || !mPendingUpdates.add(request.peer())) {
             return;
         }
         ManagedChannel channel = mChannels.get(address);
@@ -127,19 +130,19 @@
                         .shareMembership(
                                 ShareMembershipRequest.newBuilder()
                                         .setControl(mSelf.name())
-                                        .setCursor(MembershipCodec.toWire(ask.cursor()))
-                                        .setCrashesSeen(ask.crashesSeen())
-                                        .setWithRouters(ask.withRouters())
+                                        .setCursor(MembershipCodec.toWire(request.cursor()))
+                                        .setCrashesSeen(request.crashesSeen())
+                                        .setWithRouters(request.withRouters())
                                         .build());
         watch(
                 address,
                 channel,
                 reply,
-                r -> mEvents.accept(StatusReplies.toCore(ask.peer(), r)),
-                () -> mAsked.remove(ask.peer()));
+                r -> mEvents.accept(StatusReplies.toCore(request.peer(), r)),
+                () -> mPendingUpdates.remove(request.peer()));
     }
 
-    /** Tells every peer what changed here. */
+    /** Sends the changes on this instance to every peer. */
     public void announce(AnnounceToPeers e) {
         AnnounceRequest.Builder request = AnnounceRequest.newBuilder();
         e.announcements().forEach(a -> request.addAnnouncements(MembershipCodec.toWire(a)));
@@ -160,9 +163,9 @@
     }
 
     /**
-     * Asks every peer who it is.
+     * Asks every peer for its replica id and whether its storage is empty.
      *
-     * @return an answer for each peer, null for one that gave none
+     * @return an answer for each peer, null for a peer that did not answer
      */
     public ListenableFuture<List<IdentifyReply>> identifyAll() {
         return Futures.successfulAsList(
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerRpc.java
@@ -12,7 +12,7 @@
 import org.laurelweir.wire.v1.ShareMembershipReply;
 import org.laurelweir.wire.v1.ShareMembershipRequest;
 
-/** Serves the other control instances the membership. */
+/** Serves calls of the other control instances: updates on request, and announcements. */
 public final class PeerRpc extends PeerServiceImplBase {
     private final PendingCalls mCalls;
     private final Consumer<ControlEvent> mEvents;
@@ -20,8 +20,8 @@
     /**
      * Creates the service.
      *
-     * @param calls where calls wait
-     * @param events takes events, from any thread
+     * @param calls registers the calls that wait for an answer
+     * @param events receives events, from any thread
      */
     public PeerRpc(PendingCalls calls, Consumer<ControlEvent> events) {
         mCalls = calls;
@@ -33,7 +33,7 @@
             ShareMembershipRequest r, StreamObserver<ShareMembershipReply> out) {
         mEvents.accept(
                 new ControlEvent.PeerUpdateRequested(
-                        mCalls.open(out, StatusReplies::share),
+                        mCalls.open(out, StatusReplies::peerUpdate),
                         r.getControl(),
                         MembershipCodec.toCore(r.getCursor()),
                         r.getCrashesSeen(),
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PendingCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PendingCalls.java
@@ -8,19 +8,19 @@
 import java.util.function.Function;
 import org.laurelweir.coordination.ControlEffect.Answer;
 
-/** Calls that wait for the reducer's answer. Thread-safe. */
+/** The calls that wait for an answer of the reducer. Thread-safe. */
 public final class PendingCalls {
-    private final AtomicLong mLast = new AtomicLong();
+    private final AtomicLong mLastCall = new AtomicLong();
     private final Map<Long, Consumer<Answer>> mCalls = new ConcurrentHashMap<>();
 
     /**
-     * Opens a call of the process's own.
+     * Registers a call that this process makes itself.
      *
-     * @param answer takes the answer, on the reducer's thread
+     * @param answer receives the answer, on the reducer's thread
      * @return the call's number
      */
     public long open(Consumer<Answer> answer) {
-        long call = mLast.incrementAndGet();
+        long call = mLastCall.incrementAndGet();
         mCalls.put(call, answer);
         return call;
     }
@@ -35,18 +35,18 @@
     }
 
     /**
-     * Answers a call; one that is not open is left alone.
+     * Answers a call. Does nothing if the call is not registered.
      *
-     * @param answer as the reducer gave it
+     * @param answer the reducer's answer
      */
     public void answer(Answer answer) {
-        Consumer<Answer> taker = mCalls.remove(answer.call());
-        if (taker != null) {
-            taker.accept(answer);
+        Consumer<Answer> callback = mCalls.remove(answer.call());
+        if (callback != null) {
+            callback.accept(answer);
         }
     }
 
-    /** Returns how many calls wait. */
+    /** Returns the number of calls that wait for an answer. */
     public int count() {
         return mCalls.size();
     }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
@@ -22,48 +22,57 @@
 import org.laurelweir.wire.v1.ReadSettingsRequest;
 
 /**
- * Knows up to which moment this instance's settings hold all that was accepted. A few times a
- * second it asks the leader, which answers once a quorum has confirmed that it still leads; the
- * moment of asking counts, measured here.
+ * Tracks the time as of which this instance's settings are confirmed to contain all accepted
+ * changes. A few times per second it sends a read to the leader, which answers once a quorum has
+ * confirmed that it still leads. The confirmed time is when the read was sent, measured on this
+ * instance.
  *
- * <p>A heartbeat would not do: held up in a partition, it arrives seconds later and looks fresh,
- * and keys that were taken away meanwhile would go on working behind it.
+ * <p>A heartbeat would not suffice: one that a partition delays arrives seconds later and looks
+ * recent, and revoked keys would go on working.
  */
 public final class ReadConfirmer {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    /** How often it asks, so that an answer is about a quarter of a second old at most. */
-    private static final Duration INTERVAL = Duration.ofMillis(250);
+    /**
+     * Interval between confirmations, so that the confirmed time is at most about a quarter of a
+     * second old.
+     */
+    private static final Duration CONFIRM_INTERVAL = Duration.ofMillis(250);
 
-    /** How often it looks whether it is time, so that an answer is seldom much older than that. */
-    private static final Duration LOOK = Duration.ofMillis(80);
+    /**
+     * Interval between checks whether a confirmation is due. It is short, so that the confirmed
+     * time is seldom much older than {@link #CONFIRM_INTERVAL}.
+     */
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(80);
 
-    /** How often it looks before the first answer: until then nothing is served after a start. */
-    private static final Duration FIRST_LOOK = Duration.ofMillis(25);
+    /**
+     * Interval between checks before the first confirmation, since nothing is served until then.
+     */
+    private static final Duration FIRST_CHECK_INTERVAL = Duration.ofMillis(25);
 
     private static final Duration TIMEOUT = Duration.ofMillis(1000);
 
-    /** How soon to look again whether what the leader told has been applied here. */
-    private static final Duration RECHECK = Duration.ofMillis(40);
+    /** Interval between checks whether the leader's position has been applied on this instance. */
+    private static final Duration APPLIED_CHECK_INTERVAL = Duration.ofMillis(40);
 
     private final PendingCalls mCalls;
     private final Consumer<ControlEvent> mEvents;
     private final Channels mChannels;
     private final ScheduledExecutorService mTimer;
     private final ElapsedClock mClock;
-    private final HeldReaders mHeld;
+    private final ConfirmationGate mGate;
     private volatile ElapsedClock.Mark mConfirmed;
-    private volatile ElapsedClock.Mark mAsked;
+    private volatile ElapsedClock.Mark mPendingSince;
     private volatile boolean mIsConfirmed;
 
     /**
-     * Creates the confirmer.
+     * Creates a confirmer that is not started.
      *
-     * @param calls where calls wait
-     * @param events takes reads, from any thread
-     * @param channels reach the leader
-     * @param timer runs the rounds
-     * @param clock measures ages, suspensions of the machine included
+     * @param calls registers the calls that wait for an answer
+     * @param events receives read requests, from any thread
+     * @param channels provides connections to the leader
+     * @param timer runs the checks
+     * @param clock measures elapsed time, suspensions of the machine included
      */
     public ReadConfirmer(
             PendingCalls calls,
@@ -76,86 +85,89 @@
         mChannels = channels;
         mTimer = timer;
         mClock = clock;
-        mHeld = new HeldReaders(timer);
+        mGate = new ConfirmationGate(timer);
     }
 
-    /** Begins to ask. */
-    public void begin() {
-        mTimer.execute(this::look);
+    /** Starts the checks, which run until the timer is shut down. */
+    public void start() {
+        mTimer.execute(this::check);
     }
 
-    private void look() {
+    private void check() {
         try {
-            askIfDue();
+            requestIfDue();
         } finally {
-            Duration next = mConfirmed == null ? FIRST_LOOK : LOOK;
-            mTimer.schedule(this::look, next.toMillis(), TimeUnit.MILLISECONDS);
+            Duration next = mConfirmed == null ? FIRST_CHECK_INTERVAL : CHECK_INTERVAL;
+            mTimer.schedule(this::check, next.toMillis(), TimeUnit.MILLISECONDS);
         }
     }
 
     /** Runs an action once settings have been confirmed since the start, or after a short wait. */
     void whenConfirmed(Runnable action) {
-        mHeld.hold(action);
+        mGate.runWhenOpen(action);
     }
 
-    /** Returns the moment up to which the settings are confirmed now, or null if none is. */
+    /**
+     * Returns the time as of which the settings are confirmed, or null before the first
+     * confirmation.
+     */
     public ElapsedClock.Mark confirmed() {
         return mConfirmed;
     }
 
-    /** Returns how long ago a confirmed moment was, in ms, or nothing for null. */
+    /** Returns the age of a confirmed time in ms, or empty for null. */
     public OptionalLong ageMillis(ElapsedClock.Mark confirmed) {
         return confirmed == null
                 ? OptionalLong.empty()
                 : OptionalLong.of(mClock.since(confirmed).toMillis());
     }
 
-    private void askIfDue() {
+    private void requestIfDue() {
         ElapsedClock.Mark confirmed = mConfirmed;
-        if (confirmed == null || mClock.since(confirmed).compareTo(INTERVAL) >= 0) {
-            ask();
+        if (confirmed == null || mClock.since(confirmed).compareTo(CONFIRM_INTERVAL) >= 0) {
+            requestConfirmation();
         }
     }
 
-    private void ask() {
-        ElapsedClock.Mark asked = mAsked;
-        if (asked != null && mClock.since(asked).compareTo(TIMEOUT) < 0) {
+    private void requestConfirmation() {
+        ElapsedClock.Mark sentAt = mPendingSince;
+        if (sentAt != null && mClock.since(sentAt).compareTo(TIMEOUT) < 0) {
             return;
         }
         ElapsedClock.Mark now = mClock.mark();
-        mAsked = now;
+        mPendingSince = now;
         mEvents.accept(
                 new ControlEvent.SettingsRequested(
-                        mCalls.open(a -> onLocal(now, a)), NodePath.DEPLOYMENT, true, 0));
+                        mCalls.open(a -> onLocalAnswer(now, a)), NodePath.DEPLOYMENT, true, 0));
     }
 
-    private void onLocal(ElapsedClock.Mark asked, Answer answer) {
+    private void onLocalAnswer(ElapsedClock.Mark sentAt, Answer answer) {
         if (answer instanceof AnswerSettings) {
-            confirm(asked);
+            confirm(sentAt);
         } else if (answer instanceof AnswerError r && !r.leader().isEmpty()) {
-            askLeader(asked, r.leader());
+            askLeader(sentAt, r.leader());
         } else {
-            notConfirmed("no leader is known");
+            onNotConfirmed("no leader is known");
         }
     }
 
-    private void askLeader(ElapsedClock.Mark asked, String leader) {
+    private void askLeader(ElapsedClock.Mark sentAt, String leader) {
         ManagedChannel channel = mChannels.get(leader);
         FutureCallback<ReadSettingsReply> callback =
                 new FutureCallback<>() {
                     @Override
                     public void onSuccess(ReadSettingsReply reply) {
                         if (reply.getCode() == 0) {
-                            checkApplied(asked, reply.getPosition());
+                            checkApplied(sentAt, reply.getPosition());
                         } else {
-                            notConfirmed(leader + " answers " + reply.getCode());
+                            onNotConfirmed(leader + " answers with code " + reply.getCode());
                         }
                     }
 
                     @Override
                     public void onFailure(Throwable failure) {
                         mChannels.fresh(leader, channel);
-                        notConfirmed(leader + " does not answer: " + failure.getMessage());
+                        onNotConfirmed(leader + " does not answer: " + failure.getMessage());
                     }
                 };
         Futures.addCallback(
@@ -170,42 +182,48 @@
                 MoreExecutors.directExecutor());
     }
 
-    /** What the leader has accepted counts here once it has been applied here. */
-    private void checkApplied(ElapsedClock.Mark asked, long position) {
+    /**
+     * Checks whether this instance has applied the leader's position. Only then are its settings
+     * confirmed.
+     */
+    private void checkApplied(ElapsedClock.Mark sentAt, long position) {
         mEvents.accept(
                 new ControlEvent.SettingsRequested(
-                        mCalls.open(a -> onApplied(asked, position, a)),
+                        mCalls.open(a -> onApplied(sentAt, position, a)),
                         NodePath.DEPLOYMENT,
                         false,
                         0));
     }
 
-    private void onApplied(ElapsedClock.Mark asked, long position, Answer answer) {
+    private void onApplied(ElapsedClock.Mark sentAt, long position, Answer answer) {
         if (answer instanceof AnswerSettings s && s.position() >= position) {
-            confirm(asked);
-        } else if (mClock.since(asked).compareTo(TIMEOUT) < 0) {
+            confirm(sentAt);
+        } else if (mClock.since(sentAt).compareTo(TIMEOUT) < 0) {
             mTimer.schedule(
-                    () -> checkApplied(asked, position), RECHECK.toMillis(), TimeUnit.MILLISECONDS);
+                    () -> checkApplied(sentAt, position),
+                    APPLIED_CHECK_INTERVAL.toMillis(),
+                    TimeUnit.MILLISECONDS);
         }
     }
 
-    private void notConfirmed(String reason) {
-        mAsked = null;
-        // Once for each loss: it asks several times a second.
+    private void onNotConfirmed(String reason) {
+        mPendingSince = null;
+        // Logged once per loss of confirmation, since a confirmation is requested several times per
+        // second.
         if (mIsConfirmed) {
             mIsConfirmed = false;
             sLogger.atInfo().log("settings can't be confirmed: %s", reason);
         }
     }
 
-    private void confirm(ElapsedClock.Mark asked) {
+    private void confirm(ElapsedClock.Mark sentAt) {
         if (!mIsConfirmed) {
             mIsConfirmed = true;
             sLogger.atInfo().log(
-                    "settings are confirmed as of %d ms ago", mClock.since(asked).toMillis());
+                    "settings are confirmed as of %d ms ago", mClock.since(sentAt).toMillis());
         }
-        mConfirmed = asked;
-        mAsked = null;
-        mHeld.release();
+        mConfirmed = sentAt;
+        mPendingSince = null;
+        mGate.open();
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReplicaRpc.java
@@ -13,7 +13,7 @@
 import org.laurelweir.wire.v1.ReplicaEnvelope;
 import org.laurelweir.wire.v1.ReplicaServiceGrpc.ReplicaServiceImplBase;
 
-/** Takes what other replicas of the log send. */
+/** Receives the messages of other replicas of the log. */
 public final class ReplicaRpc extends ReplicaServiceImplBase {
     private final ReplicaId mSelf;
     private final BooleanSupplier mEmpty;
@@ -22,9 +22,9 @@
     /**
      * Creates the service.
      *
-     * @param self this instance with its disk's id
-     * @param empty whether its disk holds nothing yet
-     * @param events takes events, from any thread
+     * @param self this instance with its storage id
+     * @param empty returns whether the storage is still empty
+     * @param events receives events, from any thread
      */
     public ReplicaRpc(ReplicaId self, BooleanSupplier empty, Consumer<ControlEvent> events) {
         mSelf = self;
@@ -34,8 +34,8 @@
 
     @Override
     public void deliver(ReplicaEnvelope e, StreamObserver<DeliverReply> out) {
-        // A message for the disk that was here before speaks of votes and entries that this one
-        // does not hold; answered from here it would count a copy that is gone.
+        // A message for an earlier disk of this instance is dropped. It refers to votes and entries
+        // that this disk does not hold, and an answer would count a copy that is lost.
         if (ReplicaCodec.toCore(e.getTo()).equals(mSelf)) {
             ReplicaId from = ReplicaCodec.toCore(e.getFrom());
             mEvents.accept(
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/Replies.java
@@ -33,7 +33,7 @@
 import org.laurelweir.wire.v1.ReleaseReply;
 import org.laurelweir.wire.v1.SettleClaimReply;
 
-/** Turns the reducer's answers into replies. */
+/** Converts the reducer's answers into gRPC replies. */
 final class Replies {
     private Replies() {}
 
@@ -43,7 +43,7 @@
         ExchangeReply.Builder reply =
                 ExchangeReply.newBuilder()
                         .setMembership(MembershipCodec.toWire(a.membership()))
-                        .setSettings(settings.of(a.settings(), request))
+                        .setSettings(settings.messageFor(a.settings(), request))
                         .setPossiblyStale(a.possiblyStale())
                         .setRouters(a.routerCount())
                         .setCrashesVersion(a.crashes().version())
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/SettingsMessages.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/SettingsMessages.java
@@ -7,60 +7,60 @@
 import org.laurelweir.wire.v1.ExchangeRequest;
 
 /**
- * Makes the messages that tell routers what they lack of the settings, one for all that lack the
- * same. After a start of everything each router asks for the whole tree at the same moment, and
- * after a change each asks for the same nodes: encoded for each of them, the answers would take the
- * processor of an instance that has just started, and its memory, many times over.
+ * Encodes the settings that routers lack, once for all routers that lack the same. When all
+ * instances start at once, each router asks for the whole tree at the same time, and after a change
+ * each asks for the same nodes. Encoding the answer for each router separately would multiply the
+ * processor time and the memory, on an instance that has just started.
  *
- * <p>Large messages are packed for readers that can read them. A whole tree of some thousand nodes
- * would otherwise take the link of a small machine for much of the time that a router waits for an
- * answer, and a router that gives up begins anew at the next instance. Thread-safe.
+ * <p>Large messages are packed for readers that support it. Otherwise a full tree of some thousand
+ * nodes would occupy the link of a small machine for most of the time that a router waits for an
+ * answer, and a router that times out starts over at the next instance. Thread-safe.
  */
 final class SettingsMessages {
-    /** Messages that are kept; only the newest positions are asked for by more than one reader. */
-    private static final int KEPT = 4;
+    /** Number of cached messages. More than one reader asks only for the newest positions. */
+    private static final int MAX_CACHED = 4;
 
-    /** Nodes of a message from which on it is packed: a few kilobytes. */
-    private static final int LEAST_PACKED_NODES = 16;
+    /** Messages with at least this many nodes are packed, which is a few kilobytes. */
+    private static final int MIN_PACKED_NODES = 16;
 
     /**
-     * What makes two readers' messages the same.
+     * The cache key: readers with equal keys get the same message.
      *
-     * @param from the reader's position, 0 for a whole tree
+     * @param from the reader's position, 0 for a full tree
      */
     private record Key(long from, long to, boolean packed) {}
 
-    private final Map<Key, org.laurelweir.wire.v1.SettingsDelta> mKept =
+    private final Map<Key, org.laurelweir.wire.v1.SettingsDelta> mCache =
             new LinkedHashMap<>() {
                 @Override
                 protected boolean removeEldestEntry(
                         Map.Entry<Key, org.laurelweir.wire.v1.SettingsDelta> eldest) {
-                    return size() > KEPT;
+                    return size() > MAX_CACHED;
                 }
             };
 
     /**
-     * Returns the message of what a reader lacks.
+     * Returns the message with the settings that a reader lacks.
      *
-     * @param delta what it lacks
-     * @param request its question; its answer is kept for others only where a router asks, since
-     *     others are not told all nodes
+     * @param delta the settings that the reader lacks
+     * @param request the reader's request; the message is cached only for a request of a router,
+     *     since other readers do not receive all nodes
      */
-    org.laurelweir.wire.v1.SettingsDelta of(SettingsDelta delta, ExchangeRequest request) {
-        boolean packed =
-                request.getReadsPackedNodes() && delta.nodes().size() >= LEAST_PACKED_NODES;
+    org.laurelweir.wire.v1.SettingsDelta messageFor(SettingsDelta delta, ExchangeRequest request) {
+        boolean packed = request.getReadsPackedNodes() && delta.nodes().size() >= MIN_PACKED_NODES;
         if (!request.hasRouter() || delta.isEmpty()) {
-            return make(delta, packed);
+            return encode(delta, packed);
         }
         long from = delta.full() ? 0 : request.getSettingsPosition();
-        return kept(new Key(from, delta.position(), packed), delta);
+        return cached(new Key(from, delta.position(), packed), delta);
     }
 
-    private synchronized org.laurelweir.wire.v1.SettingsDelta kept(Key key, SettingsDelta delta) {
-        return mKept.computeIfAbsent(key, k -> make(delta, k.packed()));
+    private synchronized org.laurelweir.wire.v1.SettingsDelta cached(Key key, SettingsDelta delta) {
+        return mCache.computeIfAbsent(key, k -> encode(delta, k.packed()));
     }
 
-    private static org.laurelweir.wire.v1.SettingsDelta make(SettingsDelta delta, boolean packed) {
+    private static org.laurelweir.wire.v1.SettingsDelta encode(
+            SettingsDelta delta, boolean packed) {
         return packed ? SettingsCodec.toPacked(delta) : SettingsCodec.toWire(delta);
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -25,7 +25,7 @@
 import org.laurelweir.wire.v1.ShareMembershipReply;
 import org.laurelweir.wire.v1.StatusReply;
 
-/** Converts what operators and peers are told of the fleet. */
+/** Converts the status of the fleet, for operators, and updates between control instances. */
 final class StatusReplies {
     private StatusReplies() {}
 
@@ -41,7 +41,7 @@
         return reply.build();
     }
 
-    static ShareMembershipReply share(Answer answer) {
+    static ShareMembershipReply peerUpdate(Answer answer) {
         AnswerPeerUpdate a = (AnswerPeerUpdate) answer;
         ShareMembershipReply.Builder reply =
                 ShareMembershipReply.newBuilder()
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/package-info.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/package-info.java
@@ -1,2 +1,2 @@
-/** What a control instance serves by gRPC, and what it asks of its peers. */
+/** The gRPC services of a control instance, and its calls to other control instances. */
 package org.laurelweir.control.rpc;
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DamagedLog.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/DamagedLog.java
@@ -78,7 +78,10 @@
         Files.move(file, folder.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Returns the files of a log except for the lock, which this process holds. */
+    /**
+     * Returns the remaining files of a log: all but the identity, which has been moved, and the
+     * lock, which this process holds.
+     */
     private static List<Path> logFiles(LogFiles files) throws IOException {
         List<Path> found = new ArrayList<>();
         for (Path file : list(files.folder())) {
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/OpenCoreTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/AutoJoinTest.java
@@ -22,8 +22,10 @@
 import org.laurelweir.wire.v1.ReadSettingsRequest;
 import org.laurelweir.wire.v1.StatusRequest;
 
-/** A core whose instances know a few seeds and find, replace and count each other by themselves. */
-class OpenCoreTest {
+/**
+ * Tests instances that know a few seeds, and that join, count and replace each other automatically.
+ */
+class AutoJoinTest {
     private static final ReadSettingsRequest LINEARIZABLE =
             ReadSettingsRequest.newBuilder().setLinearizable(true).build();
 
@@ -44,26 +46,28 @@
                 new Command.ChangeSettings(Instant.EPOCH, "change-1", "test", List.of(node));
         return fleet.ask(
                 s -> s.changeSettings(SettingsCodec.toWire(change)),
-                r -> !ControlFleet.isElsewhere(r.getCode()));
+                r -> !ControlFleet.isRetryable(r.getCode()));
     }
 
     private static ReadSettingsReply read(ControlFleet fleet) {
         return fleet.ask(s -> s.readSettings(LINEARIZABLE), r -> r.getCode() == 0);
     }
 
-    /** Waits until three vote, one instance among them, and another one does not any more. */
-    private static void awaitInPlaceOf(ControlFleet fleet, String voter, String gone) {
+    /**
+     * Waits until there are three voters, with one instance among them and another one no longer.
+     */
+    private static void awaitVoterReplaced(ControlFleet fleet, String voter, String lost) {
         ControlStatus after =
                 await(
                         fleet,
                         s -> s.getVotersCount() == 3 && voters(s).contains(fleet.address(voter)));
-        assertThat(voters(after)).doesNotContain(fleet.address(gone));
+        assertThat(voters(after)).doesNotContain(fleet.address(lost));
     }
 
     @Test
-    void instancesThatNoSeedNamesJoin() throws Exception {
-        // Five instances start with empty disks and know three of them. One core comes of it, in
-        // which all five vote.
+    void instancesOutsideTheSeedListJoin() throws Exception {
+        // Five instances with empty disks know three of them as seeds. They must bootstrap one log
+        // in which all five vote.
         try (ControlFleet fleet = new ControlFleet(mFolder, 5).seeds(3).startAll()) {
             assertThat(change(fleet).getCode()).isEqualTo(ResultCode.OK.number());
             ControlStatus status = await(fleet, s -> s.getVotersCount() == 5);
@@ -74,23 +78,23 @@
     }
 
     @Test
-    void ofAnEvenNumberOneIsLeftOverAndTakesTheNextPlace() throws Exception {
-        // Four instances: three vote. Were all four to vote and the core cut into halves, neither
-        // side had a quorum, and routers would refuse keys that nobody can confirm. A voter that
-        // is gone for good leaves its place to the fourth.
+    void theSpareOfAnEvenNumberReplacesALostVoter() throws Exception {
+        // Of four instances three must vote. If all four voted and the network split them into
+        // halves, neither half would have a quorum, and routers would reject keys that no instance
+        // can confirm. When a voter is lost for good, the fourth instance must replace it.
         try (ControlFleet fleet = new ControlFleet(mFolder, 4).seeds(3).startAll()) {
             ChangeSettingsReply first = change(fleet);
             await(fleet, s -> s.getVotersCount() == 3 && s.getLearnersCount() == 1);
             fleet.stop("c2");
-            awaitInPlaceOf(fleet, "c4", "c2");
+            awaitVoterReplaced(fleet, "c4", "c2");
             assertThat(read(fleet).getPosition()).isEqualTo(first.getPosition());
         }
     }
 
     @Test
     void anInstanceWithoutDiskServesAndNeverVotes() throws Exception {
-        // One of four instances has no disk. It comes to know what was accepted and answers for it.
-        // Given a vote, a quorum that counts it would forget a change with its next restart.
+        // One of four instances has no disk. It must receive the accepted changes and serve them,
+        // but never vote: a quorum that counts it would lose a change when the instance restarts.
         try (ControlFleet fleet = new ControlFleet(mFolder, 4).seeds(3)) {
             fleet.start("c1");
             fleet.start("c2");
@@ -117,9 +121,10 @@
     }
 
     @Test
-    void aSeedWithoutDiskLeavesTheFirstCoreToTheOthers() throws Exception {
-        // The seed whose name sorts first has no disk. The core is made by those that have one;
-        // made with it, what is accepted would be gone with its restart and one of the others.
+    void aSeedWithoutDiskDoesNotBootstrap() throws Exception {
+        // The seed whose name sorts first has no disk. The instances with disks must bootstrap the
+        // log without it: if it voted, accepted changes would be lost when it and one other
+        // instance restart or fail.
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).seeds(3)) {
             String first = fleet.names().stream().min(comparing(fleet::address)).orElseThrow();
             for (String name : fleet.names()) {
@@ -136,29 +141,31 @@
     }
 
     @Test
-    void twoDisksOfSixMayBeLostAtOnce() throws Exception {
-        // Two of six instances lose their disks right after a change was accepted. It is still
-        // there, and five vote again, none of them with a disk that is gone, so that two more may
-        // be lost.
+    void twoOfSixDisksMayBeLostAtOnce() throws Exception {
+        // Two of six instances lose their disks right after a change was accepted. The change must
+        // survive, and five instances must vote again, none with a lost disk, so that two more
+        // disks may be lost.
         try (ControlFleet fleet = new ControlFleet(mFolder, 6).seeds(3).startAll()) {
             await(fleet, s -> s.getVotersCount() == 5);
             ChangeSettingsReply first = change(fleet);
             ControlStatus before = await(fleet, s -> s.getVotersCount() == 5);
             fleet.stop("c1");
             fleet.stop("c2");
-            fleet.founding(false).start("c1", mFolder.resolve("c1-new"));
+            fleet.mayBootstrap(false).start("c1", mFolder.resolve("c1-new"));
             fleet.start("c2", mFolder.resolve("c2-new"));
             await(
                     fleet,
-                    s -> s.getVotersCount() == 5 && isWithoutAny(s, before, "c1", "c2", fleet));
+                    s ->
+                            s.getVotersCount() == 5
+                                    && noneVotesWithOldDisk(s, before, "c1", "c2", fleet));
             fleet.stop("c3");
             fleet.stop("c4");
             assertThat(read(fleet).getPosition()).isEqualTo(first.getPosition());
         }
     }
 
-    /** Returns whether none of the named instances votes under the disk that it had before. */
-    private static boolean isWithoutAny(
+    /** Returns whether neither of two instances votes with the disk that it had before. */
+    private static boolean noneVotesWithOldDisk(
             ControlStatus now, ControlStatus before, String a, String b, ControlFleet fleet) {
         return before.getVotersList().stream()
                 .filter(
@@ -169,14 +176,13 @@
     }
 
     @Test
-    void anEmptyDiskNeverFoundsASecondCore() throws Exception {
-        // All but one instance of a deployment are away as one comes back with an empty disk.
-        // Making
-        // a core of its own, it would acknowledge changes that the others never learn of.
+    void anEmptyDiskNeverBootstrapsASecondLog() throws Exception {
+        // An instance comes back with an empty disk while all others are down. If it bootstrapped a
+        // log of its own, it would acknowledge changes that the others never receive.
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).seeds(3).startAll()) {
             change(fleet);
             fleet.names().forEach(fleet::stop);
-            fleet.founding(false).start("c1", mFolder.resolve("c1-new"));
+            fleet.mayBootstrap(false).start("c1", mFolder.resolve("c1-new"));
             ControlStatus alone =
                     fleet.stub("c1").status(StatusRequest.getDefaultInstance()).getControls(0);
             assertThat(alone.getVotersCount()).isZero();
@@ -186,9 +192,10 @@
         }
     }
 
-    // An instance whose log was damaged ended at each start, until an operator replaced its disk.
+    // Guards against an instance with a damaged log that ends at each start until an operator
+    // replaces its disk.
     @Test
-    void anInstanceWithADamagedLogComesBackAndVotesAnew() throws Exception {
+    void anInstanceWithADamagedLogBecomesAVoterAgain() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).seeds(3).startAll()) {
             ChangeSettingsReply first = change(fleet);
             ControlStatus before = await(fleet, s -> s.getVotersCount() == 3);
@@ -197,15 +204,17 @@
             fleet.start("c1");
             await(
                     fleet,
-                    s -> s.getVotersCount() == 3 && isWithoutAny(s, before, "c1", "c1", fleet));
+                    s ->
+                            s.getVotersCount() == 3
+                                    && noneVotesWithOldDisk(s, before, "c1", "c1", fleet));
             fleet.stop("c2");
             assertThat(read(fleet).getPosition()).isEqualTo(first.getPosition());
         }
     }
 
-    // Instances whose logs were all damaged founded a second core, which had forgotten everything.
+    // Guards against instances whose logs are all damaged and which bootstrap a second, empty log.
     @Test
-    void instancesWithDamagedLogsFoundNoSecondCore() throws Exception {
+    void instancesWithDamagedLogsDoNotBootstrapASecondLog() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).seeds(3).startAll()) {
             change(fleet);
             await(fleet, s -> s.getVotersCount() == 3);
@@ -224,7 +233,7 @@
         }
     }
 
-    /** Flips a bit of what was synced, in the log's first segment. */
+    /** Flips a bit of the synced part of the log's first segment. */
     private static void damageLog(Path folder) throws IOException {
         Path segment = folder.resolve("log-0000000000000001");
         byte[] bytes = Files.readAllBytes(segment);
@@ -233,12 +242,12 @@
     }
 
     @Test
-    void aLostDiskIsReplacedAndNothingAcceptedIsLost() throws Exception {
+    void aLostDiskIsReplacedWithoutLosingAcceptedChanges() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).seeds(3).startAll()) {
             ChangeSettingsReply first = change(fleet);
             ControlStatus before = await(fleet, s -> s.getVotersCount() == 3);
             fleet.stop("c1");
-            fleet.founding(false).start("c1", mFolder.resolve("c1-new"));
+            fleet.mayBootstrap(false).start("c1", mFolder.resolve("c1-new"));
             await(
                     fleet,
                     s ->
@@ -251,17 +260,18 @@
     }
 
     @Test
-    void anInstanceAtAnotherAddressTakesAPlaceThatIsLeftForGood() throws Exception {
-        // One of three is gone for good and a new one starts elsewhere, knowing the old seeds. Were
-        // the old one counted on, the next loss would stop all changes.
+    void anInstanceAtANewAddressReplacesALostVoter() throws Exception {
+        // One of three instances is lost for good, and a new one with the same seeds starts at
+        // another address. It must replace the lost voter: otherwise the loss of one more instance
+        // would block all changes.
         try (ControlFleet fleet = new ControlFleet(mFolder, 4).seeds(3)) {
             fleet.start("c1");
             fleet.start("c2");
             fleet.start("c3");
             ChangeSettingsReply first = change(fleet);
             fleet.stop("c2");
-            fleet.founding(false).start("c4");
-            awaitInPlaceOf(fleet, "c4", "c2");
+            fleet.mayBootstrap(false).start("c4");
+            awaitVoterReplaced(fleet, "c4", "c2");
             fleet.stop("c1");
             assertThat(read(fleet).getPosition()).isEqualTo(first.getPosition());
         }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/ClaimMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/ClaimMeasurement.java
@@ -17,9 +17,9 @@
 import org.laurelweir.wire.v1.StatusRequest;
 
 /**
- * Claims a second and their times over three instances with real connections and synced files, run
- * by hand: {@code ClaimMeasurement FOLDER CLAIMS}. So many callers at a time claim keys of their
- * own.
+ * Measures claims per second and their latencies over three instances with real connections and
+ * synced files. Run by hand: {@code ClaimMeasurement FOLDER CLAIMS}. Each caller claims keys of its
+ * own, one after the other.
  */
 public final class ClaimMeasurement {
     private static final int INSTANCES = 3;
@@ -32,7 +32,7 @@
         mLeader = leader;
     }
 
-    /** Prints one line for each number of callers. */
+    /** Prints a line per number of callers. */
     public static void main(String[] args) throws IOException, InterruptedException {
         Path folder = Files.createDirectories(Path.of(args[0]));
         int claims = Integer.parseInt(args[1]);
@@ -99,7 +99,7 @@
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        System.err.println("a claim failed, the figures are void: " + failure);
+                        System.err.println("a claim failed, the results are invalid: " + failure);
                         System.exit(1);
                     }
                 };
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/ControlFleet.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/ControlFleet.java
@@ -24,7 +24,7 @@
 import org.laurelweir.wire.v1.ControlServiceGrpc.ControlServiceBlockingStub;
 import org.laurelweir.wire.v1.ControlServiceGrpc.ControlServiceFutureStub;
 
-/** Some control instances in this process, each with its own folder. */
+/** Runs several control instances in this process, each with its own data folder. */
 final class ControlFleet implements AutoCloseable {
     private static final Duration DEADLINE = Duration.ofSeconds(60);
     private static final long RETRY_MILLIS = 20;
@@ -32,7 +32,7 @@
     private final Path mFolder;
     private Duration mVanishAfter = Duration.ofSeconds(3);
     private int mSeeds;
-    private boolean mFounding = true;
+    private boolean mMayBootstrap = true;
     private final Map<String, Endpoint> mPeers = new TreeMap<>();
     private final Map<String, ControlProgram> mRunning = new TreeMap<>();
     private final Map<String, ManagedChannel> mChannels = new TreeMap<>();
@@ -49,19 +49,19 @@
         }
     }
 
-    /** Has instances find each other through the first few of them, as an open deployment does. */
+    /** Makes instances join automatically, with the first few of them as seeds. */
     ControlFleet seeds(int seeds) {
         mSeeds = seeds;
         return this;
     }
 
-    /** Sets whether instances that are started from now on may make a core of empty disks. */
-    ControlFleet founding(boolean founding) {
-        mFounding = founding;
+    /** Sets whether instances started from now on may bootstrap the log from empty disks. */
+    ControlFleet mayBootstrap(boolean mayBootstrap) {
+        mMayBootstrap = mayBootstrap;
         return this;
     }
 
-    /** All are open at once, so that no port is given twice. */
+    /** Returns free ports. All sockets are open at once, so that no port is returned twice. */
     private static List<Integer> freePorts(int count) throws IOException {
         List<ServerSocket> sockets = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
@@ -76,7 +76,10 @@
         return ports;
     }
 
-    /** Sets after which silence a sidecar counts as gone, for instances started from now on. */
+    /**
+     * Sets the time without an exchange after which a sidecar counts as departed, for instances
+     * started from now on.
+     */
     ControlFleet vanishAfter(Duration silence) {
         mVanishAfter = silence;
         return this;
@@ -112,7 +115,7 @@
                         mSeeds == 0 ? mPeers : Map.of(),
                         mPeers.values().stream().limit(mSeeds).toList(),
                         0,
-                        mFounding,
+                        mMayBootstrap,
                         dataFolder,
                         Optional.empty(),
                         Duration.ofMillis(500),
@@ -147,12 +150,12 @@
         return ControlServiceGrpc.newFutureStub(mChannels.get(name));
     }
 
-    /** Asks one instance after the other until one gives an answer that is wanted. */
+    /** Calls the running instances in turn until one gives a wanted answer. */
     <R> R ask(Function<ControlServiceBlockingStub, R> call, Predicate<R> wanted) {
         return ask(mRunning.keySet(), call, wanted);
     }
 
-    /** Asks one instance until it gives an answer that is wanted. */
+    /** Calls one instance until it gives a wanted answer. */
     <R> R ask(String name, Function<ControlServiceBlockingStub, R> call, Predicate<R> wanted) {
         return ask(Set.of(name), call, wanted);
     }
@@ -169,11 +172,14 @@
             }
             LockSupport.parkNanos(RETRY_MILLIS * 1_000_000);
         }
-        throw new AssertionError("no wanted answer within " + DEADLINE);
+        throw new AssertionError("no instance gave the wanted answer within " + DEADLINE);
     }
 
-    /** Returns whether an instance that does not lead, or no leader, answered. */
-    static boolean isElsewhere(int code) {
+    /**
+     * Returns whether a result code means that the call can be retried at another instance: the
+     * instance does not lead, or there is no quorum.
+     */
+    static boolean isRetryable(int code) {
         ResultCode c = ResultCode.of(code);
         return c == ResultCode.NOT_LEADER || c == ResultCode.NO_QUORUM;
     }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/ControlProgramTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/ControlProgramTest.java
@@ -21,7 +21,7 @@
 import org.laurelweir.wire.v1.ReplicaId;
 import org.laurelweir.wire.v1.StatusRequest;
 
-/** Whole instances over real connections and files. */
+/** Tests complete control instances with real connections and files. */
 class ControlProgramTest {
     @TempDir Path mFolder;
 
@@ -35,10 +35,11 @@
         }
     }
 
-    // A deployment whose instances name each other has counted on each of them: one that forgot its
-    // data folder would start, never vote, and leave the others a quorum short of what was planned.
+    // Guards against an instance without a data folder in a deployment with configured peers. Such
+    // an instance would start and never vote, so that a quorum would have one instance fewer than
+    // planned.
     @Test
-    void anInstanceThatOthersNameNeedsADisk() throws Exception {
+    void anInstanceWithConfiguredPeersNeedsADisk() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 1)) {
             assertThatThrownBy(() -> fleet.startWithoutDisk("c1"))
                     .isInstanceOfSatisfying(
@@ -47,8 +48,9 @@
         }
     }
 
-    // The leader is stopped right after it answered a change. Its successor has the change, since
-    // it was on most disks before the answer; a resend under the same id gets the first answer.
+    // Stops the leader right after it has answered a change. The change must survive, since it was
+    // on a majority of the disks before the answer. A retry with the same id must get the first
+    // answer.
     @Test
     void acceptedChangeSurvivesLeader() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).startAll()) {
@@ -59,7 +61,7 @@
         }
     }
 
-    // Every instance is stopped and started again; what was answered stands on the disks.
+    // Stops and restarts every instance. An acknowledged change must be on the disks.
     @Test
     void acceptedChangeSurvivesRestartOfAll() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).startAll()) {
@@ -70,9 +72,9 @@
         }
     }
 
-    // An instance comes back with an empty disk, under its old name. It has forgotten its votes and
-    // entries, so it counts for nothing until it has learned, and its old self is then taken out.
-    // Right after that another instance is lost, and what was accepted is still there.
+    // Restarts an instance with an empty disk under its old name. It has lost its votes and
+    // entries, so it must not count until it has received the log, and its old replica is then
+    // removed. Another instance is stopped right after that, and the accepted change must survive.
     @Test
     void lostDiskIsReplacedBeforeAnotherIsLost() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).startAll()) {
@@ -80,35 +82,38 @@
             ReplicaId lost = replica(fleet, "c3");
             fleet.stop("c3");
             fleet.start("c3", mFolder.resolve("c3-new"));
-            ReplicaId fresh = replica(fleet, "c3");
+            ReplicaId replacement = replica(fleet, "c3");
             fleet.ask(
                     s -> s.status(StatusRequest.getDefaultInstance()).getControls(0),
-                    c -> c.getVotersList().contains(fresh) && !c.getVotersList().contains(lost));
+                    c ->
+                            c.getVotersList().contains(replacement)
+                                    && !c.getVotersList().contains(lost));
             fleet.stop(leader(fleet));
             assertThat(read(fleet).getPosition()).isEqualTo(first.getPosition());
         }
     }
 
-    // Two of three instances are gone. The third can't know whether a change would be kept, and
-    // says so instead of taking it or calling it refused for good; it goes on serving what it has.
+    // Stops two of three instances. The third can't know whether a change would be kept. It must
+    // neither accept the change nor reject it for good, and it must go on serving its settings.
     @Test
-    void withoutQuorumNothingIsAccepted() throws Exception {
+    void acceptsNoChangeWithoutAQuorum() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).startAll()) {
             change(fleet, "change-1", "/service=seilhjerne", 0);
-            String left = leader(fleet);
-            fleet.names().stream().filter(n -> !n.equals(left)).forEach(fleet::stop);
+            String remaining = leader(fleet);
+            fleet.names().stream().filter(n -> !n.equals(remaining)).forEach(fleet::stop);
             ChangeSettingsReply reply =
-                    fleet.stub(left).changeSettings(request("change-2", "/service=havnebok", 0));
+                    fleet.stub(remaining)
+                            .changeSettings(request("change-2", "/service=havnebok", 0));
             assertThat(ResultCode.of(reply.getCode()))
                     .isIn(ResultCode.OUTCOME_UNKNOWN, ResultCode.NO_QUORUM);
             ReadSettingsReply stale =
-                    fleet.stub(left).readSettings(ReadSettingsRequest.getDefaultInstance());
+                    fleet.stub(remaining).readSettings(ReadSettingsRequest.getDefaultInstance());
             assertThat(stale.getNodesCount()).isEqualTo(1);
         }
     }
 
     @Test
-    void operatorTakesAnInstanceOutAndInAgain() throws Exception {
+    void operatorRemovesAnInstanceAndAddsItAgain() throws Exception {
         try (ControlFleet fleet = new ControlFleet(mFolder, 3).startAll()) {
             change(fleet, "change-1", "/service=seilhjerne", 0);
             String follower =
@@ -146,7 +151,7 @@
             ControlFleet fleet, String id, String path, long version) {
         ChangeSettingsRequest request = request(id, path, version);
         return fleet.ask(
-                s -> s.changeSettings(request), r -> !ControlFleet.isElsewhere(r.getCode()));
+                s -> s.changeSettings(request), r -> !ControlFleet.isRetryable(r.getCode()));
     }
 
     private static ChangeSettingsRequest request(String id, String path, long version) {
@@ -160,6 +165,6 @@
     private static ReadSettingsReply read(ControlFleet fleet) {
         ReadSettingsRequest request =
                 ReadSettingsRequest.newBuilder().setLinearizable(true).build();
-        return fleet.ask(s -> s.readSettings(request), r -> !ControlFleet.isElsewhere(r.getCode()));
+        return fleet.ask(s -> s.readSettings(request), r -> !ControlFleet.isRetryable(r.getCode()));
     }
 }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/WireBytesMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/WireBytesMeasurement.java
@@ -18,9 +18,9 @@
 import org.laurelweir.runtime.rpc.ExchangeClient;
 
 /**
- * Bytes that an idle exchange takes at the socket, HTTP/2 included, what the whole view takes, and
- * the processor time of both ends together; run by hand: {@code WireBytesMeasurement FOLDER}. One
- * instance, 37 services, one exchange after the other.
+ * Measures the bytes of an idle exchange at the socket, HTTP/2 included, the bytes of a full view,
+ * and the processor time of both ends together. Run by hand: {@code WireBytesMeasurement FOLDER}.
+ * It uses one instance, 37 services and one exchange at a time.
  */
 public final class WireBytesMeasurement {
     private static final int SERVICES = 37;
@@ -29,7 +29,7 @@
 
     private WireBytesMeasurement() {}
 
-    /** Prints one line for each reader and size. */
+    /** Prints a line per reader type and number of backend servers. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createDirectories(Path.of(args[0]));
         try (ControlFleet fleet = newFleet(folder)) {
@@ -51,7 +51,7 @@
     }
 
     private static ControlFleet newFleet(Path folder) throws IOException {
-        // Sidecars announce themselves here once; none may vanish while the readers ask.
+        // Each sidecar exchanges only once. No sidecar may time out while the readers are measured.
         return new ControlFleet(folder, 1).vanishAfter(Duration.ofMinutes(10)).startAll();
     }
 
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ClaimStateMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ClaimStateMeasurement.java
@@ -8,11 +8,11 @@
 import org.laurelweir.lib.BackendRef;
 import org.laurelweir.wire.CommandCodec;
 
-/** Memory and snapshot bytes of claims, and the time that a snapshot takes. */
+/** Measures the memory and snapshot bytes of claims, and the time to take a snapshot. */
 public final class ClaimStateMeasurement {
     private ClaimStateMeasurement() {}
 
-    /** Prints one line for each size. */
+    /** Prints a line per number of claims. */
     public static void main(String[] args) {
         System.out.println("claims heap_bytes/claim snapshot_bytes/claim copy_ms encode_ms");
         for (int claims : new int[] {50_000, 100_000, 200_000, 400_000, 1_000_000}) {
@@ -25,7 +25,7 @@
         ControlState state = new ControlState(ControlState.Limits.DEFAULT);
         CommandCodec codec = new CommandCodec();
         for (int i = 0; i < claims; i++) {
-            // Decoded as the log gives it, so that no text is shared between claims.
+            // Encoded and decoded, as the log does, so that claims share no strings.
             state.apply(i + 1, codec.decodeCommand(codec.encode(claim(i))));
         }
         long heap = usedAfterCollection() - before;
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/measure/ExchangeMeasurement.java
@@ -29,8 +29,9 @@
 import org.laurelweir.wire.v1.ExchangeRequest;
 
 /**
- * Processor time and message bytes of one exchange, decoding and encoding included, without
- * sockets: one reducer, 37 services, sidecars and routers in turn, idle and with restarts going on.
+ * Measures the processor time and message bytes of one exchange, decoding and encoding included,
+ * without sockets. One reducer serves 37 services; sidecars and routers exchange in turn, without
+ * restarts of backend servers and with some.
  */
 public final class ExchangeMeasurement {
     private static final int SERVICES = 37;
@@ -71,13 +72,13 @@
                         new ConsensusEvent.Bootstrapped(Membership.ofVoters(List.of(self)))));
     }
 
-    /** Prints one line for each size, idle and under churn. */
+    /** Prints a line per number of backend servers and restarts per second. */
     public static void main(String[] args) {
         System.out.println(
                 "backends restarts/s us/exchange request_bytes sidecar_reply_bytes"
                         + " router_reply_bytes");
         new ExchangeMeasurement(1_000).run(1);
-        System.out.println("the line above warmed up");
+        System.out.println("the line above is a warm-up");
         for (int backends : new int[] {100, 1_000, 4_000}) {
             for (int restarts : new int[] {0, 1, 10}) {
                 new ExchangeMeasurement(backends).run(restarts);
@@ -113,7 +114,7 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    /** One second: each sidecar and router exchanges once. */
+    /** Simulates one second, in which each sidecar and router exchanges once. */
     private void round(int restarts) {
         mNow = mNow.plusSeconds(1);
         step(new ControlEvent.Tick());
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/CallsInFlightTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/CallsInFlightTest.java
@@ -4,24 +4,24 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What is under way to a peer that takes nothing. */
+/** Tests the limits on messages to a peer that does not answer. */
 class CallsInFlightTest {
     private static final int LARGE = 600_000;
 
     private final CallsInFlight mInFlight = new CallsInFlight();
 
-    // Operators see: a leader that takes ever more memory while a follower is silent. Order: an
-    // entry is repeated with each heartbeat, and none of the messages is answered. Why: they were
-    // counted, and not weighed.
+    // Guards against a leader whose memory fills up while a follower is silent: an entry is sent
+    // again with each heartbeat, and no message is answered. A limit on the number of messages
+    // alone does not prevent that.
     @Test
-    void largeMessagesToASilentPeerAreBoundedAndHeartbeatsStillPass() {
-        int begun = 0;
-        while (mInFlight.begin(LARGE)) {
-            begun++;
+    void boundsLargeMessagesToASilentPeerAndLetsHeartbeatsPass() {
+        int sent = 0;
+        while (mInFlight.tryBegin(LARGE)) {
+            sent++;
         }
-        assertThat(begun).isEqualTo(2);
-        assertThat(mInFlight.begin(100)).isTrue();
+        assertThat(sent).isEqualTo(2);
+        assertThat(mInFlight.tryBegin(100)).isTrue();
         mInFlight.end(LARGE);
-        assertThat(mInFlight.begin(LARGE)).isTrue();
+        assertThat(mInFlight.tryBegin(LARGE)).isTrue();
     }
 }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/DocumentBudgetTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/DocumentBudgetTest.java
@@ -4,14 +4,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How much is read at the same time. */
+/** Tests the limit on documents that are read at the same time. */
 class DocumentBudgetTest {
     private final DocumentBudget mBudget = new DocumentBudget();
 
-    // Operators see: an instance that is gone. Order: several send large documents at once. Why:
-    // what is read at the same time has a bound, and a large one is still read alone.
+    // Guards against an instance that runs out of memory when several operators send large
+    // documents at once. A document above the limit must still be read alone.
     @Test
-    void aLargeDocumentIsReadAloneAndSmallOnesTogether() {
+    void readsALargeDocumentAloneAndSmallOnesTogether() {
         assertThat(mBudget.take(3_000_000)).isTrue();
         assertThat(mBudget.take(10)).isFalse();
         mBudget.giveBack(3_000_000);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/ExchangeReplies.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/ExchangeReplies.java
@@ -10,11 +10,11 @@
 import org.laurelweir.wire.v1.ExchangeReply;
 import org.laurelweir.wire.v1.ExchangeRequest;
 
-/** The way of an exchange between its bytes and the reducer, for measurements. */
+/** Converts exchanges between bytes and the reducer's events and answers, for measurements. */
 public final class ExchangeReplies {
     private ExchangeReplies() {}
 
-    /** Returns the event of a request's bytes. */
+    /** Returns the event for an encoded request. */
     public static ControlEvent event(long call, byte[] bytes) {
         try {
             ExchangeRequest r = ExchangeRequest.parseFrom(bytes);
@@ -37,7 +37,7 @@
         }
     }
 
-    /** Returns the reply as it is sent, but for the list of control instances. */
+    /** Returns the reply as it is sent, without the list of control instances. */
     public static ExchangeReply reply(AnswerExchange answer) {
         ExchangeReply reply =
                 Replies.exchange(
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/LargeAnswersTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/LargeAnswersTest.java
@@ -23,67 +23,69 @@
 import org.laurelweir.wire.v1.ExchangeReply;
 import org.laurelweir.wire.v1.ExchangeRequest;
 
-/** What is on its way to readers that all ask for everything at the same moment. */
+/** Tests the limit on large answers when all readers ask for the whole state at once. */
 class LargeAnswersTest {
-    private static final int MOST_BYTES = 4 << 20;
-    private static final int WHOLE_TREE = 900_000;
+    private static final int MAX_BYTES = 4 << 20;
+    private static final int TREE_BYTES = 900_000;
     private static final int READERS = 360;
 
-    private final LargeAnswers mAnswers = new LargeAnswers(MOST_BYTES);
+    private final LargeAnswers mAnswers = new LargeAnswers(MAX_BYTES);
     private final Set<Integer> mSent = new HashSet<>();
-    private final List<LargeAnswers.Ticket> mTickets = new ArrayList<>();
+    private final List<LargeAnswers.PendingAnswer> mPending = new ArrayList<>();
 
-    private void ask(int readers, int bytes) {
+    private void requestAnswers(int readers, int bytes) {
         for (int i = 0; i < readers; i++) {
-            int reader = mTickets.size();
-            LargeAnswers.Ticket ticket = mAnswers.open(null);
-            mTickets.add(ticket);
-            ticket.send(bytes, () -> mSent.add(reader));
+            int reader = mPending.size();
+            LargeAnswers.PendingAnswer pending = mAnswers.open(null);
+            mPending.add(pending);
+            pending.send(bytes, () -> mSent.add(reader));
         }
     }
 
-    // An instance that had just started filled its heap with answers to all routers at once.
+    // Guards against an instance that has just started and fills its heap with answers to all
+    // routers.
     @Test
     void allReadersAreAnsweredWithinTheBound() {
-        ask(READERS, WHOLE_TREE);
-        assertThat(mSent).hasSize(MOST_BYTES / WHOLE_TREE);
-        for (LargeAnswers.Ticket ticket : mTickets) {
-            assertThat(mAnswers.bytes()).isBetween(1L, (long) MOST_BYTES);
-            ticket.end();
+        requestAnswers(READERS, TREE_BYTES);
+        assertThat(mSent).hasSize(MAX_BYTES / TREE_BYTES);
+        for (LargeAnswers.PendingAnswer pending : mPending) {
+            assertThat(mAnswers.bytesInFlight()).isBetween(1L, (long) MAX_BYTES);
+            pending.end();
         }
         assertThat(mSent).hasSize(READERS);
-        assertThat(mAnswers.bytes()).isZero();
+        assertThat(mAnswers.bytesInFlight()).isZero();
     }
 
     @Test
-    void aSmallAnswerGoesAtOnceAndAnEnormousOneAlone() {
-        ask(1, 3 * MOST_BYTES);
-        ask(1, WHOLE_TREE);
-        ask(1, LargeAnswers.LARGE_BYTES - 1);
+    void sendsASmallAnswerAtOnceAndAnOversizedOneAlone() {
+        requestAnswers(1, 3 * MAX_BYTES);
+        requestAnswers(1, TREE_BYTES);
+        requestAnswers(1, LargeAnswers.LARGE_BYTES - 1);
         assertThat(mSent).containsExactlyInAnyOrder(0, 2);
-        mTickets.get(0).end();
+        mPending.get(0).end();
         assertThat(mSent).containsExactlyInAnyOrder(0, 1, 2);
     }
 
-    // A reader that had given up was sent its answer, and kept the others waiting.
+    // Guards against an answer that is sent to a reader that has cancelled its call, while other
+    // readers wait.
     @Test
-    void whoGaveUpIsPassedOver() {
-        ask(6, WHOLE_TREE);
-        mTickets.get(4).end();
-        mTickets.get(0).end();
+    void skipsReadersThatCancelled() {
+        requestAnswers(6, TREE_BYTES);
+        mPending.get(4).end();
+        mPending.get(0).end();
         assertThat(mSent).containsExactlyInAnyOrder(0, 1, 2, 3, 5);
-        LargeAnswers.Ticket late = mAnswers.open(null);
-        late.end();
-        late.send(WHOLE_TREE, () -> mSent.add(99));
+        LargeAnswers.PendingAnswer cancelled = mAnswers.open(null);
+        cancelled.end();
+        cancelled.send(TREE_BYTES, () -> mSent.add(99));
         assertThat(mSent).doesNotContain(99);
     }
 
-    // Calls over a connection did not give their place back, and whoever came later was not
-    // answered.
+    // Guards against gRPC calls that never release their bytes when they end or are cancelled, so
+    // that later calls get no answer.
     @Test
-    void callsThatEndOrAreGivenUpGiveTheirPlaceBack() {
+    void endedAndCancelledCallsReleaseTheirBytes() {
         ExchangeReply large =
-                ExchangeReply.newBuilder().addControls("x".repeat(WHOLE_TREE)).build();
+                ExchangeReply.newBuilder().addControls("x".repeat(TREE_BYTES)).build();
         EventLoops loops = new EventLoops("test", 1);
         RpcServer server =
                 RpcServer.builder(loops, new TrafficCounters(new MetricRegistry()))
@@ -94,16 +96,16 @@
                 NettyChannelBuilder.forAddress("127.0.0.1", server.port()).usePlaintext().build();
         try {
             for (int i = 0; i < 30; i++) {
-                // Nobody reads this one's answer.
-                ClientCall<ExchangeRequest, ExchangeReply> unread = unread(channel);
+                // The answer of this call is never read.
+                ClientCall<ExchangeRequest, ExchangeReply> unread = callWithoutReading(channel);
                 ExchangeReply reply =
                         ControlServiceGrpc.newBlockingStub(channel)
                                 .withDeadlineAfter(60, TimeUnit.SECONDS)
                                 .exchange(ExchangeRequest.getDefaultInstance());
                 assertThat(reply).isEqualTo(large);
-                unread.cancel("given up", null);
+                unread.cancel("cancelled by the test", null);
             }
-            Await.until("all places are given back", () -> mAnswers.bytes() == 0);
+            Await.until("all bytes are released", () -> mAnswers.bytesInFlight() == 0);
         } finally {
             channel.shutdownNow();
             server.stop();
@@ -121,7 +123,8 @@
         };
     }
 
-    private static ClientCall<ExchangeRequest, ExchangeReply> unread(ManagedChannel channel) {
+    private static ClientCall<ExchangeRequest, ExchangeReply> callWithoutReading(
+            ManagedChannel channel) {
         ClientCall<ExchangeRequest, ExchangeReply> call =
                 channel.newCall(ControlServiceGrpc.getExchangeMethod(), CallOptions.DEFAULT);
         call.start(new ClientCall.Listener<>() {}, new Metadata());
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/PeerCallsTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/PeerCallsTest.java
@@ -21,7 +21,10 @@
 import org.laurelweir.wire.v1.ReplicaEnvelope;
 import org.laurelweir.wire.v1.ReplicaServiceGrpc;
 
-/** Load pattern: settings of hundreds of routes change several times a second. */
+/**
+ * Tests that large messages are compressed. Settings of hundreds of routes may change several times
+ * per second, and each change goes to every peer.
+ */
 class PeerCallsTest {
     private static final ReplicaId SELF = new ReplicaId("a", 1);
     private static final ReplicaId PEER = new ReplicaId("b", 2);
@@ -38,8 +41,7 @@
     }
 
     @Test
-    void aLargeEntryCrossesTheNetworkCompressedAndArrivesWhole()
-            throws ExecutionException, InterruptedException {
+    void sendsALargeEntryCompressedAndComplete() throws ExecutionException, InterruptedException {
         byte[] tree = "{\"name\":\"route\",\"timeout_ms\":800}".repeat(8000).getBytes();
         MetricRegistry registry = new MetricRegistry();
         EventLoops loops = new EventLoops("test", 1);
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/SettingsAgeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/SettingsAgeTest.java
@@ -5,23 +5,24 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-/** How old a control instance tells routers that its settings may be. */
+/** Tests the settings age that a control instance sends to routers. */
 class SettingsAgeTest {
-    /** No router trusts its settings for longer than this without a confirmation. */
-    private static final int LONGEST_LEASE = (int) Duration.ofDays(1).toMillis();
+    /** The longest time for which a router uses settings without a confirmation. */
+    private static final int MAX_LEASE_MILLIS = (int) Duration.ofDays(1).toMillis();
 
-    // A step of the clock from long ago to the present made the age come out small or below zero.
+    // Guards against an age that overflows its field, and then looks small or negative, after the
+    // clock jumps from a date long ago to the present.
     @Test
-    void aGreatAgeStaysGreat() {
+    void aLargeAgeDoesNotOverflow() {
         for (int days = 1; days <= 20_000; days++) {
-            assertThat(ControlRpc.toWire(Duration.ofDays(days).toMillis()))
+            assertThat(ControlRpc.ageToWire(Duration.ofDays(days).toMillis()))
                     .as("an age of %d days", days)
-                    .isGreaterThanOrEqualTo(LONGEST_LEASE);
+                    .isGreaterThanOrEqualTo(MAX_LEASE_MILLIS);
         }
     }
 
     @Test
-    void anAgeThatFitsIsToldAsItIs() {
-        assertThat(ControlRpc.toWire(250)).isEqualTo(250);
+    void anAgeThatFitsIsSentUnchanged() {
+        assertThat(ControlRpc.ageToWire(250)).isEqualTo(250);
     }
 }
