--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
@@ -19,16 +19,19 @@
 import org.laurelweir.lib.AttemptId;
 import org.laurelweir.lib.BackendRef;
 
-/** An idempotency key has one holder at a time, whatever happens to the instances between. */
+/**
+ * Tests that an idempotency key has at most one holder at a time while instances crash and are
+ * partitioned.
+ */
 class ClaimHistoryTest {
     private static final int ROUTERS = 4;
     private static final int CLAIMS = 20;
     private static final Duration RETENTION = Duration.ofHours(1);
 
-    // Four routers get the same caller's request, resent, under a few keys. One that finds another
-    // attempt in its way may find it never to have started and replaces it by name. However often
-    // claims are resent and leaders change, each holder must have replaced exactly the one before,
-    // and nobody may be told that it holds a key after it was replaced.
+    // Four routers claim a few keys for retries of the same caller's requests. A router whose claim
+    // conflicts with another attempt may find that the attempt never started, and replace it by
+    // name. However often claims are resent and leaders change, each holder must have replaced
+    // exactly the one before, and no router may be told that it holds a key after it was replaced.
     @Property(tries = 40, seed = "1502")
     void keyHasOneHolderAtATime(@ForAll long seed) {
         SimulatedControls controls = new SimulatedControls(3, seed);
@@ -36,13 +39,13 @@
         for (int router = 0; router < ROUTERS; router++) {
             claimNext(controls, calls, router, CLAIMS, null);
         }
-        SettingsHistoryTest.disturb(controls, 12);
+        SettingsHistoryTest.injectFaults(controls, 12);
         controls.run(12_000);
         controls.heal();
-        controls.runUntil(() -> calls.mEnded.size() == ROUTERS * CLAIMS);
-        assertThat(calls.mEnded).hasSize(ROUTERS * CLAIMS);
-        for (List<Call> ofKey : byKey(calls.mEnded).values()) {
-            verify(ofKey);
+        controls.runUntil(() -> calls.mCompleted.size() == ROUTERS * CLAIMS);
+        assertThat(calls.mCompleted).hasSize(ROUTERS * CLAIMS);
+        for (List<Call> callsForKey : byKey(calls.mCompleted).values()) {
+            verify(callsForKey);
         }
     }
 
@@ -50,13 +53,13 @@
             SimulatedControls controls,
             RecordedCalls calls,
             int router,
-            int left,
-            Command.Claim lost) {
-        if (left == 0) {
+            int remaining,
+            Command.Claim previous) {
+        if (remaining == 0) {
             return;
         }
-        String key = lost == null ? "key-" + controls.mRandom.nextInt(5) : lost.key();
-        AttemptId replaces = lost == null ? null : lost.replaces();
+        String key = previous == null ? "key-" + controls.mRandom.nextInt(5) : previous.key();
+        AttemptId replaces = previous == null ? null : previous.replaces();
         Command.Claim claim =
                 new Command.Claim(
                         Instant.EPOCH,
@@ -64,11 +67,11 @@
                         key,
                         "service",
                         7,
-                        new AttemptId("r" + router, 1, left, 1),
+                        new AttemptId("r" + router, 1, remaining, 1),
                         new BackendRef("w" + router, 1),
                         replaces,
                         RETENTION);
-        calls.carryOut(
+        calls.execute(
                 claim,
                 (c, result) ->
                         controls.after(
@@ -78,11 +81,14 @@
                                                 controls,
                                                 calls,
                                                 router,
-                                                left - 1,
+                                                remaining - 1,
                                                 replacing(controls, claim, result))));
     }
 
-    /** Returns a claim that names the holder in its way, half of the times. */
+    /**
+     * Returns, for half of the conflicting claims, a claim that replaces the current holder,
+     * otherwise null.
+     */
     private static Command.Claim replacing(
             SimulatedControls controls, Command.Claim c, CommandResult result) {
         AttemptId holder = ((ClaimResult) result).holder();
@@ -110,35 +116,38 @@
         return byKey;
     }
 
-    /** The holders of a key form one chain, each link made by one claim that names the last. */
+    /**
+     * Verifies that the holders of a key form one chain, in which each claim names the holder that
+     * it replaces.
+     */
     private static void verify(List<Call> calls) {
         Map<AttemptId, AttemptId> replacedBy = new HashMap<>();
-        Set<AttemptId> founders = new HashSet<>();
+        Set<AttemptId> firstHolders = new HashSet<>();
         for (Call c : calls) {
             Command.Claim claim = (Command.Claim) c.command();
             if (!claim.attempt().equals(((ClaimResult) c.result()).holder())) {
                 continue;
             }
             if (claim.replaces() == null) {
-                founders.add(claim.attempt());
+                firstHolders.add(claim.attempt());
             } else {
                 AttemptId other = replacedBy.put(claim.replaces(), claim.attempt());
                 assertThat(other).as("two replaced %s", claim.replaces()).isNull();
             }
         }
-        // The first holder may have been replaced before its answer reached it.
-        assertThat(founders).hasSizeLessThanOrEqualTo(1);
-        verifyNeverHeldAfter(calls, replacedBy);
+        // There may be none: the first holder may have been replaced before it received its answer.
+        assertThat(firstHolders).hasSizeLessThanOrEqualTo(1);
+        verifyNoHolderAfterItsReplacement(calls, replacedBy);
     }
 
-    private static void verifyNeverHeldAfter(
+    private static void verifyNoHolderAfterItsReplacement(
             List<Call> calls, Map<AttemptId, AttemptId> replacedBy) {
         for (Call later : calls) {
             AttemptId holder = ((ClaimResult) later.result()).holder();
             AttemptId successor = replacedBy.get(holder);
             for (Call c : calls) {
                 boolean succeeded = ((Command.Claim) c.command()).attempt().equals(successor);
-                assertThat(succeeded && c.ended() < later.began())
+                assertThat(succeeded && c.completedAt() < later.startedAt())
                         .as("%s is told to hold after %s replaced it", holder, successor)
                         .isFalse();
             }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
@@ -21,17 +21,19 @@
 import org.laurelweir.membership.SidecarReport;
 import org.laurelweir.quarantine.CrashReport;
 
-/** What sidecars and routers are told by instances in contact with a quorum, and by others. */
+/**
+ * Tests the answers to sidecars and routers from instances with and without contact to a quorum.
+ */
 class ExchangeTest {
     private static final long SEED = 1601;
 
     private final SimulatedControls mControls = new SimulatedControls(3, SEED);
 
-    private void accept(Command command) {
+    private void applyChange(Command command) {
         mControls.heal();
         RecordedCalls calls = new RecordedCalls(mControls);
-        calls.carryOut(command, (c, result) -> {});
-        mControls.runUntil(() -> !calls.mEnded.isEmpty());
+        calls.execute(command, (c, result) -> {});
+        mControls.runUntil(() -> !calls.mCompleted.isEmpty());
         mControls.run(1_000);
     }
 
@@ -43,11 +45,11 @@
         return new Command.ChangeSettings(Instant.EPOCH, id, "operator", changes);
     }
 
-    private AnswerExchange router(Node node, long position) {
-        return router(node, "r1", position);
+    private AnswerExchange exchangeAsRouter(Node node, long position) {
+        return exchangeAsRouter(node, "r1", position);
     }
 
-    private AnswerExchange router(Node node, String name, long position) {
+    private AnswerExchange exchangeAsRouter(Node node, String name, long position) {
         RouterReport report = new RouterReport(name, 1, "bergen", "vestkyst", "", "");
         return exchange(
                 node,
@@ -61,7 +63,7 @@
                                 LoadReport.NONE));
     }
 
-    private AnswerExchange sidecar(Node node, Backend.State state) {
+    private AnswerExchange exchangeAsSidecar(Node node, Backend.State state) {
         Backend b =
                 new Backend(new BackendRef("w1", 1), "a", "bergen", "vestkyst", "", state, 1, 1);
         SidecarReport report = new SidecarReport(b, 5, 1, 0);
@@ -78,47 +80,48 @@
     }
 
     @Test
-    void sidecarIsToldNoSingleClientAccount() {
-        accept(change("1", "/service=a", "/account=x", "/service=a/account=x"));
-        AnswerExchange told = sidecar(mControls.mNodes.get(0), Backend.State.SERVING);
-        assertThat(told.settings().nodes()).hasSize(1);
-        assertThat(told.settings().position())
-                .isEqualTo(router(mControls.mNodes.get(0), 0).settings().position());
+    void sidecarReceivesNoClientAccountNodes() {
+        applyChange(change("1", "/service=a", "/account=x", "/service=a/account=x"));
+        AnswerExchange answer = exchangeAsSidecar(mControls.mNodes.get(0), Backend.State.SERVING);
+        assertThat(answer.settings().nodes()).hasSize(1);
+        assertThat(answer.settings().position())
+                .isEqualTo(exchangeAsRouter(mControls.mNodes.get(0), 0).settings().position());
     }
 
-    // An instance is cut off while settings change. It goes on answering, with what it has, and
-    // says that this may be old; in contact again it is up to date and says so.
+    // Partitions one instance. It must keep answering with its settings and report that they may be
+    // stale, until it is in contact again.
     @Test
-    void instanceThatIsCutOffSaysThatItMayBeStale() {
-        accept(change("1", "/service=a"));
-        Node cutOff = mControls.mNodes.get(2);
-        assertThat(router(cutOff, 0).possiblyStale()).isFalse();
-        cutOff.mCutOff = true;
+    void partitionedInstanceReportsThatItMayBeStale() {
+        applyChange(change("1", "/service=a"));
+        Node partitioned = mControls.mNodes.get(2);
+        assertThat(exchangeAsRouter(partitioned, 0).possiblyStale()).isFalse();
+        partitioned.mPartitioned = true;
         mControls.run(2_000);
-        AnswerExchange stale = router(cutOff, 0);
+        AnswerExchange stale = exchangeAsRouter(partitioned, 0);
         assertThat(stale.possiblyStale()).isTrue();
         assertThat(stale.settings().nodes()).hasSize(1);
-        cutOff.mCutOff = false;
+        partitioned.mPartitioned = false;
         mControls.run(2_000);
-        assertThat(router(cutOff, 0).possiblyStale()).isFalse();
+        assertThat(exchangeAsRouter(partitioned, 0).possiblyStale()).isFalse();
     }
 
-    // Account limits are shared out by the count, so an instance must also count the routers that
-    // exchange with others. It hears of them from its peers, and forgets the silent after a minute.
+    // The limits of a client account are divided by the number of routers, so an instance must also
+    // count routers that exchange with its peers. It receives them in peer updates, and must drop a
+    // router after a minute without an exchange.
     @Test
     void routersOfAllInstancesAreCounted() {
         mControls.heal();
         Node asked = mControls.mNodes.get(0);
         for (Node n : mControls.mNodes) {
-            router(n, "router-of-" + n.mId.name(), 0);
-            share(n, asked);
+            exchangeAsRouter(n, "router-of-" + n.mId.name(), 0);
+            sendPeerUpdate(n, asked);
         }
-        assertThat(router(asked, "router-of-c0", 0).routerCount()).isEqualTo(3);
+        assertThat(exchangeAsRouter(asked, "router-of-c0", 0).routerCount()).isEqualTo(3);
         mControls.run(75_000);
-        assertThat(router(asked, "router-of-c0", 0).routerCount()).isEqualTo(1);
+        assertThat(exchangeAsRouter(asked, "router-of-c0", 0).routerCount()).isEqualTo(1);
     }
 
-    private void share(Node from, Node to) {
+    private void sendPeerUpdate(Node from, Node to) {
         List<AnswerPeerUpdate> answers = new ArrayList<>();
         from.call(
                 call ->
@@ -126,37 +129,37 @@
                                 call, "peer", MembershipCursor.NONE, 0, true),
                 a -> answers.add((AnswerPeerUpdate) a));
         mControls.run(10);
-        AnswerPeerUpdate told = answers.get(0);
+        AnswerPeerUpdate update = answers.get(0);
         to.offer(
                 new ControlEvent.PeerUpdateReceived(
                         from.mId.name(),
-                        told.share(),
-                        told.crashes(),
-                        told.routers(),
-                        told.status()));
+                        update.share(),
+                        update.crashes(),
+                        update.routers(),
+                        update.status()));
     }
 
-    // A router has newer settings than the instance that it asks. It must not be given the older
-    // ones as if they were a change.
+    // A router has newer settings than the instance. It must not receive the older ones as a
+    // change, and must be told that the answer may be stale.
     @Test
-    void readerThatIsAheadIsToldNothingAndThatThisMayBeStale() {
-        accept(change("1", "/service=a"));
-        AnswerExchange told = router(mControls.mNodes.get(1), 1_000_000);
-        assertThat(told.settings().isEmpty()).isTrue();
-        assertThat(told.possiblyStale()).isTrue();
+    void readerAheadOfTheInstanceReceivesNoSettings() {
+        applyChange(change("1", "/service=a"));
+        AnswerExchange answer = exchangeAsRouter(mControls.mNodes.get(1), 1_000_000);
+        assertThat(answer.settings().isEmpty()).isTrue();
+        assertThat(answer.possiblyStale()).isTrue();
     }
 
     @Test
-    void drainOrderReachesTheSidecarAndItsDrainingEveryReader() {
+    void drainOrderReachesTheSidecarAndRoutersSeeItDraining() {
         Node node = mControls.mNodes.get(0);
         mControls.heal();
         for (Node n : mControls.mNodes) {
-            sidecar(n, Backend.State.SERVING);
+            exchangeAsSidecar(n, Backend.State.SERVING);
         }
-        accept(new Command.Drain(Instant.EPOCH, "w1", true, "operator"));
-        assertThat(sidecar(node, Backend.State.SERVING).orders().drain()).isTrue();
-        sidecar(node, Backend.State.DRAINING);
-        assertThat(router(node, 0).membership().backends())
+        applyChange(new Command.Drain(Instant.EPOCH, "w1", true, "operator"));
+        assertThat(exchangeAsSidecar(node, Backend.State.SERVING).orders().drain()).isTrue();
+        exchangeAsSidecar(node, Backend.State.DRAINING);
+        assertThat(exchangeAsRouter(node, 0).membership().backends())
                 .extracting(Backend::state)
                 .containsExactly(Backend.State.DRAINING);
     }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/RecordedCalls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/RecordedCalls.java
@@ -11,14 +11,14 @@
 import org.laurelweir.coordination.ControlEvent;
 
 /**
- * Callers that each carry out one command after the other and send one again, to any instance,
- * until they know how it ended; what they saw is recorded.
+ * Simulates callers. Each executes one command after another and sends it again, to any instance,
+ * until it knows the result. The calls are recorded as the callers saw them.
  */
 final class RecordedCalls {
-    private static final long RESEND_MILLIS = 700;
-    private static final long REFUSED_MILLIS = 20;
+    private static final long ANSWER_TIMEOUT_MILLIS = 700;
+    private static final long RETRY_MILLIS = 20;
 
-    final List<Call> mEnded = new ArrayList<>();
+    final List<Call> mCompleted = new ArrayList<>();
     private final SimulatedControls mControls;
 
     RecordedCalls(SimulatedControls controls) {
@@ -26,27 +26,31 @@
     }
 
     /**
-     * One command as its caller saw it.
+     * A completed command as its caller saw it.
      *
-     * @param began when it was sent first
-     * @param ended when its result was known
+     * @param startedAt when the command was sent first
+     * @param completedAt when the caller knew its result
      */
-    record Call(long began, long ended, Command command, CommandResult result) {}
+    record Call(long startedAt, long completedAt, Command command, CommandResult result) {}
 
-    /** Carries a command out and passes it on with its result. */
-    void carryOut(Command command, BiConsumer<Command, CommandResult> then) {
+    /**
+     * Executes a command.
+     *
+     * @param then receives the command and its result
+     */
+    void execute(Command command, BiConsumer<Command, CommandResult> then) {
         new Sender(command, then).send();
     }
 
     private final class Sender {
         private final Command mCommand;
-        private final BiConsumer<Command, CommandResult> mThen;
-        private final long mBegan = mControls.now();
+        private final BiConsumer<Command, CommandResult> mOnResult;
+        private final long mStartedAt = mControls.now();
         private int mSends;
 
         Sender(Command command, BiConsumer<Command, CommandResult> then) {
             mCommand = command;
-            mThen = then;
+            mOnResult = then;
         }
 
         void send() {
@@ -55,9 +59,9 @@
             nodes.get(mControls.mRandom.nextInt(nodes.size()))
                     .call(
                             call -> new ControlEvent.CommandReceived(call, mCommand),
-                            answer -> take(send, answer));
-            // The answer may be lost, or the instance with it.
-            sendAgain(send, RESEND_MILLIS);
+                            answer -> onAnswer(send, answer));
+            // The answer, or the instance with the call, may be lost.
+            sendAgain(send, ANSWER_TIMEOUT_MILLIS);
         }
 
         private void sendAgain(int send, long millis) {
@@ -70,16 +74,16 @@
                     });
         }
 
-        private void take(int send, Answer answer) {
+        private void onAnswer(int send, Answer answer) {
             if (mSends < 0) {
                 return;
             }
             if (answer instanceof ControlEffect.AnswerCommand a) {
                 mSends = Integer.MIN_VALUE;
-                mEnded.add(new Call(mBegan, mControls.now(), mCommand, a.result()));
-                mThen.accept(mCommand, a.result());
+                mCompleted.add(new Call(mStartedAt, mControls.now(), mCommand, a.result()));
+                mOnResult.accept(mCommand, a.result());
             } else {
-                sendAgain(send, REFUSED_MILLIS);
+                sendAgain(send, RETRY_MILLIS);
             }
         }
     }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SettingsHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SettingsHistoryTest.java
@@ -17,45 +17,50 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.SettingsNode;
 
-/** Compare-and-set of settings is linearizable whatever happens to the instances between. */
+/**
+ * Tests that compare-and-set of settings is linearizable while instances crash and are partitioned.
+ */
 class SettingsHistoryTest {
     private static final int CALLERS = 4;
     private static final List<String> PATHS = List.of("/service=a", "/service=b");
 
-    private int mChanges;
+    private int mChangeCount;
 
-    // Operators change two nodes under the versions that they saw last, and resend changes whose
-    // answer was lost, while instances crash, are cut off and come back with what they had synced.
-    // Each accepted change must follow the one whose version it named, in an order that agrees with
-    // what callers saw one after the other; each refused one must name a version in force
-    // meanwhile.
+    // Operators change two nodes with the versions that they saw last, and resend changes whose
+    // answer was lost, while instances crash, are partitioned and recover what they had synced.
+    // Each accepted change must follow the change whose version it expects, in an order that agrees
+    // with the real-time order of the calls. Each conflict must name a version that was in force
+    // during the call.
     @Property(tries = 40, seed = "1501")
     void compareAndSetIsLinearizable(@ForAll long seed) {
         SimulatedControls controls = new SimulatedControls(3, seed);
         RecordedCalls calls = new RecordedCalls(controls);
         Map<String, Long> seen = new HashMap<>();
-        mChanges = 0;
+        mChangeCount = 0;
         for (int caller = 0; caller < CALLERS; caller++) {
             changeNext(controls, calls, seen, 25);
         }
-        disturb(controls, 12);
+        injectFaults(controls, 12);
         controls.run(12_000);
         controls.heal();
-        controls.runUntil(() -> calls.mEnded.size() == CALLERS * 25);
-        assertThat(calls.mEnded).hasSize(CALLERS * 25);
-        new HistoryCheck(calls.mEnded).verify();
+        controls.runUntil(() -> calls.mCompleted.size() == CALLERS * 25);
+        assertThat(calls.mCompleted).hasSize(CALLERS * 25);
+        new HistoryCheck(calls.mCompleted).verify();
     }
 
     private void changeNext(
-            SimulatedControls controls, RecordedCalls calls, Map<String, Long> seen, int left) {
-        if (left == 0) {
+            SimulatedControls controls,
+            RecordedCalls calls,
+            Map<String, Long> seen,
+            int remaining) {
+        if (remaining == 0) {
             return;
         }
         String path = PATHS.get(controls.mRandom.nextInt(PATHS.size()));
         Command change =
                 new Command.ChangeSettings(
                         Instant.EPOCH,
-                        "change-" + mChanges++,
+                        "change-" + mChangeCount++,
                         "caller",
                         List.of(
                                 new Command.NodeChange(
@@ -64,23 +69,23 @@
                                         Map.of(),
                                         List.of(),
                                         false)));
-        calls.carryOut(
+        calls.execute(
                 change,
                 (c, result) -> {
-                    learn(seen, result);
+                    recordVersions(seen, result);
                     controls.after(
                             controls.mRandom.nextInt(100),
-                            () -> changeNext(controls, calls, seen, left - 1));
+                            () -> changeNext(controls, calls, seen, remaining - 1));
                 });
     }
 
-    private static void learn(Map<String, Long> seen, CommandResult result) {
+    private static void recordVersions(Map<String, Long> seen, CommandResult result) {
         for (SettingsNode n : ((SettingsResult) result).answer().nodes()) {
             seen.merge(n.path().toString(), n.version(), Math::max);
         }
     }
 
-    static void disturb(SimulatedControls controls, int times) {
+    static void injectFaults(SimulatedControls controls, int times) {
         for (int i = 0; i < times; i++) {
             Node node = controls.mNodes.get(controls.mRandom.nextInt(controls.mNodes.size()));
             long at = 500 + controls.mRandom.nextInt(10_000);
@@ -95,13 +100,13 @@
                             }
                         });
             } else {
-                controls.after(at, () -> node.mCutOff = true);
-                controls.after(until, () -> node.mCutOff = false);
+                controls.after(at, () -> node.mPartitioned = true);
+                controls.after(until, () -> node.mPartitioned = false);
             }
         }
     }
 
-    /** Checks one recorded history. */
+    /** Checks a recorded history for linearizability. */
     private static final class HistoryCheck {
         private final List<Call> mCalls;
         private final Map<String, TreeMap<Long, Call>> mAccepted = new HashMap<>();
@@ -110,11 +115,11 @@
             mCalls = calls;
             for (Call c : calls) {
                 if (code(c) == ResultCode.OK) {
-                    Call twice =
+                    Call duplicate =
                             mAccepted
                                     .computeIfAbsent(path(c), p -> new TreeMap<>())
                                     .put(position(c), c);
-                    assertThat(twice).isNull();
+                    assertThat(duplicate).isNull();
                 }
             }
         }
@@ -137,7 +142,7 @@
 
         private void verifyRealTime(Call c) {
             for (Call earlier : mCalls) {
-                if (code(earlier) == ResultCode.OK && earlier.ended() < c.began()) {
+                if (code(earlier) == ResultCode.OK && earlier.completedAt() < c.startedAt()) {
                     assertThat(position(earlier)).isLessThan(position(c));
                 }
             }
@@ -147,10 +152,10 @@
             long winner = ((SettingsResult) c.result()).answer().nodes().get(0).version();
             TreeMap<Long, Call> accepted = mAccepted.get(path(c));
             assertThat(accepted).containsKey(winner);
-            assertThat(accepted.get(winner).began()).isLessThanOrEqualTo(c.ended());
+            assertThat(accepted.get(winner).startedAt()).isLessThanOrEqualTo(c.completedAt());
             Map.Entry<Long, Call> next = accepted.higherEntry(winner);
             if (next != null) {
-                assertThat(next.getValue().ended()).isGreaterThanOrEqualTo(c.began());
+                assertThat(next.getValue().completedAt()).isGreaterThanOrEqualTo(c.startedAt());
             }
         }
 
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -27,12 +27,13 @@
 import org.laurelweir.wire.CommandCodec;
 
 /**
- * Control reducers whose messages, disks and clocks are driven by one seed: messages are late, lost
- * or doubled, instances crash and forget what was not synced, clocks differ.
+ * Simulates control instances: their messages, disks and clocks are driven by one seed. Messages
+ * are delayed, lost or duplicated, instances crash and lose writes that were not synced, and clocks
+ * differ.
  */
 final class SimulatedControls {
     private static final int TICK_MILLIS = 20;
-    private static final int SNAPSHOT_EVERY = 40;
+    private static final int ENTRIES_PER_SNAPSHOT = 40;
 
     final Random mRandom;
     final List<Node> mNodes = new ArrayList<>();
@@ -68,7 +69,7 @@
         mQueue.add(new Scheduled(mNow + millis, mScheduled++, action));
     }
 
-    /** Lets time pass in milliseconds. */
+    /** Advances the time by some milliseconds and runs the actions that are due. */
     void run(long millis) {
         long end = mNow + millis;
         while (!mQueue.isEmpty() && mQueue.peek().at() <= end) {
@@ -79,31 +80,31 @@
         mNow = end;
     }
 
-    /** Lets time pass until something holds, a minute at most. */
+    /** Advances the time until a condition holds, by a minute at most. */
     void runUntil(BooleanSupplier holds) {
         for (int i = 0; i < 600 && !holds.getAsBoolean(); i++) {
             run(100);
         }
     }
 
-    /** Returns the bytes of all entries that were written to disks. */
+    /** Returns the total size of the entries that were written to disks. */
     long loggedBytes() {
         return mLoggedBytes;
     }
 
-    /** Starts all that are down and lets messages arrive from now on. */
+    /** Starts all stopped instances and ends partitions and message loss. */
     void heal() {
         mLossy = false;
         mNodes.stream().filter(n -> n.mReducer == null).forEach(Node::start);
-        mNodes.forEach(n -> n.mCutOff = false);
+        mNodes.forEach(n -> n.mPartitioned = false);
     }
 
     Node node(String name) {
         return mNodes.stream().filter(n -> n.mId.name().equals(name)).findFirst().orElse(null);
     }
 
-    private boolean happens(double share) {
-        return mLossy && mRandom.nextDouble() < share;
+    private boolean occurs(double probability) {
+        return mLossy && mRandom.nextDouble() < probability;
     }
 
     private record Scheduled(long at, long order, Runnable action)
@@ -115,18 +116,18 @@
         }
     }
 
-    /** One instance with its disk. */
+    /** A simulated instance with its disk. */
     final class Node {
         final ReplicaId mId;
-        final Duration mClockError = Duration.ofMillis(mRandom.nextInt(10_000));
+        final Duration mClockSkew = Duration.ofMillis(mRandom.nextInt(10_000));
         final Map<Long, Consumer<ControlEffect.Answer>> mCalls = new HashMap<>();
         ControlReducer mReducer;
-        boolean mCutOff;
+        boolean mPartitioned;
         private final TreeMap<Long, LogEntry> mLog = new TreeMap<>();
         private HardState mHardState = HardState.INITIAL;
         private Snapshot mSnapshot = Snapshot.NONE;
-        private int mRun;
-        private long mDiskCommitted;
+        private int mIncarnation;
+        private long mDiskCommitIndex;
         private long mDiskBusyUntil;
 
         Node(ReplicaId id) {
@@ -134,15 +135,17 @@
         }
 
         void start() {
-            mRun++;
-            ConsensusConfig agreement =
+            mIncarnation++;
+            ConsensusConfig consensus =
                     ConsensusConfig.builder()
                             .electionTimeout(Duration.ofMillis(500))
                             .heartbeatInterval(Duration.ofMillis(80))
-                            .snapshots(SNAPSHOT_EVERY, SNAPSHOT_EVERY / 4, 4096)
+                            .snapshots(ENTRIES_PER_SNAPSHOT, ENTRIES_PER_SNAPSHOT / 4, 4096)
                             .build();
             ControlConfig config =
-                    ControlConfig.builder(mId, mRun, mAddresses).consensus(agreement).build();
+                    ControlConfig.builder(mId, mIncarnation, mAddresses)
+                            .consensus(consensus)
+                            .build();
             mReducer = new ControlReducer(config, new CommandCodec(), mRandom.nextLong());
             mCalls.clear();
             List<LogEntry> entries =
@@ -150,47 +153,47 @@
             offer(
                     new ControlEvent.ReplicaEvent(
                             new ConsensusEvent.Recovered(
-                                    mHardState, mSnapshot, entries, mDiskCommitted)));
-            tick(mRun);
+                                    mHardState, mSnapshot, entries, mDiskCommitIndex)));
+            tick(mIncarnation);
         }
 
         void crash() {
             mReducer = null;
         }
 
-        private void tick(int run) {
-            if (mReducer != null && run == mRun) {
+        private void tick(int incarnation) {
+            if (mReducer != null && incarnation == mIncarnation) {
                 offer(new ControlEvent.Tick());
-                after(TICK_MILLIS, () -> tick(run));
+                after(TICK_MILLIS, () -> tick(incarnation));
             }
         }
 
         void offer(ControlEvent event) {
             if (mReducer != null) {
-                Instant local = Instant.ofEpochMilli(mNow).plus(mClockError);
-                mReducer.step(local, event, this::take);
+                Instant local = Instant.ofEpochMilli(mNow).plus(mClockSkew);
+                mReducer.step(local, event, this::execute);
             }
         }
 
-        /** Makes a call; its answer may never come. */
+        /** Makes a call. The answer may be lost. */
         void call(LongFunction<ControlEvent> event, Consumer<ControlEffect.Answer> answer) {
             long call = ++mLastCall;
             mCalls.put(call, answer);
             offer(event.apply(call));
         }
 
-        private void take(ControlEffect effect) {
+        private void execute(ControlEffect effect) {
             if (effect instanceof ControlEffect.Answer a) {
-                Consumer<ControlEffect.Answer> taker = mCalls.remove(a.call());
-                if (taker != null && !happens(0.1)) {
-                    after(1, () -> taker.accept(a));
+                Consumer<ControlEffect.Answer> callback = mCalls.remove(a.call());
+                if (callback != null && !occurs(0.1)) {
+                    after(1, () -> callback.accept(a));
                 }
             } else if (effect instanceof ControlEffect.SendToReplica s) {
                 send(s.send());
             } else if (effect instanceof ControlEffect.Persist p) {
-                persist(p.persist(), mRun);
-            } else if (effect instanceof ControlEffect.MarkCommitted m && happens(0.5)) {
-                mDiskCommitted = m.index();
+                persist(p.persist(), mIncarnation);
+            } else if (effect instanceof ControlEffect.MarkCommitted m && occurs(0.5)) {
+                mDiskCommitIndex = m.index();
             } else if (effect instanceof ControlEffect.EncodeSnapshot s) {
                 byte[] state = new CommandCodec().encode(s.snapshot());
                 offerLater(
@@ -201,18 +204,18 @@
         }
 
         private void offerLater(long millis, ControlEvent event) {
-            int run = mRun;
+            int incarnation = mIncarnation;
             after(
                     millis,
                     () -> {
-                        if (run == mRun) {
+                        if (incarnation == mIncarnation) {
                             offer(event);
                         }
                     });
         }
 
         private void send(ConsensusEffect.Send s) {
-            int copies = happens(0.05) ? 0 : happens(0.05) ? 2 : 1;
+            int copies = occurs(0.05) ? 0 : occurs(0.05) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 after(1 + mRandom.nextInt(15), () -> deliver(s));
             }
@@ -220,20 +223,23 @@
 
         private void deliver(ConsensusEffect.Send s) {
             Node to = node(s.to().name());
-            if (!mCutOff && !to.mCutOff && to.mId.equals(s.to())) {
+            if (!mPartitioned && !to.mPartitioned && to.mId.equals(s.to())) {
                 to.offer(
                         new ControlEvent.ReplicaEvent(
                                 new ConsensusEvent.MessageReceived(mId, s.message())));
             }
         }
 
-        /** Writes come to the disk in order; a crash loses those that have not. */
-        private void persist(ConsensusEffect.Persist p, int run) {
+        /**
+         * Writes an effect to the disk after a delay. Writes reach the disk in order; a crash loses
+         * those that have not reached it.
+         */
+        private void persist(ConsensusEffect.Persist p, int incarnation) {
             mDiskBusyUntil = Math.max(mNow, mDiskBusyUntil) + 1 + mRandom.nextInt(4);
             after(
                     mDiskBusyUntil - mNow,
                     () -> {
-                        if (run == mRun && mReducer != null) {
+                        if (incarnation == mIncarnation && mReducer != null) {
                             write(p);
                             offer(
                                     new ControlEvent.ReplicaEvent(
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/WholeTreeHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/WholeTreeHistoryTest.java
@@ -22,24 +22,27 @@
 import org.laurelweir.settings.SettingsNode;
 
 /**
- * Operators send whole trees, each under a revision of its own, to any instance, while messages are
- * lost and instances crash. The log holds what each tree has other than the one before.
+ * Tests operators that send whole trees, each with its own revision, to any instance, while
+ * messages are lost and instances crash. The log stores the difference of each tree to the one
+ * before.
  */
 class WholeTreeHistoryTest {
     private static final int INSTANCES = 3;
     private static final int ROUTES = 60;
     private static final int TREES = 60;
 
-    private final Map<Long, Integer> mSent = new HashMap<>();
+    /** The number of the route that each sent tree omits, by revision. */
+    private final Map<Long, Integer> mOmittedRoutes = new HashMap<>();
+
     private long mRevision;
     private long mAcknowledged;
 
-    private static Map<String, Map<String, String>> tree(long revision, int changed) {
+    private static Map<String, Map<String, String>> tree(long revision, int omittedRoute) {
         Map<String, Map<String, String>> nodes = new TreeMap<>();
         nodes.put("/", Map.of());
         nodes.put("/service=s", Map.of("service.kind", "routed"));
         for (int i = 0; i < ROUTES; i++) {
-            if (i != changed) {
+            if (i != omittedRoute) {
                 Map<String, String> route = new HashMap<>();
                 route.put("route.host", "h");
                 route.put("route.path-prefix", "/" + i + "/");
@@ -51,21 +54,21 @@
         return nodes;
     }
 
-    private static String source(long revision, int changed) {
-        return "{\"version\":" + revision + ",\"routes\":" + tree(revision, changed) + "}";
+    private static String source(long revision, int omittedRoute) {
+        return "{\"version\":" + revision + ",\"routes\":" + tree(revision, omittedRoute) + "}";
     }
 
     private void send(SimulatedControls controls) {
         long revision = ++mRevision;
-        int changed = controls.mRandom.nextInt(ROUTES);
-        mSent.put(revision, changed);
+        int omittedRoute = controls.mRandom.nextInt(ROUTES);
+        mOmittedRoutes.put(revision, omittedRoute);
         Command whole =
                 new Command.ReplaceSettings(
                         Instant.EPOCH,
                         revision,
                         "operator",
-                        tree(revision, changed),
-                        source(revision, changed));
+                        tree(revision, omittedRoute),
+                        source(revision, omittedRoute));
         for (SimulatedControls.Node n : controls.mNodes) {
             n.call(
                     call -> new ControlEvent.CommandReceived(call, whole),
@@ -78,35 +81,35 @@
         }
     }
 
-    // A tree that had been acknowledged was gone, another one was read back under its revision, or
-    // an operator whose tree had been overtaken by another one was never answered.
+    // Guards against an acknowledged tree that is lost, another tree that is read under its
+    // revision, and an operator who gets no answer because another tree was applied in between.
     @Property(seed = "5", tries = 40, shrinking = ShrinkingMode.OFF)
-    void whatWasAcknowledgedIsReadBackAsItWasSent(@ForAll long seed) {
+    void acknowledgedTreeIsReadBackUnchanged(@ForAll long seed) {
         SimulatedControls controls = new SimulatedControls(INSTANCES, seed);
         controls.run(3_000);
         for (int i = 0; i < TREES; i++) {
             send(controls);
             controls.run(controls.mRandom.nextInt(4) == 0 ? 0 : controls.mRandom.nextInt(200));
-            disturb(controls);
+            injectFault(controls);
         }
         controls.heal();
-        AtomicBoolean isTaken = new AtomicBoolean();
+        AtomicBoolean isAccepted = new AtomicBoolean();
         controls.runUntil(
                 () -> {
                     send(controls);
                     long last = mRevision;
                     controls.run(500);
-                    isTaken.set(mAcknowledged == last);
-                    return isTaken.get();
+                    isAccepted.set(mAcknowledged == last);
+                    return isAccepted.get();
                 });
-        assertThat(isTaken).isTrue();
+        assertThat(isAccepted).isTrue();
         controls.run(3_000);
         for (SimulatedControls.Node n : controls.mNodes) {
-            assertHoldsWhatWasSent(controls, n);
+            assertHoldsLastAcknowledgedTree(controls, n);
         }
     }
 
-    private static void disturb(SimulatedControls controls) {
+    private static void injectFault(SimulatedControls controls) {
         SimulatedControls.Node n = controls.mNodes.get(controls.mRandom.nextInt(INSTANCES));
         switch (controls.mRandom.nextInt(12)) {
             case 0 -> n.crash();
@@ -115,13 +118,14 @@
                     n.start();
                 }
             }
-            case 4 -> n.mCutOff = true;
-            case 5, 6, 7 -> n.mCutOff = false;
+            case 4 -> n.mPartitioned = true;
+            case 5, 6, 7 -> n.mPartitioned = false;
             default -> {}
         }
     }
 
-    private void assertHoldsWhatWasSent(SimulatedControls controls, SimulatedControls.Node n) {
+    private void assertHoldsLastAcknowledgedTree(
+            SimulatedControls controls, SimulatedControls.Node n) {
         AtomicReference<AnswerSource> source = new AtomicReference<>();
         AtomicReference<List<SettingsNode>> nodes = new AtomicReference<>();
         controls.mNodes.forEach(
@@ -139,14 +143,15 @@
         controls.run(1_000);
         long revision = source.get().revision();
         assertThat(revision).isEqualTo(mAcknowledged);
-        int changed = mSent.get(revision);
-        assertThat(source.get().source()).isEqualTo(source(revision, changed));
+        int omittedRoute = mOmittedRoutes.get(revision);
+        assertThat(source.get().source()).isEqualTo(source(revision, omittedRoute));
         Map<String, Map<String, String>> held = new TreeMap<>();
         nodes.get().forEach(node -> held.put(node.path().toString(), node.values()));
-        assertThat(held).isEqualTo(tree(revision, changed));
+        assertThat(held).isEqualTo(tree(revision, omittedRoute));
     }
 
-    // Each change of one value sent the whole tree to every replica, and a start read them all.
+    // Guards against a change of one value that sends the whole tree to every replica, all of which
+    // a start would read.
     @Example
     void aChangeOfOneValueIsASmallEntry() {
         SimulatedControls controls = new SimulatedControls(INSTANCES, 1);
@@ -163,9 +168,10 @@
         assertThat(controls.loggedBytes() - whole).isLessThan(whole);
     }
 
-    // The second of two operators, whose tree differed from one that had just gone, got no answer.
+    // Guards against a second operator who gets no answer because another tree, from which this one
+    // differs, was sent just before.
     @Example
-    void twoTreesAtTheSameMomentAreBothTaken() {
+    void twoConcurrentTreesAreBothAccepted() {
         SimulatedControls controls = new SimulatedControls(INSTANCES, 2);
         controls.heal();
         controls.run(3_000);
@@ -175,6 +181,6 @@
             controls.run(1_000);
             assertThat(mAcknowledged).isEqualTo(mRevision);
         }
-        controls.mNodes.forEach(n -> assertHoldsWhatWasSent(controls, n));
+        controls.mNodes.forEach(n -> assertHoldsLastAcknowledgedTree(controls, n));
     }
 }
