--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -59,7 +59,7 @@
     private final Set<String> mPendingUpdates = ConcurrentHashMap.newKeySet();
 
     /**
-     * Creates the calls.
+     * Creates a client for the calls to other control instances.
      *
      * @param self this instance with its storage id
      * @param addresses the other control instances by name, host:port
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/SettingsMessages.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/SettingsMessages.java
@@ -7,17 +7,20 @@
 import org.laurelweir.wire.v1.ExchangeRequest;
 
 /**
- * Encodes the settings that routers lack, once for all routers that lack the same. When all
- * instances start at once, each router asks for the whole tree at the same time, and after a change
- * each asks for the same nodes. Encoding the answer for each router separately would multiply the
- * processor time and the memory, on an instance that has just started.
+ * Encodes the settings that routers lack, once for all routers that lack the same settings. When
+ * all instances start at once, each router asks for the whole tree at the same time, and after a
+ * change each asks for the same nodes. Encoding the answer for each router separately would
+ * multiply the processor time and the memory on an instance that has just started.
  *
  * <p>Large messages are packed for readers that support it. Otherwise a full tree of some thousand
  * nodes would occupy the link of a small machine for most of the time that a router waits for an
  * answer, and a router that times out starts over at the next instance. Thread-safe.
  */
 final class SettingsMessages {
-    /** Number of cached messages. More than one reader asks only for the newest positions. */
+    /**
+     * Maximum number of cached messages. Only the newest positions are requested by more than one
+     * reader.
+     */
     private static final int MAX_CACHED = 4;
 
     /** Messages with at least this many nodes are packed, which is a few kilobytes. */
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/AutoJoinTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/AutoJoinTest.java
@@ -54,7 +54,8 @@
     }
 
     /**
-     * Waits until there are three voters, with one instance among them and another one no longer.
+     * Waits until there are three voters that include one instance. Another one must not be among
+     * them any more.
      */
     private static void awaitVoterReplaced(ControlFleet fleet, String voter, String lost) {
         ControlStatus after =
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ClaimHistoryTest.java
@@ -135,7 +135,8 @@
                 assertThat(other).as("two replaced %s", claim.replaces()).isNull();
             }
         }
-        // There may be none: the first holder may have been replaced before it received its answer.
+        // The set may be empty: the first holder may have been replaced before it received its
+        // answer.
         assertThat(firstHolders).hasSizeLessThanOrEqualTo(1);
         verifyNoHolderAfterItsReplacement(calls, replacedBy);
     }
