--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/Effects.java
@@ -12,13 +12,13 @@
 import org.laurelweir.sidecar.rpc.PeerSidecars;
 import org.laurelweir.sidecar.rpc.SidecarService;
 
-/** Carries the decisions out. Only the decision loop's thread calls it. */
+/** Executes the reducer's effects. Only the decision loop's thread calls it. */
 final class Effects implements Consumer<SidecarEffect> {
-    private final Parts mParts;
-    private final CountDownLatch mStopped = new CountDownLatch(1);
+    private final Collaborators mCollaborators;
+    private final CountDownLatch mStoppedLatch = new CountDownLatch(1);
 
-    /** What effects are carried out by. */
-    record Parts(
+    /** The objects that execute the effects. */
+    record Collaborators(
             AttemptStreams streams,
             SidecarService service,
             BackendClient backend,
@@ -27,67 +27,73 @@
             ControlExchange exchange,
             DecisionRing ring,
             SidecarMetrics metrics,
-            Consumer<SidecarEffect.Superseded> superseded) {}
+            Consumer<SidecarEffect.Superseded> onSuperseded) {}
 
-    Effects(Parts parts) {
-        mParts = parts;
+    Effects(Collaborators collaborators) {
+        mCollaborators = collaborators;
     }
 
-    /** Returns what opens once everything in flight has ended after a stop was requested. */
-    CountDownLatch stopped() {
-        return mStopped;
+    /**
+     * Returns the latch that opens once a stop was requested and everything in flight has ended.
+     */
+    CountDownLatch stoppedLatch() {
+        return mStoppedLatch;
     }
 
     @Override
     public void accept(SidecarEffect effect) {
         if (effect instanceof SidecarEffect.SendFrame e) {
-            mParts.metrics().sent(e.frame().frame());
-            mParts.streams().send(e.stream(), e.frame());
+            mCollaborators.metrics().countAttemptEnd(e.frame().frame());
+            mCollaborators.streams().send(e.stream(), e.frame());
         } else if (effect instanceof SidecarEffect.CloseStream e) {
-            mParts.streams().close(e.stream());
+            mCollaborators.streams().close(e.stream());
         } else if (effect instanceof SidecarEffect.StartEngineCall e) {
-            mParts.metrics().did("start");
-            mParts.backend().start(e.request());
+            mCollaborators.metrics().countAction("start");
+            mCollaborators.backend().start(e.request());
         } else if (effect instanceof SidecarEffect.CancelEngineCall e) {
-            mParts.metrics().did("cancel");
-            mParts.backend().cancel(e.attempt());
+            mCollaborators.metrics().countAction("cancel");
+            mCollaborators.backend().cancel(e.attempt());
         } else if (effect instanceof SidecarEffect.SetEngineCallReading e) {
-            mParts.backend().setReading(e.attempt(), e.reading());
+            mCollaborators.backend().setReading(e.attempt(), e.reading());
         } else if (effect instanceof SidecarEffect.LogDecision e) {
-            mParts.metrics().decided(e.decision());
-            mParts.ring().add(e.decision());
+            mCollaborators.metrics().countDecision(e.decision());
+            mCollaborators.ring().add(e.decision());
             DecisionLog.write(e.decision());
         } else {
-            acceptRarer(effect);
+            acceptOther(effect);
         }
     }
 
-    private void acceptRarer(SidecarEffect effect) {
+    private void acceptOther(SidecarEffect effect) {
         if (effect instanceof SidecarEffect.AnswerRevoke e) {
-            mParts.metrics().did("revoke");
-            mParts.service().answer(e);
+            mCollaborators.metrics().countAction("revoke");
+            mCollaborators.service().answer(e);
         } else if (effect instanceof SidecarEffect.SendExchange e) {
-            mParts.metrics().reported(e.report());
-            mParts.exchange().send(e);
+            mCollaborators.metrics().setReport(e.report());
+            mCollaborators.exchange().send(e);
         } else if (effect instanceof SidecarEffect.LocateChats e) {
-            mParts.metrics().did("ask_chats");
-            mParts.peers().ask(e);
+            mCollaborators.metrics().countAction("ask_chats");
+            mCollaborators.peers().locateChats(e);
         } else if (effect instanceof SidecarEffect.AnswerLocateChats e) {
-            mParts.service().answer(e);
+            mCollaborators.service().answer(e);
         } else if (effect instanceof SidecarEffect.HandOverChats e) {
-            mParts.metrics().did("hand_over_chats");
-            mParts.peers().handOver(e);
+            mCollaborators.metrics().countAction("hand_over_chats");
+            mCollaborators.peers().handOverChats(e);
         } else if (effect instanceof SidecarEffect.PassOrder e) {
-            mParts.metrics().did("pass_order");
-            mParts.orders()
-                    .pass(e, (code, said) -> mParts.service().answerOrder(e.call(), code, said));
+            mCollaborators.metrics().countAction("pass_order");
+            mCollaborators
+                    .orders()
+                    .pass(
+                            e,
+                            (code, message) ->
+                                    mCollaborators.service().answerOrder(e.call(), code, message));
         } else if (effect instanceof SidecarEffect.RefuseOrder e) {
-            mParts.metrics().did("refuse_order");
-            mParts.service().answerOrder(e.call(), e.code(), e.message());
+            mCollaborators.metrics().countAction("refuse_order");
+            mCollaborators.service().answerOrder(e.call(), e.code(), e.message());
         } else if (effect instanceof SidecarEffect.Superseded e) {
-            mParts.superseded().accept(e);
+            mCollaborators.onSuperseded().accept(e);
         } else if (effect instanceof SidecarEffect.Stopped) {
-            mStopped.countDown();
+            mStoppedLatch.countDown();
         }
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarFile.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarFile.java
@@ -11,26 +11,27 @@
 import org.laurelweir.runtime.log.LogSettings;
 
 /**
- * A sidecar's own settings file. What holds for its service comes from control's settings tree.
+ * A sidecar's own settings file. The settings of its service come from control's settings tree.
  *
  * @param name the backend server's name, unique in the deployment
  * @param service the service that the backend server belongs to
- * @param region where it stands
- * @param dataCentre where it stands
- * @param listen where routers reach it; with port 0 the operating system chooses
- * @param announce where routers are told to reach it, if a forwarder stands in between
- * @param portFile where to write the port
- * @param metricsListen where metrics, health and readiness are served
- * @param metricsPortFile where to write their port
- * @param backend where the backend server listens
- * @param refusalStatuses the backend server's HTTP statuses that are documented to mean that a call
- *     was refused before it was run
- * @param ordersPath where the backend server takes orders
- * @param weight the backend server's capacity relative to the service's other ones
- * @param controls control instances, the nearest first
- * @param threads event loops for connections
- * @param decisions how many decisions it keeps for {@code explain}
- * @param log how to log
+ * @param region the region that the machine is in
+ * @param dataCentre the data centre that the machine is in
+ * @param listen the address for routers; with port 0 the operating system chooses the port
+ * @param announce the address that routers receive, if it differs from {@code listen} because a
+ *     forwarder stands in between
+ * @param portFile the file to write the port for routers to
+ * @param metricsListen the address that serves metrics, health and readiness
+ * @param metricsPortFile the file to write the port of {@code metricsListen} to
+ * @param backend the address that the backend server listens on
+ * @param refusalStatuses the backend server's HTTP statuses that are documented to mean that it
+ *     rejected a call before running it
+ * @param ordersPath the backend server's HTTP path for orders
+ * @param weight the backend server's capacity relative to the others of its service
+ * @param controls the control instances' addresses, the nearest first
+ * @param threads the number of event loop threads for connections
+ * @param decisions the number of decisions to keep for {@code explain}
+ * @param log the format, level and destination of the log
  */
 @ProgramName("sidecar")
 public record SidecarFile(
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarMetrics.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarMetrics.java
@@ -9,9 +9,9 @@
 import org.laurelweir.membership.SidecarReport;
 import org.laurelweir.runtime.metrics.MetricNames;
 
-/** What a sidecar counts. */
+/** A sidecar's counters and gauges. */
 final class SidecarMetrics {
-    private static final String BYTES = "sidecar.exchange.bytes";
+    private static final String EXCHANGE_BYTES = "sidecar.exchange.bytes";
 
     private final MetricRegistry mRegistry;
     private volatile SidecarReport mReport;
@@ -28,46 +28,49 @@
         mRegistry.register(name, gauge);
     }
 
-    /** Shows what was last reported to control. */
-    void reported(SidecarReport report) {
+    /** Sets the report, last sent to control, whose figures the gauges show. */
+    void setReport(SidecarReport report) {
         mReport = report;
     }
 
-    /** Counts a decision. */
-    void decided(Decision decision) {
+    /** Counts a decision by its reason. */
+    void countDecision(Decision decision) {
         count("sidecar.decisions", "reason", decision.reason());
     }
 
-    /** Counts how attempts end, and the tokens that the backend server reports. */
-    void sent(Frame frame) {
+    /**
+     * Counts an attempt's end by its result code, and the tokens that the backend server reports.
+     * Ignores frames that don't end an attempt.
+     */
+    void countAttemptEnd(Frame frame) {
         if (frame instanceof Frame.End e) {
             count("sidecar.endings", "code", "ok");
             mRegistry.counter("sidecar.tokens.prompt").inc(e.usage().promptTokens());
             mRegistry.counter("sidecar.tokens.cached").inc(e.usage().cachedTokens());
             mRegistry.counter("sidecar.tokens.completion").inc(e.usage().completionTokens());
         } else if (frame instanceof Frame.Failed f) {
-            count("sidecar.endings", "code", lower(f.code().name()));
+            count("sidecar.endings", "code", lowerCase(f.code().name()));
         } else if (frame instanceof Frame.Refused r) {
-            count("sidecar.endings", "code", lower(r.code().name()));
+            count("sidecar.endings", "code", lowerCase(r.code().name()));
         }
     }
 
-    /** Counts something else that was done. */
-    void did(String what) {
-        count("sidecar.actions", "kind", what);
+    /** Counts an action by its kind. */
+    void countAction(String kind) {
+        count("sidecar.actions", "kind", kind);
     }
 
-    /** Shows the bytes exchanged with control. */
-    void showControlBytes(Supplier<Number> sent, Supplier<Number> received) {
-        gauge(MetricNames.labelled(BYTES, "direction", "out"), sent);
-        gauge(MetricNames.labelled(BYTES, "direction", "in"), received);
+    /** Registers gauges for the bytes exchanged with control. */
+    void registerControlBytes(Supplier<Number> sent, Supplier<Number> received) {
+        gauge(MetricNames.labelled(EXCHANGE_BYTES, "direction", "out"), sent);
+        gauge(MetricNames.labelled(EXCHANGE_BYTES, "direction", "in"), received);
     }
 
     private void count(String name, String label, String value) {
         mRegistry.counter(MetricNames.labelled(name, label, value)).inc();
     }
 
-    private static String lower(String name) {
+    private static String lowerCase(String name) {
         return name.toLowerCase(Locale.ROOT);
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
@@ -34,18 +34,18 @@
 import org.laurelweir.sidecar.rpc.PeerSidecars;
 import org.laurelweir.sidecar.rpc.SidecarService;
 
-/** A sidecar with all of its parts. */
+/** The sidecar: creates its components and connects, starts and stops them. */
 public final class SidecarProgram implements Service {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    /** What waits or is kept is looked at so often; finer than any time that settings allow for. */
-    private static final Duration TICK = Duration.ofMillis(20);
+    /** How often the reducer checks timeouts; shorter than any duration that settings allow. */
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
 
     private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration LAST_EXCHANGE_TIMEOUT = Duration.ofSeconds(2);
 
-    /** The decision loop ends a stop by drain.timeout, which can't be set above a day. */
-    private static final Duration LONGEST_STOP = Duration.ofDays(1).plusMinutes(1);
+    /** The decision loop ends a stop after drain.timeout, whose maximum is one day. */
+    private static final Duration MAX_STOP_TIME = Duration.ofDays(1).plusMinutes(1);
 
     private final SidecarFile mFile;
     private final Consumer<String> mOut;
@@ -60,16 +60,16 @@
     private final Effects mEffects;
     private final ReducerLoop<SidecarEvent, SidecarEffect> mLoop;
     private final long mIncarnation;
-    private volatile SidecarIdentity mSelf;
+    private volatile SidecarIdentity mIdentity;
     private SidecarReducer mReducer;
     private MetricsServer mMetricsServer;
 
     /**
-     * Creates a sidecar; it listens once started.
+     * Creates a sidecar that listens once started.
      *
      * @param file its settings file
-     * @param clock the time, which also gives the incarnation
-     * @param out takes the line that tells where it listens
+     * @param clock the source of time; the time of the call becomes the incarnation
+     * @param out takes the line that names the address it listens on
      */
     public SidecarProgram(SidecarFile file, InstantSource clock, Consumer<String> out) {
         mFile = file;
@@ -82,7 +82,7 @@
         mExchangeClient =
                 new ExchangeClient(
                         file.controls().stream().map(Endpoint::toString).toList(), CONTROL_TIMEOUT);
-        mExchange = exchange(file);
+        mExchange = createExchange(file);
         BackendClient backend = new BackendClient(mLoops, file.backend(), this::offer);
         mProbe = new BackendProbe(mLoops, backend, this::offer);
         DecisionRing ring = new DecisionRing(file.decisions());
@@ -96,7 +96,7 @@
                         .build();
         mEffects =
                 new Effects(
-                        new Effects.Parts(
+                        new Effects.Collaborators(
                                 streams,
                                 service,
                                 backend,
@@ -105,29 +105,29 @@
                                         mChannels, file.name(), file.service(), this::offer),
                                 mExchange,
                                 ring,
-                                metrics(),
-                                this::superseded));
+                                createMetrics(),
+                                this::onSuperseded));
         mLoop =
                 new ReducerLoop<>(
                         "sidecar-decide",
                         (now, event, effects) -> mReducer.step(now, event, effects),
                         clock,
                         new SidecarEvent.Tick(),
-                        TICK,
+                        TICK_INTERVAL,
                         mEffects,
                         Program::halt);
     }
 
-    private ControlExchange exchange(SidecarFile file) {
+    private ControlExchange createExchange(SidecarFile file) {
         SettingsContext context =
                 SettingsContext.of(file.region(), file.dataCentre()).with(file.service(), null);
         return new ControlExchange(
                 mExchangeClient, context, Set.copyOf(file.refusalStatuses()), this::offer);
     }
 
-    private SidecarMetrics metrics() {
+    private SidecarMetrics createMetrics() {
         SidecarMetrics metrics = new SidecarMetrics(mRegistry);
-        metrics.showControlBytes(mExchangeClient::bytesSent, mExchangeClient::bytesReceived);
+        metrics.registerControlBytes(mExchangeClient::bytesSent, mExchangeClient::bytesReceived);
         return metrics;
     }
 
@@ -139,10 +139,11 @@
     public void start() {
         mLogging.start();
         mChannels.start();
-        // What arrives before the loop starts waits in it: the reducer has to know the port first.
+        // The reducer has to know the port, so the server starts before the loop. Events that
+        // arrive in between wait in the loop's queue.
         mServer.start();
-        mSelf = identity();
-        mReducer = new SidecarReducer(mSelf);
+        mIdentity = createIdentity();
+        mReducer = new SidecarReducer(mIdentity);
         mLoop.offer(new SidecarEvent.SettingsChanged(mExchange.settings()));
         mLoop.start();
         mProbe.start();
@@ -151,7 +152,7 @@
         mOut.accept("listening on " + endpoint());
     }
 
-    private SidecarIdentity identity() {
+    private SidecarIdentity createIdentity() {
         return new SidecarIdentity(
                 new BackendRef(mFile.name(), mIncarnation),
                 mFile.service(),
@@ -162,10 +163,11 @@
     }
 
     /**
-     * Goes on as a later incarnation. The clock went back between two starts, so that routers wait
-     * for the run before this one; as nothing was begun here, nobody can mistake one for the other.
+     * Takes an incarnation later than the one that control knows. The clock went back between two
+     * starts, so that routers know a previous run whose incarnation is higher. This is safe while
+     * no attempt has begun here: no attempt then refers to the incarnation that is given up.
      */
-    private void superseded(SidecarEffect.Superseded effect) {
+    private void onSuperseded(SidecarEffect.Superseded effect) {
         if (!effect.idle()) {
             sLogger.atSevere().atMostEvery(10, TimeUnit.SECONDS).log(
                     "another sidecar runs as %s, with incarnation %d",
@@ -174,11 +176,11 @@
         }
         sLogger.atWarning().log(
                 "the clock went back: incarnation %d follows %d",
-                effect.incarnation() + 1, mSelf.ref().incarnation());
-        mSelf = mSelf.withIncarnation(effect.incarnation() + 1);
-        mReducer = new SidecarReducer(mSelf);
+                effect.incarnation() + 1, mIdentity.ref().incarnation());
+        mIdentity = mIdentity.withIncarnation(effect.incarnation() + 1);
+        mReducer = new SidecarReducer(mIdentity);
         mLoop.offer(new SidecarEvent.SettingsChanged(mExchange.settings()));
-        // The probe tells changes only, which the run before may have heard.
+        // The probe reports changes only, and an earlier reducer may have received the last one.
         mLoop.offer(new SidecarEvent.EngineReachable(mProbe.notReadyReason().isEmpty()));
     }
 
@@ -189,25 +191,25 @@
         mFile.metricsPortFile().ifPresent(f -> PortFile.write(f, port));
     }
 
-    /** Returns the backend server's name and this run's incarnation. Once started. */
+    /** Returns the backend server's name and incarnation. Valid once started. */
     public BackendRef self() {
-        return mSelf.ref();
+        return mIdentity.ref();
     }
 
-    /** Returns where routers reach the sidecar. Once started. */
+    /** Returns the address that the sidecar listens on for routers. Valid once started. */
     public Endpoint endpoint() {
         return mFile.listen().withPort(mServer.port());
     }
 
     /**
-     * Stops without cutting an answer short: nothing new is taken, what runs ends, control hears
-     * that the sidecar left, then the rest goes.
+     * Stops without cutting an answer short: the sidecar rejects new attempts, waits until running
+     * attempts have ended, reports to control that it departed, then stops its components.
      */
     @Override
     public void stop() {
         mLoop.offer(new SidecarEvent.StopRequested());
         try {
-            mEffects.stopped().await(LONGEST_STOP.toMillis(), TimeUnit.MILLISECONDS);
+            mEffects.stoppedLatch().await(MAX_STOP_TIME.toMillis(), TimeUnit.MILLISECONDS);
             mExchange.awaitIdle(LAST_EXCHANGE_TIMEOUT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/AttemptListener.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/AttemptListener.java
@@ -7,7 +7,7 @@
 import org.laurelweir.attempt.Header;
 import org.laurelweir.lib.AttemptId;
 
-/** Turns what becomes of an attempt's call into events. */
+/** Turns the progress and the end of an attempt's call into events. */
 final class AttemptListener implements CallListener {
     private final AttemptId mId;
     private final Consumer<SidecarEvent> mEvents;
@@ -20,24 +20,24 @@
     }
 
     @Override
-    public void answered(int status, List<Header> headers) {
+    public void onHead(int status, List<Header> headers) {
         mEvents.accept(new SidecarEvent.EngineHeadReceived(mId, status, headers));
     }
 
     @Override
-    public void received(byte[] bytes) {
+    public void onData(byte[] bytes) {
         mEvents.accept(new SidecarEvent.EngineDataReceived(mId, bytes));
     }
 
     @Override
-    public void finished(Frame.Usage usage) {
+    public void onFinished(Frame.Usage usage) {
         mOnEnd.run();
         mEvents.accept(new SidecarEvent.EngineFinished(mId, usage));
     }
 
     @Override
-    public void failed(boolean sent, String message) {
+    public void onFailed(boolean possiblySent, String message) {
         mOnEnd.run();
-        mEvents.accept(new SidecarEvent.EngineFailed(mId, sent, message));
+        mEvents.accept(new SidecarEvent.EngineFailed(mId, possiblySent, message));
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendCall.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendCall.java
@@ -17,18 +17,18 @@
 import java.util.Locale;
 
 /**
- * One call on the backend server over a connection of its own. Reports exactly one end: finished
- * only where the whole answer came, else failed. Runs on its connection's event loop.
+ * One call to the backend server over a connection of its own. Reports exactly one end: finished if
+ * the complete answer arrived, else failed. Runs on its connection's event loop.
  */
 final class BackendCall extends ChannelInboundHandlerAdapter {
     private static final String EVENT_STREAM = "text/event-stream";
 
     private final FullHttpRequest mRequest;
-    private final boolean mStreamed;
+    private final boolean mStreamRequested;
     private final CallListener mListener;
-    private final AnswerScan mScan = new AnswerScan();
-    private boolean mSent;
-    private boolean mAnswered;
+    private final AnswerTail mTail = new AnswerTail();
+    private boolean mPossiblySent;
+    private boolean mHeadReceived;
     private boolean mIsEventStream;
     private boolean mEnded;
 
@@ -36,25 +36,25 @@
      * Creates a call.
      *
      * @param request the message to send
-     * @param streamed whether the answer is wanted as a stream of events
-     * @param listener hears what becomes of it
+     * @param streamed whether the caller asked for a stream of events
+     * @param listener receives the answer and the end of the call
      */
     BackendCall(FullHttpRequest request, boolean streamed, CallListener listener) {
         mRequest = request;
-        mStreamed = streamed;
+        mStreamRequested = streamed;
         mListener = listener;
     }
 
-    /** Sends the request once the connection is there. */
-    void connected(ChannelFuture connect) {
+    /** Sends the request, or fails the call if the connection could not be opened. */
+    void onConnected(ChannelFuture connect) {
         if (!connect.isSuccess()) {
             mRequest.release();
             fail("can't connect: " + connect.cause().getMessage());
             return;
         }
         Channel channel = connect.channel();
-        // From here on the backend server may get it, whatever becomes of the write.
-        mSent = true;
+        // From here on the backend server may receive the request, even if the write fails.
+        mPossiblySent = true;
         channel.writeAndFlush(mRequest)
                 .addListener(
                         f -> {
@@ -83,12 +83,12 @@
             return;
         }
         if (message instanceof HttpResponse r && !isInformational(r)) {
-            answered(r);
+            onHead(r);
         }
-        if (mAnswered && message instanceof HttpContent c) {
-            content(c.content());
+        if (mHeadReceived && message instanceof HttpContent c) {
+            onContent(c.content());
             if (c instanceof LastHttpContent) {
-                whole();
+                onBodyEnd();
                 context.close();
             }
         }
@@ -98,29 +98,29 @@
         return response.status().codeClass() == HttpStatusClass.INFORMATIONAL;
     }
 
-    private void answered(HttpResponse response) {
-        mAnswered = true;
+    private void onHead(HttpResponse response) {
+        mHeadReceived = true;
         String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
         mIsEventStream = type.toLowerCase(Locale.ROOT).startsWith(EVENT_STREAM);
-        mListener.answered(response.status().code(), HopHeaders.passedOn(response.headers()));
+        mListener.onHead(response.status().code(), HopByHopHeaders.endToEnd(response.headers()));
     }
 
-    private void content(ByteBuf content) {
+    private void onContent(ByteBuf content) {
         if (!content.isReadable()) {
             return;
         }
         byte[] bytes = ByteBufUtil.getBytes(content);
-        mScan.add(bytes);
-        mListener.received(bytes);
+        mTail.add(bytes);
+        mListener.onData(bytes);
     }
 
-    private void whole() {
-        if (mStreamed && mIsEventStream && !mScan.isStreamDone()) {
+    private void onBodyEnd() {
+        if (mStreamRequested && mIsEventStream && !mTail.isStreamDone()) {
             fail("the stream of events ended before its last one");
             return;
         }
-        if (end()) {
-            mListener.finished(mScan.usage());
+        if (markEnded()) {
+            mListener.onFinished(mTail.usage());
         }
     }
 
@@ -136,12 +136,12 @@
     }
 
     private void fail(String message) {
-        if (end()) {
-            mListener.failed(mSent, message);
+        if (markEnded()) {
+            mListener.onFailed(mPossiblySent, message);
         }
     }
 
-    private boolean end() {
+    private boolean markEnded() {
         if (mEnded) {
             return false;
         }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendClient.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendClient.java
@@ -16,13 +16,13 @@
 import org.laurelweir.runtime.rpc.HttpConnector;
 
 /**
- * Calls the backend server. Each call has a connection of its own: closing it cancels the call and
- * no other, and a call never goes out on a kept connection that the other end is just closing,
- * which would leave it unknown whether it was run. Both ends are on one machine, so that connecting
- * costs little.
+ * Calls the backend server, with a connection for each call. Closing the connection cancels this
+ * call and no other. A reused connection may be closed by the backend server while a call is sent,
+ * which would leave it unknown whether the call was run. Both ends are on one machine, so that
+ * connecting costs little.
  */
 public final class BackendClient {
-    private static final int CONNECT_MILLIS = 1_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
     private final HttpConnector mConnector;
     private final Endpoint mBackend;
@@ -32,17 +32,17 @@
     /**
      * Creates a client.
      *
-     * @param loops carry the connections
-     * @param backend where the backend server listens
-     * @param events takes what becomes of the calls, on any thread
+     * @param loops the event loops that run the connections
+     * @param backend the address that the backend server listens on
+     * @param events receives the answers and the ends of calls, on any thread
      */
     public BackendClient(EventLoops loops, Endpoint backend, Consumer<SidecarEvent> events) {
-        mConnector = new HttpConnector(loops, loops.group(), CONNECT_MILLIS);
+        mConnector = new HttpConnector(loops, loops.group(), CONNECT_TIMEOUT_MILLIS);
         mBackend = backend;
         mEvents = events;
     }
 
-    /** Makes the call of an attempt. */
+    /** Starts the call of an attempt. */
     public void start(AttemptRequest request) {
         FullHttpRequest message = RequestMessage.of(request, mBackend.toString());
         AttemptListener listener =
@@ -50,19 +50,19 @@
         BackendCall call = new BackendCall(message, request.call().streamed(), listener);
         ChannelFuture connect = connect(call);
         mChannels.put(request.id(), connect.channel());
-        // Added after the entry is there, so that the call's end finds it.
-        connect.addListener(f -> call.connected(connect));
+        // The call's end removes the entry, so the entry is put before the call can end.
+        connect.addListener(f -> call.onConnected(connect));
     }
 
-    /** Makes a call that belongs to no attempt. */
+    /** Starts a call that belongs to no attempt. */
     void start(FullHttpRequest message, CallListener listener) {
         BackendCall call = new BackendCall(message, false, listener);
         ChannelFuture connect = connect(call);
-        connect.addListener(f -> call.connected(connect));
+        connect.addListener(f -> call.onConnected(connect));
     }
 
-    /** Tries whether the backend server can be reached at all. */
-    void tryConnecting(Consumer<Boolean> reachable) {
+    /** Opens and closes a connection, and reports whether it could be opened. */
+    void checkReachable(Consumer<Boolean> reachable) {
         ChannelFuture connect = connect(new ChannelInboundHandlerAdapter());
         connect.addListener(
                 f -> {
@@ -79,7 +79,7 @@
         return mConnector.connect(mBackend, handler);
     }
 
-    /** Closes a call's connection, which cancels its work; nothing happens where it has ended. */
+    /** Cancels a call by closing its connection. Does nothing if the call has ended. */
     public void cancel(AttemptId attempt) {
         Channel channel = mChannels.remove(attempt);
         if (channel != null) {
@@ -87,7 +87,7 @@
         }
     }
 
-    /** Reads a call's answer on, or no further, so that the backend server has to wait. */
+    /** Resumes or pauses reading a call's answer. A pause makes the backend server wait. */
     public void setReading(AttemptId attempt, boolean reading) {
         Channel channel = mChannels.get(attempt);
         if (channel != null) {
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendOrders.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendOrders.java
@@ -18,10 +18,13 @@
 import org.laurelweir.attempt.Header;
 import org.laurelweir.lib.ResultCode;
 
-/** Gives the backend server orders over HTTP, with their fencing numbers for one that checks. */
+/**
+ * Passes orders on to the backend server over HTTP. Each carries its fencing token, which a backend
+ * server may check.
+ */
 public final class BackendOrders {
     private static final int CONFLICT = 409;
-    private static final int SUCCESS = 2;
+    private static final int SUCCESS_CLASS = 2;
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final BackendClient mClient;
@@ -30,10 +33,10 @@
     private record Order(String kind, String name, long fence) {}
 
     /**
-     * Creates it.
+     * Creates a sender of orders.
      *
      * @param client calls the backend server
-     * @param path where the backend server takes orders
+     * @param path the backend server's HTTP path for orders
      */
     public BackendOrders(BackendClient client, String path) {
         mClient = client;
@@ -44,15 +47,15 @@
      * Passes an order on.
      *
      * @param effect the order
-     * @param answer takes the result and what the backend server said
+     * @param answer receives the result and the backend server's answer, or the reason of a failure
      */
     public void pass(SidecarEffect.PassOrder effect, BiConsumer<ResultCode, String> answer) {
         Order order = new Order(effect.kind(), effect.argument(), effect.fence());
-        mClient.start(message(order), new Listener(answer));
+        mClient.start(toRequest(order), new AnswerListener(answer));
     }
 
-    private FullHttpRequest message(Order order) {
-        byte[] body = json(order);
+    private FullHttpRequest toRequest(Order order) {
+        byte[] body = toJson(order);
         FullHttpRequest message =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, HttpMethod.POST, mPath, Unpooled.wrappedBuffer(body));
@@ -64,48 +67,50 @@
         return message;
     }
 
-    private static byte[] json(Order order) {
+    private static byte[] toJson(Order order) {
         try {
             return JSON.writeValueAsBytes(order);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("an order that is not JSON: " + order, e);
+            throw new IllegalStateException("cannot write the order as JSON: " + order, e);
         }
     }
 
-    private static final class Listener implements CallListener {
+    private static final class AnswerListener implements CallListener {
         private final BiConsumer<ResultCode, String> mAnswer;
         private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
         private int mStatus;
 
-        Listener(BiConsumer<ResultCode, String> answer) {
+        AnswerListener(BiConsumer<ResultCode, String> answer) {
             mAnswer = answer;
         }
 
         @Override
-        public void answered(int status, List<Header> headers) {
+        public void onHead(int status, List<Header> headers) {
             mStatus = status;
         }
 
         @Override
-        public void received(byte[] bytes) {
+        public void onData(byte[] bytes) {
             mBody.writeBytes(bytes);
         }
 
         @Override
-        public void finished(Frame.Usage usage) {
+        public void onFinished(Frame.Usage usage) {
             mAnswer.accept(code(), mBody.toString(StandardCharsets.UTF_8));
         }
 
         private ResultCode code() {
-            if (mStatus / 100 == SUCCESS) {
+            if (mStatus / 100 == SUCCESS_CLASS) {
                 return ResultCode.OK;
             }
             return mStatus == CONFLICT ? ResultCode.STALE_FENCE : ResultCode.BACKEND_FAILED;
         }
 
         @Override
-        public void failed(boolean sent, String message) {
-            mAnswer.accept(sent ? ResultCode.OUTCOME_UNKNOWN : ResultCode.BACKEND_REFUSED, message);
+        public void onFailed(boolean possiblySent, String message) {
+            mAnswer.accept(
+                    possiblySent ? ResultCode.OUTCOME_UNKNOWN : ResultCode.BACKEND_REFUSED,
+                    message);
         }
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendProbe.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendProbe.java
@@ -10,26 +10,26 @@
 import org.laurelweir.runtime.rpc.EventLoops;
 
 /**
- * Tries twice a second whether the backend server takes connections. Two tries that fail in a row
- * count: one may only have met a full backlog.
+ * Checks twice a second whether the backend server accepts connections. The backend server counts
+ * as unreachable after two failures in a row: a single one may come from a full backlog.
  */
 public final class BackendProbe implements Service, Readiness {
     private static final long INTERVAL_MILLIS = 500;
-    private static final int FAILURES = 2;
+    private static final int FAILURE_THRESHOLD = 2;
 
     private final EventLoops mLoops;
     private final BackendClient mClient;
     private final Consumer<SidecarEvent> mEvents;
     private Future<?> mTask;
-    private int mFailed;
+    private int mConsecutiveFailures;
     private volatile boolean mReachable = true;
 
     /**
      * Creates a probe.
      *
-     * @param loops run it
-     * @param client connects
-     * @param events hears of changes
+     * @param loops the event loops that run the checks
+     * @param client opens the connections
+     * @param events receives an event when reachability changes
      */
     public BackendProbe(EventLoops loops, BackendClient client, Consumer<SidecarEvent> events) {
         mLoops = loops;
@@ -42,15 +42,15 @@
         mTask =
                 mLoops.group()
                         .scheduleWithFixedDelay(
-                                () -> mClient.tryConnecting(this::tried),
+                                () -> mClient.checkReachable(this::onConnectAttempt),
                                 0,
                                 INTERVAL_MILLIS,
                                 TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void tried(boolean connected) {
-        mFailed = connected ? 0 : mFailed + 1;
-        boolean reachable = mFailed < FAILURES;
+    private synchronized void onConnectAttempt(boolean connected) {
+        mConsecutiveFailures = connected ? 0 : mConsecutiveFailures + 1;
+        boolean reachable = mConsecutiveFailures < FAILURE_THRESHOLD;
         if (reachable != mReachable) {
             mReachable = reachable;
             mEvents.accept(new SidecarEvent.EngineReachable(reachable));
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/CallListener.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/CallListener.java
@@ -4,21 +4,24 @@
 import org.laurelweir.attempt.Frame;
 import org.laurelweir.attempt.Header;
 
-/** Hears what becomes of one call, on its connection's event loop; the end comes exactly once. */
+/**
+ * Receives the answer and the end of one call, on its connection's event loop. Exactly one of
+ * {@link #onFinished} and {@link #onFailed} is called, once.
+ */
 interface CallListener {
-    /** The answer began. */
-    void answered(int status, List<Header> headers);
+    /** The status and the headers of the answer arrived. */
+    void onHead(int status, List<Header> headers);
 
-    /** A piece of the answer's body came. */
-    void received(byte[] bytes);
+    /** Bytes of the answer's body arrived. */
+    void onData(byte[] bytes);
 
-    /** The answer is whole. */
-    void finished(Frame.Usage usage);
+    /** The answer is complete. */
+    void onFinished(Frame.Usage usage);
 
     /**
      * The call failed.
      *
-     * @param sent whether any byte of the call may have reached the backend server
+     * @param possiblySent whether any byte of the call may have reached the backend server
      */
-    void failed(boolean sent, String message);
+    void onFailed(boolean possiblySent, String message);
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/HopHeaders.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/HopByHopHeaders.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import org.laurelweir.attempt.Header;
 
-/** Keeps the headers that concern one connection only from being passed on (RFC 9110, 7.6.1). */
-final class HopHeaders {
+/** The headers that concern one connection only and must not be passed on (RFC 9110, 7.6.1). */
+final class HopByHopHeaders {
     private static final Set<String> NAMES =
             Set.of(
                     "connection",
@@ -22,20 +22,20 @@
                     "transfer-encoding",
                     "upgrade");
 
-    private HopHeaders() {}
+    private HopByHopHeaders() {}
 
-    static boolean isOne(String name) {
+    static boolean isHopByHop(String name) {
         return NAMES.contains(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Returns the headers to pass on. */
-    static List<Header> passedOn(HttpHeaders headers) {
-        List<Header> passed = new ArrayList<>();
+    /** Returns the headers without the hop-by-hop ones. */
+    static List<Header> endToEnd(HttpHeaders headers) {
+        List<Header> endToEnd = new ArrayList<>();
         for (Map.Entry<String, String> h : headers) {
-            if (!isOne(h.getKey())) {
-                passed.add(new Header(h.getKey(), h.getValue()));
+            if (!isHopByHop(h.getKey())) {
+                endToEnd.add(new Header(h.getKey(), h.getValue()));
             }
         }
-        return passed;
+        return endToEnd;
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/RequestMessage.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/RequestMessage.java
@@ -10,7 +10,7 @@
 import org.laurelweir.attempt.AttemptRequest;
 import org.laurelweir.attempt.Header;
 
-/** Builds the HTTP request of an attempt. */
+/** Builds the HTTP request that the backend server receives for an attempt. */
 final class RequestMessage {
     private static final String REQUEST_ID = "X-Request-Id";
 
@@ -25,7 +25,7 @@
                         call.path(),
                         Unpooled.wrappedBuffer(call.body()));
         for (Header h : call.headers()) {
-            if (!HopHeaders.isOne(h.name())) {
+            if (!HopByHopHeaders.isHopByHop(h.name())) {
                 message.headers().add(h.name(), h.value());
             }
         }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/package-info.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/package-info.java
@@ -1,2 +1,2 @@
-/** Calls on the backend server over HTTP/1.1, with answers passed on as they come. */
+/** Calls to the backend server over HTTP/1.1, whose answers are streamed as they arrive. */
 package org.laurelweir.sidecar.backend;
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/package-info.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/package-info.java
@@ -1,2 +1,5 @@
-/** The program beside each backend server: its settings file, its parts and their life. */
+/**
+ * The sidecar, the program that runs beside each backend server: its entry point, its settings
+ * file, and how it starts and stops.
+ */
 package org.laurelweir.sidecar;
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/AttemptStreams.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/AttemptStreams.java
@@ -12,34 +12,35 @@
 import org.laurelweir.wire.v1.AttemptFrame;
 import org.laurelweir.wire.v1.AttemptMessage;
 
-/** The open streams of attempts, by number. */
+/** The open attempt streams between routers and this sidecar, by stream number. */
 public final class AttemptStreams {
     private final Map<Long, ServerCallStreamObserver<AttemptFrame>> mStreams =
             new ConcurrentHashMap<>();
-    private final AtomicLong mCount = new AtomicLong();
+    private final AtomicLong mLastStream = new AtomicLong();
     private final Consumer<SidecarEvent> mEvents;
 
     /**
      * Creates an empty table.
      *
-     * @param events takes what routers say
+     * @param events receives the routers' messages and the ends of streams
      */
     public AttemptStreams(Consumer<SidecarEvent> events) {
         mEvents = events;
     }
 
-    /** Takes a new stream and returns what reads it. */
+    /** Adds a new stream and returns the observer of the router's messages. */
     StreamObserver<AttemptMessage> open(StreamObserver<AttemptFrame> frames) {
-        long stream = mCount.incrementAndGet();
+        long stream = mLastStream.incrementAndGet();
         ServerCallStreamObserver<AttemptFrame> out =
                 (ServerCallStreamObserver<AttemptFrame>) frames;
-        // With a handler set, frames for a stream that is gone are dropped instead of thrown back.
-        out.setOnCancelHandler(() -> closed(stream));
+        // Without a cancel handler, onNext() on a cancelled stream throws; with one, the frame is
+        // dropped.
+        out.setOnCancelHandler(() -> onClosed(stream));
         mStreams.put(stream, out);
-        return new Reader(stream);
+        return new MessageReader(stream);
     }
 
-    /** Sends a frame; one for a stream that is gone is dropped. Decision loop's thread only. */
+    /** Sends a frame, or drops it if the stream is closed. Only for the decision loop's thread. */
     public void send(long stream, org.laurelweir.attempt.AttemptFrame frame) {
         ServerCallStreamObserver<AttemptFrame> out = mStreams.get(stream);
         if (out != null) {
@@ -47,7 +48,7 @@
         }
     }
 
-    /** Ends a stream. Decision loop's thread only. */
+    /** Ends a stream. Only for the decision loop's thread. */
     public void close(long stream) {
         ServerCallStreamObserver<AttemptFrame> out = mStreams.remove(stream);
         if (out != null) {
@@ -55,34 +56,34 @@
         }
     }
 
-    private void closed(long stream) {
+    private void onClosed(long stream) {
         mEvents.accept(new SidecarEvent.StreamClosed(stream));
         mStreams.remove(stream);
     }
 
-    private final class Reader implements StreamObserver<AttemptMessage> {
+    private final class MessageReader implements StreamObserver<AttemptMessage> {
         private final long mStream;
         private org.laurelweir.lib.AttemptId mAttempt;
 
-        Reader(long stream) {
+        MessageReader(long stream) {
             mStream = stream;
         }
 
         @Override
         public void onNext(AttemptMessage message) {
             switch (message.getMessageCase()) {
-                case BEGIN, RESUME -> first(message);
+                case BEGIN, RESUME -> handleFirstMessage(message);
                 case ACKNOWLEDGE -> acknowledge(message.getAcknowledge().getOffset());
                 case CANCEL -> cancel();
                 default -> {
-                    // A later version's message: what it asks for is not done here.
+                    // A message of a later version, unknown here: ignored.
                 }
             }
         }
 
-        private void first(AttemptMessage message) {
+        private void handleFirstMessage(AttemptMessage message) {
             if (mAttempt != null) {
-                // A stream carries one attempt; what else it asks for is not done.
+                // A stream carries one attempt; a second one is ignored.
                 return;
             }
             if (message.hasBegin()) {
@@ -115,12 +116,13 @@
 
         @Override
         public void onError(Throwable failure) {
-            closed(mStream);
+            onClosed(mStream);
         }
 
         @Override
         public void onCompleted() {
-            // The router has no more to say, but still reads: the stream ends with its last frame.
+            // The router sends no more but still reads: close() ends the stream after the last
+            // frame.
         }
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/ControlExchange.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/ControlExchange.java
@@ -15,8 +15,8 @@
 import org.laurelweir.settings.SettingsReader;
 
 /**
- * Carries out exchanges with control, one at a time. A report that comes up meanwhile follows; of
- * several only the newest, which tells all that the others did.
+ * Exchanges reports with control, one at a time. A report that is sent during an exchange waits for
+ * its end. Only the newest waiting report is kept, because it includes what the older ones say.
  */
 public final class ControlExchange {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
@@ -26,16 +26,17 @@
     private final Set<Integer> mRefusalStatuses;
     private final Consumer<SidecarEvent> mEvents;
     private final SettingsReader mReader = new SettingsReader();
-    private SidecarEffect.SendExchange mNext;
-    private boolean mBusy;
+    private SidecarEffect.SendExchange mPending;
+    private boolean mInFlight;
 
     /**
-     * Creates it.
+     * Creates an exchange that has sent nothing.
      *
      * @param client reaches the control instances
-     * @param context for what settings are resolved
-     * @param refusalStatuses the backend server's own, which no settings tree knows
-     * @param events takes the answers
+     * @param context the region, data centre and service that settings are resolved for
+     * @param refusalStatuses the statuses of the backend server that mean "not run"; they come from
+     *     the sidecar's settings file, not from the settings tree
+     * @param events receives control's answers and changed settings
      */
     public ControlExchange(
             ExchangeClient client,
@@ -48,14 +49,14 @@
         mEvents = events;
     }
 
-    /** Sends a report, after the one that is under way. */
+    /** Sends a report, after the exchange in flight if there is one. */
     public void send(SidecarEffect.SendExchange effect) {
         synchronized (this) {
-            mNext = effect;
-            if (mBusy) {
+            mPending = effect;
+            if (mInFlight) {
                 return;
             }
-            mBusy = true;
+            mInFlight = true;
         }
         sendNext();
     }
@@ -64,30 +65,31 @@
         SidecarEffect.SendExchange effect;
         long position;
         synchronized (this) {
-            effect = mNext;
-            mNext = null;
+            effect = mPending;
+            mPending = null;
             position = mReader.position();
             if (effect == null) {
-                mBusy = false;
+                mInFlight = false;
                 notifyAll();
                 return;
             }
         }
-        mClient.exchange(effect.report(), effect.cursor(), position).whenComplete(this::ended);
+        mClient.exchange(effect.report(), effect.cursor(), position)
+                .whenComplete(this::onExchangeEnded);
     }
 
-    private void ended(ExchangeAnswer answer, Throwable failure) {
+    private void onExchangeEnded(ExchangeAnswer answer, Throwable failure) {
         if (answer != null) {
-            take(answer);
+            handleAnswer(answer);
         } else {
             sLogger.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
-                    "control can't be reached, serving on: %s", failure);
+                    "exchange with control failed, still serving: %s", failure);
         }
         sendNext();
     }
 
-    private void take(ExchangeAnswer answer) {
-        takeSettings(answer);
+    private void handleAnswer(ExchangeAnswer answer) {
+        applySettings(answer);
         mEvents.accept(
                 new SidecarEvent.ExchangeAnswered(
                         answer.membership(),
@@ -97,23 +99,23 @@
                         answer.fence()));
     }
 
-    private synchronized void takeSettings(ExchangeAnswer answer) {
+    private synchronized void applySettings(ExchangeAnswer answer) {
         if (mReader.apply(answer.settings())) {
             mEvents.accept(new SidecarEvent.SettingsChanged(settings()));
         }
     }
 
-    /** Returns the settings in force; the defaults until control has told any. */
+    /** Returns the settings in force; the defaults until control has sent any. */
     public synchronized SidecarSettings settings() {
         return Policies.sidecar(mReader.tree().effective(mContext))
                 .withRefusalStatuses(mRefusalStatuses);
     }
 
-    /** Waits until the last report is out or failed, at most for the given time. */
-    public synchronized void awaitIdle(Duration most) throws InterruptedException {
-        long until = System.nanoTime() + most.toNanos();
-        while (mBusy && until - System.nanoTime() > 0) {
-            TimeUnit.NANOSECONDS.timedWait(this, until - System.nanoTime());
+    /** Waits until no exchange is in flight and no report waits, or until the timeout. */
+    public synchronized void awaitIdle(Duration timeout) throws InterruptedException {
+        long deadline = System.nanoTime() + timeout.toNanos();
+        while (mInFlight && deadline - System.nanoTime() > 0) {
+            TimeUnit.NANOSECONDS.timedWait(this, deadline - System.nanoTime());
         }
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
@@ -19,10 +19,10 @@
 import org.laurelweir.wire.v1.LocateChatsRequest;
 import org.laurelweir.wire.v1.SidecarServiceGrpc;
 
-/** Asks other sidecars where chats sit, and hands entries over to them. */
+/** Requests chat locations from other sidecars of the service, and hands chat locations over. */
 public final class PeerSidecars {
-    private static final long ASK_MILLIS = 100;
-    private static final long HAND_OVER_SECONDS = 2;
+    private static final long LOCATE_TIMEOUT_MILLIS = 100;
+    private static final long HAND_OVER_TIMEOUT_SECONDS = 2;
 
     private final Channels mChannels;
     private final String mSelf;
@@ -30,12 +30,12 @@
     private final Consumer<SidecarEvent> mEvents;
 
     /**
-     * Creates it.
+     * Creates a client of the other sidecars.
      *
-     * @param channels reach the other sidecars
-     * @param self this one's backend server
-     * @param service their service
-     * @param events takes answers
+     * @param channels the connections to the other sidecars
+     * @param self the name of this sidecar's backend server
+     * @param service the service that all of these sidecars belong to
+     * @param events receives the answers
      */
     public PeerSidecars(
             Channels channels, String self, String service, Consumer<SidecarEvent> events) {
@@ -45,8 +45,10 @@
         mEvents = events;
     }
 
-    /** Asks; a question that gets no answer counts as one that nobody could answer. */
-    public void ask(SidecarEffect.LocateChats effect) {
+    /**
+     * Requests chat locations. A failed or timed-out call counts as an answer without locations.
+     */
+    public void locateChats(SidecarEffect.LocateChats effect) {
         LocateChatsRequest request =
                 LocateChatsRequest.newBuilder()
                         .setService(mService)
@@ -54,60 +56,63 @@
                         .build();
         Futures.addCallback(
                 SidecarServiceGrpc.newFutureStub(mChannels.get(effect.address()))
-                        .withDeadlineAfter(ASK_MILLIS, TimeUnit.MILLISECONDS)
+                        .withDeadlineAfter(LOCATE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                         .locateChats(request),
                 new FutureCallback<LocateChatsReply>() {
                     @Override
                     public void onSuccess(LocateChatsReply reply) {
-                        located(effect.question(), toMap(reply.getLocationsList()));
+                        onLocated(effect.question(), toCore(reply.getLocationsList()));
                     }
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        located(effect.question(), Map.of());
+                        onLocated(effect.question(), Map.of());
                     }
                 },
                 MoreExecutors.directExecutor());
     }
 
-    private void located(long question, Map<Long, String> locations) {
+    private void onLocated(long question, Map<Long, String> locations) {
         mEvents.accept(new SidecarEvent.ChatsLocated(question, locations));
     }
 
-    /** Hands entries over. What is lost on the way costs cached history only: no second try. */
-    public void handOver(SidecarEffect.HandOverChats effect) {
+    /**
+     * Hands chat locations over, without a retry: a lost location only costs the reuse of cached
+     * history.
+     */
+    public void handOverChats(SidecarEffect.HandOverChats effect) {
         HandOverChatsRequest.Builder request =
                 HandOverChatsRequest.newBuilder().setFrom(mSelf).setService(mService);
-        effect.locations().forEach((c, b) -> request.addLocations(toMessage(c, b)));
+        effect.locations().forEach((c, b) -> request.addLocations(toWire(c, b)));
         SidecarServiceGrpc.newStub(mChannels.get(effect.address()))
-                .withDeadlineAfter(HAND_OVER_SECONDS, TimeUnit.SECONDS)
+                .withDeadlineAfter(HAND_OVER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .handOverChats(request.build(), new IgnoreReply());
     }
 
-    static Map<Long, String> toMap(List<ChatLocation> locations) {
+    static Map<Long, String> toCore(List<ChatLocation> locations) {
         Map<Long, String> map = new HashMap<>();
         locations.forEach(l -> map.put(l.getChat(), l.getBackend()));
         return map;
     }
 
-    static ChatLocation toMessage(long chat, String backend) {
+    static ChatLocation toWire(long chat, String backend) {
         return ChatLocation.newBuilder().setChat(chat).setBackend(backend).build();
     }
 
     private static final class IgnoreReply implements StreamObserver<HandOverChatsReply> {
         @Override
         public void onNext(HandOverChatsReply reply) {
-            // Says nothing but that it arrived.
+            // The reply carries no data.
         }
 
         @Override
         public void onError(Throwable failure) {
-            // The entries are lost, as handOver() allows.
+            // The locations are lost; handOverChats() makes no retry.
         }
 
         @Override
         public void onCompleted() {
-            // Nothing waits for it.
+            // No caller waits for the end of the call.
         }
     }
 }
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PendingCalls.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PendingCalls.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Single calls that wait for a decision, by number.
+ * The unary calls that wait for an answer of the decision loop, by call number.
  *
- * @param <T> the reply
+ * @param <T> the type of the reply
  */
 final class PendingCalls<T> {
     private final Map<Long, StreamObserver<T>> mReplies = new ConcurrentHashMap<>();
-    private final AtomicLong mCount = new AtomicLong();
+    private final AtomicLong mLastCall = new AtomicLong();
 
-    /** Notes a call and returns its number. */
+    /** Adds a call and returns its number. */
     long add(StreamObserver<T> reply) {
-        long call = mCount.incrementAndGet();
+        long call = mLastCall.incrementAndGet();
         mReplies.put(call, reply);
         return call;
     }
 
-    /** Answers a call; nothing happens where it was answered. */
+    /** Answers a call. Does nothing if the call was answered already. */
     void answer(long call, T message) {
         StreamObserver<T> reply = mReplies.remove(call);
         if (reply != null) {
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/SidecarService.java
@@ -24,21 +24,21 @@
 import org.laurelweir.wire.v1.RevokeRequest;
 import org.laurelweir.wire.v1.SidecarServiceGrpc;
 
-/** Turns calls into events and answers them when the decision is there. */
+/** The sidecar's gRPC service: turns calls into events and answers them once they are decided. */
 public final class SidecarService extends SidecarServiceGrpc.SidecarServiceImplBase {
     private final AttemptStreams mStreams;
     private final Consumer<SidecarEvent> mEvents;
     private final DecisionRing mRing;
-    private final PendingCalls<RevokeReply> mRevocations = new PendingCalls<>();
-    private final PendingCalls<LocateChatsReply> mQuestions = new PendingCalls<>();
-    private final PendingCalls<OrderReply> mOrders = new PendingCalls<>();
+    private final PendingCalls<RevokeReply> mRevokeCalls = new PendingCalls<>();
+    private final PendingCalls<LocateChatsReply> mLocateCalls = new PendingCalls<>();
+    private final PendingCalls<OrderReply> mOrderCalls = new PendingCalls<>();
 
     /**
      * Creates the service.
      *
-     * @param streams carries the attempts
+     * @param streams holds the streams of attempts
      * @param ring the decisions that can be explained
-     * @param events takes what is asked
+     * @param events receives an event for each call
      */
     public SidecarService(
             AttemptStreams streams, DecisionRing ring, Consumer<SidecarEvent> events) {
@@ -56,39 +56,39 @@
     public void revoke(RevokeRequest request, StreamObserver<RevokeReply> reply) {
         mEvents.accept(
                 new SidecarEvent.AttemptRevoked(
-                        mRevocations.add(reply),
+                        mRevokeCalls.add(reply),
                         IdCodec.toCore(request.getAttempt()),
                         IdCodec.toCore(request.getTarget())));
     }
 
-    /** Answers a revocation. */
+    /** Answers a revoke call with the attempt's state. */
     public void answer(SidecarEffect.AnswerRevoke effect) {
         RevokeReply reply =
                 RevokeReply.newBuilder()
                         .setState(AttemptCodec.toWire(effect.state()))
                         .setAnsweredBy(IdCodec.toWire(effect.self()))
                         .build();
-        mRevocations.answer(effect.call(), reply);
+        mRevokeCalls.answer(effect.call(), reply);
     }
 
     @Override
     public void locateChats(LocateChatsRequest request, StreamObserver<LocateChatsReply> reply) {
         mEvents.accept(
                 new SidecarEvent.LocateChatsRequested(
-                        mQuestions.add(reply), request.getChatsList()));
+                        mLocateCalls.add(reply), request.getChatsList()));
     }
 
-    /** Answers where chats sit. */
+    /** Answers a call with the chat locations that are known here. */
     public void answer(SidecarEffect.AnswerLocateChats effect) {
         LocateChatsReply.Builder reply = LocateChatsReply.newBuilder();
-        effect.locations().forEach((c, b) -> reply.addLocations(PeerSidecars.toMessage(c, b)));
-        mQuestions.answer(effect.call(), reply.build());
+        effect.locations().forEach((c, b) -> reply.addLocations(PeerSidecars.toWire(c, b)));
+        mLocateCalls.answer(effect.call(), reply.build());
     }
 
     @Override
     public void handOverChats(
             HandOverChatsRequest request, StreamObserver<HandOverChatsReply> reply) {
-        Map<Long, String> locations = PeerSidecars.toMap(request.getLocationsList());
+        Map<Long, String> locations = PeerSidecars.toCore(request.getLocationsList());
         mEvents.accept(new SidecarEvent.ChatsHandedOver(request.getFrom(), locations));
         reply.onNext(HandOverChatsReply.getDefaultInstance());
         reply.onCompleted();
@@ -98,15 +98,15 @@
     public void order(OrderRequest request, StreamObserver<OrderReply> reply) {
         mEvents.accept(
                 new SidecarEvent.OrderReceived(
-                        mOrders.add(reply),
+                        mOrderCalls.add(reply),
                         request.getKind(),
                         request.getArgument(),
                         request.getFence()));
     }
 
-    /** Answers an order. */
+    /** Answers an order with its result. */
     public void answerOrder(long call, ResultCode code, String message) {
-        mOrders.answer(
+        mOrderCalls.answer(
                 call, OrderReply.newBuilder().setCode(code.number()).setMessage(message).build());
     }
 
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/package-info.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/package-info.java
@@ -1,2 +1,2 @@
-/** The gRPC side of a sidecar: streams of attempts, single calls, and exchanges with control. */
+/** The gRPC side of a sidecar: attempt streams, unary calls, and exchanges with control. */
 package org.laurelweir.sidecar.rpc;
--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/AttemptReader.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/AttemptReader.java
@@ -10,9 +10,9 @@
 import org.laurelweir.wire.AttemptCodec;
 import org.laurelweir.wire.v1.AttemptFrame;
 
-/** A router's end of one stream: collects frames in order. */
+/** The router's end of an attempt stream: collects the frames in order. */
 final class AttemptReader implements StreamObserver<AttemptFrame> {
-    private static final long LONG_WAIT_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
 
     private final BlockingQueue<Frame> mFrames = new LinkedBlockingQueue<>();
     private final ByteArrayOutputStream mBody = new ByteArrayOutputStream();
@@ -24,23 +24,23 @@
 
     @Override
     public void onError(Throwable failure) {
-        // The frames so far tell the test what it needs.
+        // A test that waits for a frame fails by the timeout of await().
     }
 
     @Override
     public void onCompleted() {
-        // The last frame has said so.
+        // The final frame marks the end already.
     }
 
     /**
-     * Returns the first frame of a kind, after adding the data before it to the body. Another
-     * closing frame ends the wait: nothing comes after it.
+     * Waits for the first frame of a type and returns it. Data frames before it are added to the
+     * body. Fails on another final frame, because no frame follows a final one.
      */
     <T extends Frame> T await(Class<T> kind) throws InterruptedException {
         while (true) {
-            Frame frame = mFrames.poll(LONG_WAIT_SECONDS, TimeUnit.SECONDS);
+            Frame frame = mFrames.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
             if (frame == null) {
-                throw new AssertionError("no " + kind.getSimpleName() + " came");
+                throw new AssertionError("no " + kind.getSimpleName() + " frame received in time");
             }
             if (frame instanceof Frame.Data d) {
                 mBody.writeBytes(d.bytes());
@@ -48,19 +48,20 @@
             if (kind.isInstance(frame)) {
                 return kind.cast(frame);
             }
-            if (isClosing(frame)) {
-                throw new AssertionError("no " + kind.getSimpleName() + " but " + frame);
+            if (isFinal(frame)) {
+                throw new AssertionError(
+                        "expected a " + kind.getSimpleName() + " frame, received " + frame);
             }
         }
     }
 
-    private static boolean isClosing(Frame frame) {
+    private static boolean isFinal(Frame frame) {
         return frame instanceof Frame.End
                 || frame instanceof Frame.Refused
                 || frame instanceof Frame.Failed;
     }
 
-    /** Returns the body so far. */
+    /** Returns the body received so far. */
     String body() {
         return mBody.toString(StandardCharsets.UTF_8);
     }
--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/FakeControl.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/FakeControl.java
@@ -21,15 +21,15 @@
 import org.laurelweir.wire.v1.ExchangeReply;
 import org.laurelweir.wire.v1.ExchangeRequest;
 
-/** A control instance with the real membership, and nothing of settings or agreement. */
+/** A control instance with the real membership, but without settings and consensus. */
 final class FakeControl extends ControlServiceGrpc.ControlServiceImplBase implements AutoCloseable {
-    private static final long LONG_WAIT_SECONDS = 60;
+    private static final long TIMEOUT_SECONDS = 60;
 
     private final InstantSource mClock = InstantSource.system();
     private final SharedMembership mMembership =
             new SharedMembership(
                     MembershipConfig.builder("c1", 1).build(), List.of(), (b, reason, own) -> {});
-    private final Map<String, Integer> mExchanges = new HashMap<>();
+    private final Map<String, Integer> mExchangeCounts = new HashMap<>();
     private final Server mServer;
     private long mFence;
 
@@ -49,8 +49,8 @@
         mFence = fence;
     }
 
-    /** Takes what a sidecar of an earlier time announced. */
-    synchronized void hear(Backend backend) {
+    /** Receives a report as from a sidecar, such as one of an earlier run. */
+    synchronized void receiveReport(Backend backend) {
         mMembership.receiveReport(mClock.instant(), new SidecarReport(backend, 0, 0, 0));
     }
 
@@ -64,7 +64,7 @@
         SidecarReport report = MembershipCodec.toCore(request.getSidecar());
         mMembership.tick(mClock.instant());
         int session = mMembership.receiveReport(mClock.instant(), report);
-        mExchanges.merge(report.backend().ref().id(), 1, Integer::sum);
+        mExchangeCounts.merge(report.backend().ref().id(), 1, Integer::sum);
         notifyAll();
         MembershipDelta delta =
                 mMembership.deltaSince(
@@ -79,16 +79,16 @@
         reply.onCompleted();
     }
 
-    /** Waits until a sidecar has taken an answer that was given after this call. */
-    synchronized void awaitAnswerTaken(String sidecar) throws InterruptedException {
-        // One exchange may be under way; the next is answered; that answer is taken before the
-        // sidecar exchanges again.
-        int least = mExchanges.getOrDefault(sidecar, 0) + 3;
-        await(() -> mExchanges.getOrDefault(sidecar, 0) >= least);
+    /** Waits until a sidecar has applied an answer that was sent after this call. */
+    synchronized void awaitAnswerApplied(String sidecar) throws InterruptedException {
+        // The first exchange may be in flight already. The second is answered after this call. The
+        // sidecar applies that answer before it starts the third.
+        int target = mExchangeCounts.getOrDefault(sidecar, 0) + 3;
+        await(() -> mExchangeCounts.getOrDefault(sidecar, 0) >= target);
     }
 
-    /** Waits until a backend server is known in a state. */
-    synchronized Backend awaitKnown(String id, Backend.State state) throws InterruptedException {
+    /** Waits until the membership has a backend server in a state. */
+    synchronized Backend awaitBackend(String id, Backend.State state) throws InterruptedException {
         await(() -> find(id, state) != null);
         return find(id, state);
     }
@@ -101,11 +101,12 @@
     }
 
     private void await(BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONG_WAIT_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            long left = until - System.nanoTime();
+            long left = deadline - System.nanoTime();
             if (left <= 0) {
-                throw new AssertionError("control knows only " + mMembership.backends());
+                throw new AssertionError(
+                        "condition not met in time; membership: " + mMembership.backends());
             }
             TimeUnit.NANOSECONDS.timedWait(this, left);
         }
--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarControlTest.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarControlTest.java
@@ -25,11 +25,11 @@
 import org.laurelweir.wire.v1.LocateChatsRequest;
 import org.laurelweir.wire.v1.OrderRequest;
 
-/** Sidecars beside stand-in engines, with a control instance that knows their membership. */
+/** Tests sidecars beside stand-in engines with a control instance that knows their membership. */
 @Timeout(240)
 class SidecarControlTest {
-    private static final String FIRST = "engine-1";
-    private static final String SECOND = "engine-2";
+    private static final String FIRST_BACKEND = "engine-1";
+    private static final String SECOND_BACKEND = "engine-2";
     private static final String SERVICE = "seilhjerne";
 
     @TempDir Path mFolder;
@@ -50,40 +50,42 @@
         return new SidecarFixture(mFolder, name, mControl.address());
     }
 
-    private static ResultCode order(SidecarFixture sidecar, String model, long fence) {
+    private static ResultCode sendOrder(SidecarFixture sidecar, String model, long fence) {
         OrderRequest order =
                 OrderRequest.newBuilder()
                         .setKind("load_model")
                         .setArgument(model)
                         .setFence(fence)
                         .build();
-        return ResultCode.of(sidecar.calls().order(order).getCode());
+        return ResultCode.of(sidecar.stub().order(order).getCode());
     }
 
-    // A leader of control gives an order and is deposed; its order arrives after one of the new
-    // leader. This engine does not check the number: passed on, the old order would undo the new.
+    // Guards against an old order that undoes a newer one. A control leader issues an order and
+    // loses its leadership; the order arrives after one of the new leader. The engine doesn't check
+    // fencing tokens, so the sidecar has to reject the old order.
     @Test
-    void orderReachesTheEngineAndAnOlderOneDoesNot() throws IOException, InterruptedException {
+    void passesOnNewOrderAndRejectsOlderFence() throws IOException, InterruptedException {
         mControl.setFence(4);
-        try (SidecarFixture sidecar = sidecar(FIRST)) {
-            mControl.awaitAnswerTaken(FIRST);
-            assertThat(order(sidecar, "before", 3)).isEqualTo(ResultCode.STALE_FENCE);
-            assertThat(order(sidecar, "new", 6)).isEqualTo(ResultCode.OK);
-            assertThat(order(sidecar, "old", 5)).isEqualTo(ResultCode.STALE_FENCE);
+        try (SidecarFixture sidecar = sidecar(FIRST_BACKEND)) {
+            mControl.awaitAnswerApplied(FIRST_BACKEND);
+            assertThat(sendOrder(sidecar, "before", 3)).isEqualTo(ResultCode.STALE_FENCE);
+            assertThat(sendOrder(sidecar, "new", 6)).isEqualTo(ResultCode.OK);
+            assertThat(sendOrder(sidecar, "old", 5)).isEqualTo(ResultCode.STALE_FENCE);
             assertThat(sidecar.engineOrders())
                     .contains("\"new\"", "\"fence\":6")
                     .doesNotContain("\"old\"", "\"before\"");
         }
     }
 
-    // The sidecar stopped, said so, and the machine's clock went back an hour before it starts
-    // anew. It goes on as a later run than the one that left, and answers what is meant for that.
+    // Guards against a restarted sidecar that counts as departed. The sidecar stops and reports
+    // that it departed; the machine's clock goes back an hour before the sidecar starts again. It
+    // takes an incarnation later than the departed one and serves attempts.
     @Test
-    void goesOnAsALaterRunAfterTheClockWentBack() throws IOException, InterruptedException {
+    void takesLaterIncarnationAfterClockWentBack() throws IOException, InterruptedException {
         long before = System.currentTimeMillis() + 3_600_000;
         Backend earlier =
                 new Backend(
-                        new BackendRef(FIRST, before),
+                        new BackendRef(FIRST_BACKEND, before),
                         SERVICE,
                         "bergen",
                         "vestkyst",
@@ -91,48 +93,50 @@
                         Backend.State.SERVING,
                         1,
                         1);
-        mControl.hear(earlier);
-        mControl.hear(earlier.withState(Backend.State.LEFT));
-        try (SidecarFixture sidecar = sidecar(FIRST)) {
-            Backend known = mControl.awaitKnown(FIRST, Backend.State.SERVING);
-            assertThat(known.ref()).isEqualTo(new BackendRef(FIRST, before + 1));
+        mControl.receiveReport(earlier);
+        mControl.receiveReport(earlier.withState(Backend.State.LEFT));
+        try (SidecarFixture sidecar = sidecar(FIRST_BACKEND)) {
+            Backend known = mControl.awaitBackend(FIRST_BACKEND, Backend.State.SERVING);
+            assertThat(known.ref()).isEqualTo(new BackendRef(FIRST_BACKEND, before + 1));
             AttemptReader reader = new AttemptReader();
             sidecar.open(reader, sidecar.begin(1, false, 16));
             assertThat(reader.await(Frame.End.class).usage().completionTokens()).isEqualTo(16);
         }
     }
 
-    // A chat was answered by the only server. Another one joins, becomes the chat's home, and is
-    // sent the next turn. It asks the first one, and sends the request to where the history is.
-    // A question that takes over 100 ms is given up, so that one of several has to get through.
+    // Guards against losing cached history when a chat's home changes. The only backend server
+    // serves a chat. Another one joins, becomes the chat's home and receives the next turn. It
+    // requests the chat location from the first one and redirects the request there. The request
+    // for the location times out after 100 ms, so only one of several chats has to be redirected.
     @Test
-    void newHomeFindsAChatAtThePreviousOne() throws IOException, InterruptedException {
-        try (SidecarFixture previous = sidecar(SECOND)) {
-            mControl.awaitAnswerTaken(SECOND);
-            List<Long> chats = chatsAt(FIRST, 8);
+    void newHomeRedirectsChatToPreviousHome() throws IOException, InterruptedException {
+        try (SidecarFixture previous = sidecar(SECOND_BACKEND)) {
+            mControl.awaitAnswerApplied(SECOND_BACKEND);
+            List<Long> chats = chatsWithHome(FIRST_BACKEND, 8);
             for (long chat : chats) {
                 AttemptReader reader = new AttemptReader();
                 previous.open(reader, previous.beginChat(chat, chat, false));
                 reader.await(Frame.End.class);
             }
-            try (SidecarFixture home = sidecar(FIRST)) {
-                mControl.awaitKnown(FIRST, Backend.State.SERVING);
-                mControl.awaitAnswerTaken(FIRST);
-                assertThat(chats).anyMatch(chat -> isSentTo(home, chat, SECOND));
+            try (SidecarFixture home = sidecar(FIRST_BACKEND)) {
+                mControl.awaitBackend(FIRST_BACKEND, Backend.State.SERVING);
+                mControl.awaitAnswerApplied(FIRST_BACKEND);
+                assertThat(chats).anyMatch(chat -> isRedirectedTo(home, chat, SECOND_BACKEND));
             }
         }
     }
 
-    // A home that leaves tells the next home where its chats sit. The next home sends a request on
-    // there, although it never served the chat itself.
+    // Guards against losing cached history when a home departs. The departing home hands its chat
+    // locations over to the next home, which redirects requests there although it never served the
+    // chats itself.
     @Test
-    void handedOverChatIsFound() throws IOException, InterruptedException {
-        try (SidecarFixture home = sidecar(FIRST);
-                SidecarFixture other = sidecar(SECOND)) {
-            mControl.awaitKnown(SECOND, Backend.State.SERVING);
-            mControl.awaitAnswerTaken(FIRST);
-            long chat = chatsAt(FIRST, 1).get(0);
-            home.calls()
+    void homeRedirectsHandedOverChat() throws IOException, InterruptedException {
+        try (SidecarFixture home = sidecar(FIRST_BACKEND);
+                SidecarFixture other = sidecar(SECOND_BACKEND)) {
+            mControl.awaitBackend(SECOND_BACKEND, Backend.State.SERVING);
+            mControl.awaitAnswerApplied(FIRST_BACKEND);
+            long chat = chatsWithHome(FIRST_BACKEND, 1).get(0);
+            home.stub()
                     .handOverChats(
                             HandOverChatsRequest.newBuilder()
                                     .setFrom("engine-3")
@@ -140,18 +144,18 @@
                                     .addLocations(
                                             ChatLocation.newBuilder()
                                                     .setChat(chat)
-                                                    .setBackend(SECOND))
+                                                    .setBackend(SECOND_BACKEND))
                                     .build());
             LocateChatsRequest question =
                     LocateChatsRequest.newBuilder().setService(SERVICE).addChats(chat).build();
-            assertThat(home.calls().locateChats(question).getLocations(0).getBackend())
-                    .isEqualTo(SECOND);
-            assertThat(isSentTo(home, chat, SECOND)).isTrue();
-            assertThat(other.calls().locateChats(question).getLocationsCount()).isZero();
+            assertThat(home.stub().locateChats(question).getLocations(0).getBackend())
+                    .isEqualTo(SECOND_BACKEND);
+            assertThat(isRedirectedTo(home, chat, SECOND_BACKEND)).isTrue();
+            assertThat(other.stub().locateChats(question).getLocationsCount()).isZero();
         }
     }
 
-    private static boolean isSentTo(SidecarFixture sidecar, long chat, String backend) {
+    private static boolean isRedirectedTo(SidecarFixture sidecar, long chat, String backend) {
         AttemptReader reader = new AttemptReader();
         AttemptMessage next = sidecar.beginChat(1_000_000 + chat, chat, true);
         sidecar.open(reader, next);
@@ -165,9 +169,11 @@
         }
     }
 
-    /** Returns chats whose home is one of the two servers once both are there. */
-    private static List<Long> chatsAt(String home, int count) {
-        ServiceView view = ServiceView.empty(SERVICE).apply(1, List.of(join(FIRST), join(SECOND)));
+    /** Returns chats whose home is the given backend server once both have joined. */
+    private static List<Long> chatsWithHome(String home, int count) {
+        ServiceView view =
+                ServiceView.empty(SERVICE)
+                        .apply(1, List.of(join(FIRST_BACKEND), join(SECOND_BACKEND)));
         return LongStream.iterate(1, c -> c + 1)
                 .filter(c -> view.ranking().home(new ChatKey(c)).id().equals(home))
                 .limit(count)
--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarFixture.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarFixture.java
@@ -26,9 +26,9 @@
 import org.laurelweir.wire.v1.Resume;
 import org.laurelweir.wire.v1.SidecarServiceGrpc;
 
-/** A sidecar beside a stand-in engine, and a router's connection to it. */
+/** A stand-in engine, the sidecar beside it, and a router's connection to the sidecar. */
 final class SidecarFixture implements AutoCloseable {
-    private static final String NO_CONTROL = "127.0.0.1:1";
+    private static final String UNREACHABLE_CONTROL = "127.0.0.1:1";
     private static final long CHAT_KEY = 11;
     private static final String CHAT =
             """
@@ -52,9 +52,9 @@
     private final SidecarProgram mSidecar;
     private final ManagedChannel mChannel;
 
-    /** Starts a sidecar that can't reach control. */
+    /** Starts an engine and a sidecar that can't reach control. */
     SidecarFixture(Path folder) throws IOException {
-        this(folder, "engine-1", NO_CONTROL);
+        this(folder, "engine-1", UNREACHABLE_CONTROL);
     }
 
     SidecarFixture(Path folder, String name, String control) throws IOException {
@@ -73,7 +73,7 @@
                         .build();
     }
 
-    /** An engine that leaves it to the sidecar to check fencing numbers. */
+    /** Returns settings of an engine that doesn't check fencing tokens; only the sidecar does. */
     private static EngineSettings engineSettings() {
         EngineSettings.Orders unchecked = new EngineSettings.Orders(false, Duration.ZERO);
         return EngineSettings.builder().name("e").orders(unchecked).build();
@@ -83,11 +83,11 @@
         return mSidecar;
     }
 
-    SidecarServiceGrpc.SidecarServiceBlockingStub calls() {
+    SidecarServiceGrpc.SidecarServiceBlockingStub stub() {
         return SidecarServiceGrpc.newBlockingStub(mChannel);
     }
 
-    /** Opens a stream and sends its first message. */
+    /** Opens an attempt stream and sends its first message. */
     StreamObserver<AttemptMessage> open(AttemptReader reader, AttemptMessage first) {
         StreamObserver<AttemptMessage> stream =
                 SidecarServiceGrpc.newStub(mChannel).attempt(reader);
@@ -107,13 +107,13 @@
         return message(begin(request, streamed, tokens, CHAT_KEY).idempotent(idempotent).build());
     }
 
-    /** Begins a short turn of a chat. */
+    /** Returns the message that begins a short turn of a chat. */
     AttemptMessage beginChat(long request, long chat, boolean returning) {
         return message(begin(request, false, 4, chat).chat(chat, returning).build());
     }
 
-    /** Begins a request whose caller can't wait for the work that it is expected to take. */
-    AttemptMessage beginHopeless(long request) {
+    /** Returns the message that begins a request which costs more than its deadline allows. */
+    AttemptMessage beginTooExpensive(long request) {
         return message(begin(request, false, 1_000_000_000, CHAT_KEY).build());
     }
 
@@ -149,12 +149,12 @@
         return AttemptMessage.newBuilder().setResume(resume).build();
     }
 
-    /** Tells the engine to show a fault. */
-    void fault(String json) throws IOException, InterruptedException {
+    /** Makes the engine inject a fault. */
+    void injectFault(String json) throws IOException, InterruptedException {
         send(engine("/engine/faults").POST(HttpRequest.BodyPublishers.ofString(json)));
     }
 
-    /** Returns the engine's JSON of the orders that reached it. */
+    /** Returns the orders that the engine received, as JSON. */
     String engineOrders() throws IOException, InterruptedException {
         return send(engine("/engine/orders"));
     }
--- a/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarProgramTest.java
+++ b/org.laurelweir.sidecar/src/test/java/org/laurelweir/sidecar/SidecarProgramTest.java
@@ -21,10 +21,10 @@
 import org.laurelweir.wire.v1.OrderRequest;
 import org.laurelweir.wire.v1.RevokeRequest;
 
-/** A sidecar beside a stand-in engine, while no control instance can be reached. */
+/** Tests a sidecar beside a stand-in engine while no control instance can be reached. */
 @Timeout(120)
 class SidecarProgramTest {
-    private static final String DONE = "data: [DONE]\n\n";
+    private static final String DONE_EVENT = "data: [DONE]\n\n";
 
     @TempDir Path mFolder;
 
@@ -42,12 +42,12 @@
     }
 
     @Test
-    void streamedAnswerArrivesWhole() throws InterruptedException {
+    void streamedAnswerArrivesCompletely() throws InterruptedException {
         mFixture.open(mReader, mFixture.begin(1, true, 16));
 
         assertThat(mReader.await(Frame.Head.class).status()).isEqualTo(200);
         Frame.End end = mReader.await(Frame.End.class);
-        assertThat(mReader.body()).startsWith("data: ").endsWith(DONE);
+        assertThat(mReader.body()).startsWith("data: ").endsWith(DONE_EVENT);
         assertThat(end.length()).isEqualTo(mReader.body().length());
     }
 
@@ -59,11 +59,11 @@
         assertThat(end.usage().completionTokens()).isEqualTo(16);
     }
 
-    // The connection under a stream goes silent after the first bytes. The router opens another
-    // stream and asks for the output from the offset that it has; it gets the rest, and the old
-    // stream ends. The attempt itself is not run again.
+    // Guards against running an attempt twice after its connection stalls. The stream goes silent
+    // after the first bytes. The router opens another stream and resumes from the offset that it
+    // has. It receives the remaining output, and the old stream ends.
     @Test
-    void resumedStreamGetsTheRest() throws InterruptedException {
+    void resumedStreamReceivesRemainingOutput() throws InterruptedException {
         mFixture.open(mReader, mFixture.begin(1, true, 64));
         mReader.await(Frame.Data.class);
         int offset = mReader.body().length();
@@ -72,12 +72,12 @@
         mFixture.open(second, mFixture.resume(1, offset));
         Frame.End end = second.await(Frame.End.class);
         assertThat(offset + second.body().length()).isEqualTo((int) end.length());
-        assertThat(second.body()).endsWith(DONE);
+        assertThat(second.body()).endsWith(DONE_EVENT);
     }
 
-    // A router revokes an attempt that the sidecar has not seen, is told that it never started,
-    // and tells its caller "not run". The message that begins the attempt arrives after that: were
-    // it run now, the caller would have been told a lie.
+    // Guards against running a request that was reported as not run. A router revokes an attempt
+    // that the sidecar has not seen, learns that it never started, and answers its caller "not
+    // run". The message that begins the attempt arrives later and must be rejected.
     @Test
     void revokedAttemptIsRefusedWhenItArrivesLate() throws InterruptedException {
         RevokeRequest revoke =
@@ -85,7 +85,7 @@
                         .setAttempt(IdCodec.toWire(SidecarFixture.id(7)))
                         .setTarget(IdCodec.toWire(mFixture.sidecar().self()))
                         .build();
-        AttemptState state = mFixture.calls().revoke(revoke).getState();
+        AttemptState state = mFixture.stub().revoke(revoke).getState();
         assertThat(state).isEqualTo(AttemptState.NEVER_STARTED);
 
         mFixture.open(mReader, mFixture.begin(7, false, 16));
@@ -101,40 +101,41 @@
         assertThat(mReader.await(Frame.Failed.class).code()).isEqualTo(ResultCode.CANCELLED);
     }
 
-    // The engine is gone. The call can't even be connected, so that it is certain not to have run:
-    // the router is told so, and may try another backend server.
+    // The engine is stopped and the connection can't be opened, so that the call certainly did not
+    // run. The sidecar reports this, and the router may retry on another backend server.
     @Test
-    void attemptIsRefusedWhereTheEngineIsGone() throws InterruptedException {
+    void attemptIsRefusedIfEngineIsUnreachable() throws InterruptedException {
         mFixture.stopEngine();
         mFixture.open(mReader, mFixture.begin(1, true, 16));
         assertThat(mReader.await(Frame.Refused.class).code()).isEqualTo(ResultCode.BACKEND_REFUSED);
     }
 
-    // The engine's connection breaks after ten tokens. What came so far went on to the router; it
-    // must hear that this is not the whole answer.
+    // The engine's connection breaks after ten tokens. The router has received them already and
+    // must learn that the answer is incomplete.
     @Test
-    void cutStreamIsNotCalledWhole() throws IOException, InterruptedException {
-        mFixture.fault("{\"kind\": \"cut\", \"after\": 10}");
+    void cutStreamIsReportedAsIncomplete() throws IOException, InterruptedException {
+        mFixture.injectFault("{\"kind\": \"cut\", \"after\": 10}");
         mFixture.open(mReader, mFixture.begin(1, true, 64));
         assertThat(mReader.await(Frame.Failed.class).code()).isEqualTo(ResultCode.ANSWER_CUT);
         assertThat(mReader.body()).startsWith("data: ");
     }
 
-    // The same with an answer that has a length: half of its bytes come, then the connection ends.
+    // The engine sends half of an answer that has a Content-Length, then the connection ends.
     @Test
-    void answerShorterThanItsLengthIsNotCalledWhole() throws IOException, InterruptedException {
-        mFixture.fault("{\"kind\": \"cut\", \"after\": 10}");
+    void answerShorterThanContentLengthIsReportedAsIncomplete()
+            throws IOException, InterruptedException {
+        mFixture.injectFault("{\"kind\": \"cut\", \"after\": 10}");
         mFixture.open(mReader, mFixture.begin(1, false, 64));
         assertThat(mReader.await(Frame.Failed.class).code()).isEqualTo(ResultCode.ANSWER_CUT);
     }
 
-    // The engine refuses with a status that is documented to come before execution. For a call
-    // that may run twice this is "not run"; an order's status is passed on as the answer instead,
-    // for a wrong document would have it run twice.
+    // The engine answers with a status that is documented to mean "rejected before execution". An
+    // idempotent call then counts as not run. For a call that is not idempotent, the status is
+    // passed on as the answer: if the documentation were wrong, a retry would run the call twice.
     @Test
-    void documentedRefusalIsNotRunForIdempotentCallsOnly()
+    void documentedRefusalCountsAsNotRunForIdempotentCallsOnly()
             throws IOException, InterruptedException {
-        mFixture.fault("{\"kind\": \"refuse\", \"count\": 2}");
+        mFixture.injectFault("{\"kind\": \"refuse\", \"count\": 2}");
         mFixture.open(mReader, mFixture.begin(1, false, 16));
         assertThat(mReader.await(Frame.Refused.class).code()).isEqualTo(ResultCode.BACKEND_REFUSED);
 
@@ -144,50 +145,51 @@
         order.await(Frame.End.class);
     }
 
-    // SIGTERM comes in the middle of an answer. The sidecar takes nothing new, and exits only after
-    // the answer went out whole.
+    // SIGTERM arrives in the middle of an answer. The sidecar rejects new attempts and exits only
+    // after it has sent the complete answer.
     @Test
-    void stopCutsNoAnswer() throws InterruptedException {
+    void stopWaitsForRunningAnswer() throws InterruptedException {
         mFixture.open(mReader, mFixture.begin(1, true, 64));
         mReader.await(Frame.Data.class);
         Thread stop = new Thread(mFixture.sidecar()::stop);
         stop.start();
 
         assertThat(mReader.await(Frame.End.class).length()).isEqualTo(mReader.body().length());
-        assertThat(mReader.body()).endsWith(DONE);
+        assertThat(mReader.body()).endsWith(DONE_EVENT);
         stop.join();
     }
 
-    // A request needs more time than its caller has, by what the ones before took. Begun, it would
-    // keep the engine from others and be given up in the end: it is refused at once, as not run.
+    // By the duration of earlier requests, a request needs more time than its deadline leaves. If
+    // it ran, it would occupy the engine and time out in the end, so it is rejected at once as not
+    // run.
     @Test
-    void hopelessRequestIsRefusedAtOnce() throws InterruptedException {
+    void requestThatCannotMeetDeadlineIsRefusedAtOnce() throws InterruptedException {
         mFixture.open(mReader, mFixture.begin(1, false, 16));
         mReader.await(Frame.End.class);
-        AttemptReader hopeless = new AttemptReader();
-        mFixture.open(hopeless, mFixture.beginHopeless(2));
-        assertThat(hopeless.await(Frame.Refused.class).code())
+        AttemptReader rejected = new AttemptReader();
+        mFixture.open(rejected, mFixture.beginTooExpensive(2));
+        assertThat(rejected.await(Frame.Refused.class).code())
                 .isEqualTo(ResultCode.DEADLINE_UNREACHABLE);
     }
 
     @Test
-    void decisionIsExplainedByItsRequestsName() throws InterruptedException {
+    void decisionIsExplainedByRequestName() throws InterruptedException {
         mFixture.open(mReader, mFixture.begin(1, false, 16));
         mReader.await(Frame.End.class);
         ExplainRequest request =
                 ExplainRequest.newBuilder().setSubject(SidecarFixture.id(1).requestName()).build();
-        Decision decision = mFixture.calls().explain(request).getDecisions(0);
+        Decision decision = mFixture.stub().explain(request).getDecisions(0);
         assertThat(decision.getChoice()).isEqualTo("engine-1");
         assertThat(decision.getReason()).isEqualTo("within_bound");
     }
 
-    // The sidecar was just started and control can't be reached, so that it can't know which orders
-    // went before: none passes.
+    // A sidecar that has had no exchange with control since its start doesn't know the latest
+    // fencing token, so it rejects every order.
     @Test
-    void orderIsRefusedBeforeControlWasHeard() {
+    void orderIsRefusedBeforeFirstExchangeWithControl() {
         OrderRequest order =
                 OrderRequest.newBuilder().setKind("load_model").setArgument("big").build();
-        int code = mFixture.calls().order(order).getCode();
+        int code = mFixture.stub().order(order).getCode();
         assertThat(ResultCode.of(code)).isEqualTo(ResultCode.POSSIBLY_STALE);
     }
 }
