--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Console.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Console.java
@@ -10,7 +10,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** What a command reads of its surroundings and where it writes. */
+/** The environment that a command reads and the streams that it writes to. */
 public final class Console {
     private static final JsonInclude.Value NON_NULL =
             JsonInclude.Value.construct(JsonInclude.Include.NON_NULL, JsonInclude.Include.NON_NULL);
@@ -24,9 +24,9 @@
     /**
      * Creates a console.
      *
-     * @param out takes results
-     * @param err takes errors and remarks
-     * @param environment the process's variables
+     * @param out the stream for results
+     * @param err the stream for errors and messages
+     * @param environment the process's environment variables
      */
     public Console(PrintStream out, PrintStream err, Map<String, String> environment) {
         mOut = out;
@@ -34,12 +34,12 @@
         mEnvironment = Map.copyOf(environment);
     }
 
-    /** Returns a variable of the environment, or empty. */
+    /** Returns an environment variable's value, or an empty string. */
     public String variable(String name) {
         return mEnvironment.getOrDefault(name, "");
     }
 
-    /** Returns who runs the command. */
+    /** Returns the name of the user who runs the command. */
     public String user() {
         return System.getProperty("user.name", "");
     }
@@ -54,7 +54,7 @@
         lines.forEach(mOut::println);
     }
 
-    /** Writes a result for scripts, one JSON document on a line. */
+    /** Writes a result for scripts as a JSON document on one line. */
     public void printJson(Record result) {
         try {
             mOut.println(MAPPER.writeValueAsString(result));
@@ -63,13 +63,13 @@
         }
     }
 
-    /** Returns where help and scripts are written. */
+    /** Returns the stream for results, for help and completion scripts. */
     public PrintStream out() {
         return mOut;
     }
 
-    /** Writes a remark or an error, beside the result. */
-    public void remark(String line) {
+    /** Writes a message or an error to the error stream, apart from the result. */
+    public void printMessage(String line) {
         mErr.println(line);
     }
 }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Main.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Main.java
@@ -32,7 +32,7 @@
 import org.laurelweir.runtime.log.Logging;
 import org.laurelweir.runtime.process.Program;
 
-/** Entry of the command line. */
+/** The entry point of the command line. */
 public final class Main {
     private static final List<String> HELP_OPTIONS = List.of("-h", "--help");
     private static final String HELP = "help";
@@ -41,12 +41,12 @@
     private final Console mConsole;
     private final Cli<PgmCommand> mCli = newCli();
 
-    /** Creates an entry that writes to a console. */
+    /** Creates a command line that writes to a console. */
     public Main(Console console) {
         mConsole = console;
     }
 
-    /** Runs one command and ends with its status. */
+    /** Runs one command and exits with its status. */
     public static void main(String[] args) {
         new Logging(
                         new LogSettings(
@@ -62,30 +62,30 @@
      * Runs one command.
      *
      * @param args the command line
-     * @return the process's status: 0, 1 for a difference, fault or nothing found, else the exit
-     *     code of the result code that docs/CODES.md lists
+     * @return the exit status: 0 for success, 1 for a difference, a fault or nothing found, else
+     *     the exit status of the result code as docs/CODES.md lists it
      */
     public int run(String... args) {
         List<String> words = new ArrayList<>(List.of(args));
         try {
-            if (asksForHelp(words)) {
+            if (removeHelpRequest(words)) {
                 Help.help(mCli.getMetadata(), commandWords(words), mConsole.out());
                 return PgmCommand.SUCCESS;
             }
             return mCli.parse(words.toArray(String[]::new)).run(mConsole);
         } catch (LaurelweirException e) {
-            mConsole.remark(Texts.PROGRAM + ": " + e);
+            mConsole.printMessage(Texts.PROGRAM + ": " + e);
             return Program.exitCode(e.getCode());
         } catch (ParseException e) {
-            mConsole.remark(Texts.PROGRAM + ": " + e.getMessage());
+            mConsole.printMessage(Texts.PROGRAM + ": " + e.getMessage());
             return Program.exitCode(ResultCode.USAGE);
         } catch (IOException e) {
             return Program.exitCode(ResultCode.INTERNAL);
         }
     }
 
-    /** Returns whether help is asked for, and removes the words that ask. */
-    private static boolean asksForHelp(List<String> words) {
+    /** Removes the words that request help, and returns whether help is requested. */
+    private static boolean removeHelpRequest(List<String> words) {
         if (words.isEmpty()) {
             return true;
         }
@@ -105,7 +105,7 @@
     private static Cli<PgmCommand> newCli() {
         CliBuilder<PgmCommand> cli =
                 Cli.<PgmCommand>builder(Texts.PROGRAM)
-                        .withDescription(Texts.ABOUT)
+                        .withDescription(Texts.PROGRAM_DESCRIPTION)
                         .withCommand(Check.class)
                         .withCommand(Completion.class)
                         .withCommand(Drain.class)
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/PgmCommand.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/PgmCommand.java
@@ -1,21 +1,21 @@
 package org.laurelweir.pgm;
 
-/** A subcommand with its options filled in. */
+/** A subcommand whose options and arguments are parsed. */
 @FunctionalInterface
 public interface PgmCommand {
-    /** Status of a command that did what it was asked. */
+    /** Exit status of a command that succeeded. */
     int SUCCESS = 0;
 
-    /** Status of a command that found a difference, a fault or nothing. */
+    /** Exit status of a command that found a difference, a fault or nothing. */
     int NEGATIVE = 1;
 
     /**
-     * Carries the command out.
+     * Runs the command.
      *
-     * @param console where to write
+     * @param console takes the result and messages
      * @return {@link #SUCCESS} or {@link #NEGATIVE}
-     * @throws org.laurelweir.errors.LaurelweirException if the command could not be carried out;
-     *     its code decides the process's status
+     * @throws org.laurelweir.errors.LaurelweirException if the command failed; its code determines
+     *     the exit status
      */
     int run(Console console);
 }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/SettingsFiles.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/SettingsFiles.java
@@ -9,7 +9,7 @@
 
 /** The records that specify the programs' settings files. */
 public final class SettingsFiles {
-    /** One for each program that starts from a file. */
+    /** One record type for each program that reads a settings file. */
     public static final List<Class<? extends Record>> SPECS =
             List.of(
                     ControlFile.class,
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Table.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Table.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lays out rows in columns for people. */
+/** Formats rows as a table of aligned columns. */
 public final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_GAP = "  ";
 
     private final List<List<String>> mRows = new ArrayList<>();
 
     /**
      * Creates a table without rows.
      *
-     * @param heading the columns' names, parted by commas
+     * @param heading the columns' names, separated by commas
      */
     public Table(String heading) {
         mRows.add(List.of(heading.split(",")));
     }
 
-    /** Adds a row of as many cells as the heading has. */
+    /** Adds a row, which must have as many cells as the heading. */
     public void add(Object... cells) {
         List<String> row = new ArrayList<>();
         for (Object c : cells) {
@@ -27,7 +27,7 @@
         mRows.add(row);
     }
 
-    /** Returns the lines; none where there is no row. */
+    /** Returns the lines, heading first; none if no row was added. */
     public List<String> lines() {
         if (mRows.size() == 1) {
             return List.of();
@@ -44,7 +44,9 @@
     private static String line(List<String> row, int[] widths) {
         StringBuilder s = new StringBuilder();
         for (int i = 0; i < widths.length; i++) {
-            s.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length())).append(GAP);
+            s.append(row.get(i))
+                    .append(" ".repeat(widths[i] - row.get(i).length()))
+                    .append(COLUMN_GAP);
         }
         return s.toString().stripTrailing();
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Texts.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/Texts.java
@@ -1,9 +1,9 @@
 package org.laurelweir.pgm;
 
-/** Every text that the command line shows, with places for {@link String#format}. */
+/** The texts that the command line shows; some are patterns for {@link String#format}. */
 public final class Texts {
     public static final String PROGRAM = "laurelweir";
-    public static final String ABOUT = "Operates a fleet of routers.";
+    public static final String PROGRAM_DESCRIPTION = "Operates a fleet of routers.";
     public static final String SETTINGS = "settings";
     public static final String SETTINGS_GROUP = "Reads and changes the settings tree.";
 
@@ -115,7 +115,7 @@
     public static final String LEADER = "leader";
     public static final String FOLLOWER = "follower";
     public static final String LEARNER = "learner";
-    public static final String NO_MEMBER = "none";
+    public static final String NOT_A_MEMBER = "none";
     public static final String CURRENT = "current";
     public static final String POSSIBLY_STALE = "possibly stale";
     public static final String DRAIN_MARK = " (drain ordered)";
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Check.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Check.java
@@ -15,7 +15,7 @@
 import org.laurelweir.runtime.config.SettingsFault;
 import org.laurelweir.runtime.config.SettingsFile;
 
-/** Checks programs' settings files without starting the programs. */
+/** Checks settings files of any program without starting the program. */
 @Command(name = "check", description = Texts.CHECK)
 public final class Check implements PgmCommand {
     @AirlineModule private HelpFlag mHelp = new HelpFlag();
@@ -27,7 +27,7 @@
     @Arguments(title = "FILE", description = Texts.ARGUMENT_FILES)
     private List<String> mFiles = new ArrayList<>();
 
-    /** Faults, for scripts. */
+    /** The faults found, printed as JSON. */
     record Faults(List<SettingsFault> faults) {}
 
     @Override
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Drain.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Drain.java
@@ -6,7 +6,7 @@
 import org.laurelweir.pgm.PgmCommand;
 import org.laurelweir.pgm.Texts;
 
-/** Lets a backend server finish and take no new work. */
+/** Drains a backend server: it finishes its work and takes no new work. */
 @Command(name = "drain", description = Texts.DRAIN)
 public final class Drain implements PgmCommand {
     @AirlineModule private DrainRequests mRequests = new DrainRequests();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/DrainRequests.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/DrainRequests.java
@@ -10,7 +10,7 @@
 import org.laurelweir.wire.v1.DrainReply;
 import org.laurelweir.wire.v1.DrainRequest;
 
-/** Records an operator's wish that a backend server takes no new work, or takes it again. */
+/** Sends an order to drain a backend server, or to end its drain, to control. */
 final class DrainRequests {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
 
@@ -21,7 +21,7 @@
     @Arguments(title = "BACKEND", description = Texts.ARGUMENT_BACKEND)
     private String mBackend = "";
 
-    /** The wish as recorded, for scripts. */
+    /** The drain order that control recorded, printed as JSON. */
     record Recorded(String backend, boolean drain) {}
 
     int send(Console console, boolean drain, String text) {
@@ -35,7 +35,7 @@
                 console,
                 f -> {
                     DrainReply reply = f.control().drain(request);
-                    Replies.check(reply.getCode(), reply.getMessage());
+                    Replies.requireOk(reply.getCode(), reply.getMessage());
                     if (mFleet.isJson()) {
                         console.printJson(new Recorded(mBackend, drain));
                     } else {
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Explain.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Explain.java
@@ -16,7 +16,7 @@
 import org.laurelweir.wire.v1.Decision;
 import org.laurelweir.wire.v1.ExplainRequest;
 
-/** Shows the decisions for a request or chat. */
+/** Shows the decisions of routers and sidecars for a request or a chat. */
 @Command(name = "explain", description = Texts.EXPLAIN)
 public final class Explain implements PgmCommand {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
@@ -28,10 +28,10 @@
     @Arguments(title = "SUBJECT", description = Texts.ARGUMENT_SUBJECT)
     private String mSubject = "";
 
-    /** Decisions, for scripts. */
+    /** The decisions, printed as JSON, and the programs that gave no answer. */
     record Decisions(List<DecisionView> decisions, List<SilentProgram> silent) {}
 
-    /** One decision. */
+    /** One decision with its inputs. */
     record DecisionView(
             String at,
             String program,
@@ -91,19 +91,19 @@
             console.printJson(new Decisions(decisions, reader.silentPrograms()));
         } else {
             decisions.forEach(d -> console.print(d.lines()));
-            remark(reader.silentPrograms(), console);
+            reportSilentPrograms(reader.silentPrograms(), console);
         }
         if (decisions.isEmpty()) {
-            console.remark(Texts.NO_DECISION);
+            console.printMessage(Texts.NO_DECISION);
             return NEGATIVE;
         }
         return SUCCESS;
     }
 
-    private static void remark(List<SilentProgram> silent, Console console) {
+    private static void reportSilentPrograms(List<SilentProgram> silent, Console console) {
         silent.forEach(
                 s ->
-                        console.remark(
+                        console.printMessage(
                                 String.format(
                                         Texts.SILENT_PROGRAM, s.name(), s.address(), s.reason())));
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/FleetOptions.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/FleetOptions.java
@@ -15,7 +15,7 @@
 /** The options of every command that calls the fleet. */
 public final class FleetOptions {
     private static final String CONTROL_VARIABLE = "LAURELWEIR_CONTROL";
-    private static final long PAUSE_NANOS = 250_000_000;
+    private static final long RETRY_PAUSE_NANOS = 250_000_000;
 
     @Option(name = "--control", title = "ADDRESSES", description = Texts.OPTION_CONTROL)
     private String mControl = "";
@@ -26,17 +26,17 @@
     @Option(name = "--json", description = Texts.OPTION_JSON)
     private boolean mJson;
 
-    /** Returns whether the result is meant for a script. */
+    /** Returns whether to print the result as JSON. */
     boolean isJson() {
         return mJson;
     }
 
     /**
-     * Connects to the fleet while a command's work runs.
+     * Runs a command's work with connections to the fleet, and closes them afterwards.
      *
-     * @param console gives the control instances where no option does
-     * @param work the command
-     * @return the work's result
+     * @param console provides the control instances' addresses if no option names them
+     * @param work the command's work
+     * @return the exit status that the work returns
      */
     int withFleet(Console console, Function<FleetConnection, Integer> work) {
         String text = mControl.isEmpty() ? console.variable(CONTROL_VARIABLE) : mControl;
@@ -46,7 +46,7 @@
             throw new LaurelweirException(ResultCode.USAGE, Texts.NO_CONTROL);
         }
         Duration timeout = Duration.ofSeconds(mTimeoutSeconds);
-        Runnable pause = () -> LockSupport.parkNanos(PAUSE_NANOS);
+        Runnable pause = () -> LockSupport.parkNanos(RETRY_PAUSE_NANOS);
         try (FleetConnection fleet = new FleetConnection(addresses, timeout, pause)) {
             fleet.start();
             return work.apply(fleet);
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/HelpFlag.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/HelpFlag.java
@@ -5,8 +5,8 @@
 import org.laurelweir.pgm.Texts;
 
 /**
- * Shows {@code --help} among each command's options. The entry class obeys it before the command
- * line is parsed, so that it works where required arguments are missing.
+ * Lists {@code --help} among the options of a command. {@code Main} handles the option before it
+ * parses the command line, so that it works even if required arguments are missing.
  */
 public final class HelpFlag {
     @Option(
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/MembershipChanger.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/MembershipChanger.java
@@ -12,14 +12,17 @@
 import org.laurelweir.wire.v1.ChangeMembersRequest.Step;
 import org.laurelweir.wire.v1.ReplicaId;
 
-/** Makes changes of the log's membership; one that was made already is made again without harm. */
-final class MemberChanger {
-    /** A replica with a long log to copy takes its time; each try waits a fraction of a second. */
-    private static final int TRIES = 400;
+/** Changes the log's membership. Every step is idempotent. */
+final class MembershipChanger {
+    /**
+     * Leaves a replica enough time to copy a long log; the pause between attempts is below a
+     * second.
+     */
+    private static final int MAX_ATTEMPTS = 400;
 
-    private MemberChanger() {}
+    private MembershipChanger() {}
 
-    /** The membership after a change, for scripts. */
+    /** The membership after a change, printed as JSON. */
     record Members(List<String> voters, List<String> learners) {
         static Members of(ChangeMembersReply reply) {
             return new Members(
@@ -28,22 +31,25 @@
         }
     }
 
-    /** Makes one step, once. */
+    /** Requests one step, without a retry. */
     static ChangeMembersReply change(FleetConnection fleet, Step step, ReplicaId replica) {
         ChangeMembersReply reply = fleet.control().changeMembers(request(step, replica));
-        Replies.check(reply.getCode(), reply.getMessage());
+        Replies.requireOk(reply.getCode(), reply.getMessage());
         return reply;
     }
 
-    /** Makes one step, again and again while an earlier one or the copying is not finished. */
-    static ChangeMembersReply await(FleetConnection fleet, Step step, ReplicaId replica) {
-        for (int i = 0; i < TRIES; i++) {
+    /**
+     * Requests one step, and retries while an earlier step or the copying of the log is pending.
+     */
+    static ChangeMembersReply changeWithRetries(
+            FleetConnection fleet, Step step, ReplicaId replica) {
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             ChangeMembersReply reply = fleet.control().changeMembers(request(step, replica));
             if (ResultCode.of(reply.getCode()) != ResultCode.MEMBERSHIP_CHANGE_PENDING) {
-                Replies.check(reply.getCode(), reply.getMessage());
+                Replies.requireOk(reply.getCode(), reply.getMessage());
                 return reply;
             }
-            fleet.pause();
+            fleet.pauseBeforeRetry();
         }
         return change(fleet, step, replica);
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Order.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Order.java
@@ -25,23 +25,24 @@
 import org.laurelweir.wire.v1.StatusReply;
 
 /**
- * Orders a backend server, through its sidecar, to load something or to change its role. Each order
- * carries a new fencing number from control, so that one which arrives late can't undo a newer one.
+ * Sends a backend server, through its sidecar, an order to load something or to change its role.
+ * Each order carries a new fencing token from control, so that an order that arrives late can't
+ * undo a newer one.
  */
 @Command(name = "order", description = Texts.ORDER)
 public final class Order implements PgmCommand {
-    private static final int WORDS = 3;
+    private static final int ARGUMENT_COUNT = 3;
 
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
     @AirlineModule private HelpFlag mHelp = new HelpFlag();
 
     @Required
-    @MinOccurrences(occurrences = WORDS)
-    @MaxOccurrences(occurrences = WORDS)
+    @MinOccurrences(occurrences = ARGUMENT_COUNT)
+    @MaxOccurrences(occurrences = ARGUMENT_COUNT)
     @Arguments(title = "BACKEND KIND ARGUMENT", description = Texts.ARGUMENTS_ORDER)
-    private List<String> mWords = new ArrayList<>();
+    private List<String> mArguments = new ArrayList<>();
 
-    /** An order that was taken, for scripts. */
+    /** An order that the backend server accepted, printed as JSON. */
     record Taken(String backend, String kind, String argument, long fence) {}
 
     @Override
@@ -50,14 +51,15 @@
     }
 
     private int order(FleetConnection fleet, Console console) {
-        String backend = mWords.get(0);
+        String backend = mArguments.get(0);
         String address = addressOf(fleet.control().status(), backend);
         IssueFenceReply issued = fleet.control().issueFence(backend);
-        Replies.check(issued.getCode(), "");
+        Replies.requireOk(issued.getCode(), "");
         OrderReply reply = send(fleet, address, issued.getFence());
-        Replies.check(reply.getCode(), reply.getMessage());
+        Replies.requireOk(reply.getCode(), reply.getMessage());
         if (mFleet.isJson()) {
-            console.printJson(new Taken(backend, mWords.get(1), mWords.get(2), issued.getFence()));
+            console.printJson(
+                    new Taken(backend, mArguments.get(1), mArguments.get(2), issued.getFence()));
         } else {
             console.print(String.format(Texts.ORDER_TAKEN, backend, issued.getFence()));
         }
@@ -67,8 +69,8 @@
     private OrderReply send(FleetConnection fleet, String address, long fence) {
         OrderRequest request =
                 OrderRequest.newBuilder()
-                        .setKind(mWords.get(1))
-                        .setArgument(mWords.get(2))
+                        .setKind(mArguments.get(1))
+                        .setArgument(mArguments.get(2))
                         .setFence(fence)
                         .build();
         try {
@@ -79,7 +81,7 @@
             String reason = Failures.describe(e);
             throw new LaurelweirException(
                     ResultCode.OUTCOME_UNKNOWN,
-                    String.format(Texts.SILENT_PROGRAM, mWords.get(0), address, reason),
+                    String.format(Texts.SILENT_PROGRAM, mArguments.get(0), address, reason),
                     e);
         }
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Release.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Release.java
@@ -15,7 +15,7 @@
 import org.laurelweir.wire.v1.ReleaseReply;
 import org.laurelweir.wire.v1.ReleaseRequest;
 
-/** Lets a request be sent again that is kept away from backend servers. */
+/** Releases a request from quarantine, so that backend servers may receive it again. */
 @Command(name = "release", description = Texts.RELEASE)
 public final class Release implements PgmCommand {
     private static final int HEXADECIMAL = 16;
@@ -33,7 +33,7 @@
     @Arguments(title = "FINGERPRINT", description = Texts.ARGUMENT_FINGERPRINT)
     private List<String> mFingerprint = new ArrayList<>();
 
-    /** What was released, for scripts. */
+    /** The request that was released, printed as JSON. */
     record Released(String account, String fingerprint) {}
 
     @Override
@@ -49,7 +49,7 @@
                 console,
                 f -> {
                     ReleaseReply reply = f.control().release(request);
-                    Replies.check(reply.getCode(), reply.getMessage());
+                    Replies.requireOk(reply.getCode(), reply.getMessage());
                     if (mFleet.isJson()) {
                         console.printJson(new Released(mAccount, fingerprint));
                     } else {
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaAdd.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaAdd.java
@@ -7,7 +7,7 @@
 import org.laurelweir.pgm.Texts;
 import org.laurelweir.wire.v1.ChangeMembersRequest.Step;
 
-/** Lets a replica copy the log, without a vote yet. */
+/** Adds a replica as a learner, which copies the log and has no vote. */
 @Command(name = "add", description = Texts.REPLICA_ADD)
 public final class ReplicaAdd implements PgmCommand {
     @AirlineModule private ReplicaOptions mOptions = new ReplicaOptions();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaOptions.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaOptions.java
@@ -9,7 +9,7 @@
 import org.laurelweir.wire.v1.ChangeMembersRequest.Step;
 import org.laurelweir.wire.v1.ReplicaId;
 
-/** What a command takes that changes the log's membership by one replica. */
+/** The options and arguments of commands that change the log's membership by one replica. */
 public final class ReplicaOptions {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
     @AirlineModule private HelpFlag mHelp = new HelpFlag();
@@ -23,7 +23,9 @@
         return mFleet.withFleet(
                 console,
                 f ->
-                        MemberChanger.show(
-                                MemberChanger.change(f, step, replica), console, mFleet.isJson()));
+                        MembershipChanger.show(
+                                MembershipChanger.change(f, step, replica),
+                                console,
+                                mFleet.isJson()));
     }
 }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaPromote.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaPromote.java
@@ -7,7 +7,7 @@
 import org.laurelweir.pgm.Texts;
 import org.laurelweir.wire.v1.ChangeMembersRequest.Step;
 
-/** Gives a replica that has caught up a vote. */
+/** Promotes a learner, which must have caught up with the log, to a voter. */
 @Command(name = "promote", description = Texts.REPLICA_PROMOTE)
 public final class ReplicaPromote implements PgmCommand {
     @AirlineModule private ReplicaOptions mOptions = new ReplicaOptions();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaRemove.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaRemove.java
@@ -7,7 +7,7 @@
 import org.laurelweir.pgm.Texts;
 import org.laurelweir.wire.v1.ChangeMembersRequest.Step;
 
-/** Takes a replica out of the log's membership. */
+/** Removes a replica from the log's membership. */
 @Command(name = "remove", description = Texts.REPLICA_REMOVE)
 public final class ReplicaRemove implements PgmCommand {
     @AirlineModule private ReplicaOptions mOptions = new ReplicaOptions();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaReplace.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/ReplicaReplace.java
@@ -18,9 +18,10 @@
 import org.laurelweir.wire.v1.StatusReply;
 
 /**
- * Puts a control instance's new disk in place of its lost one. The new replica gets its vote before
- * the old one goes, and only once it has the log, so that no quorum counts on a replica that knows
- * nothing. Started again after a failure, it goes on where it stopped.
+ * Replaces the replica on a control instance's lost disk by the one on its new disk. The new
+ * replica becomes a voter before the old one is removed, and only after it has copied the log, so
+ * that no quorum includes a replica without the log. After a failure, a second run continues where
+ * the first one stopped.
  */
 @Command(name = "replace", description = Texts.REPLICA_REPLACE)
 public final class ReplicaReplace implements PgmCommand {
@@ -43,12 +44,12 @@
                 leader(status).getVotersList().stream()
                         .filter(v -> v.getName().equals(mName) && !v.equals(fresh))
                         .toList();
-        MemberChanger.await(fleet, Step.ADD_LEARNER, fresh);
-        ChangeMembersReply reply = MemberChanger.await(fleet, Step.PROMOTE, fresh);
+        MembershipChanger.changeWithRetries(fleet, Step.ADD_LEARNER, fresh);
+        ChangeMembersReply reply = MembershipChanger.changeWithRetries(fleet, Step.PROMOTE, fresh);
         for (ReplicaId old : lost) {
-            reply = MemberChanger.await(fleet, Step.REMOVE, old);
+            reply = MembershipChanger.changeWithRetries(fleet, Step.REMOVE, old);
         }
-        return MemberChanger.show(reply, console, mFleet.isJson());
+        return MembershipChanger.show(reply, console, mFleet.isJson());
     }
 
     private ReplicaId presentReplica(StatusReply status) {
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Replies.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Replies.java
@@ -7,20 +7,20 @@
 import org.laurelweir.pgm.tree.DocumentNode;
 import org.laurelweir.wire.v1.ReadSettingsReply;
 
-/** Turns replies that are not plain success into errors. */
+/** Turns replies with a result code other than OK into exceptions. */
 final class Replies {
     private Replies() {}
 
-    static void check(int code, String message) {
+    static void requireOk(int code, String message) {
         ResultCode result = ResultCode.of(code);
         if (result != ResultCode.OK) {
             throw new LaurelweirException(result, message);
         }
     }
 
-    static ReadSettingsReply read(ControlClient control, String path, long position) {
+    static ReadSettingsReply readSettings(ControlClient control, String path, long position) {
         ReadSettingsReply reply = control.readSettings(path, position);
-        check(reply.getCode(), reply.getMessage());
+        requireOk(reply.getCode(), reply.getMessage());
         return reply;
     }
 
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsApply.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsApply.java
@@ -10,7 +10,7 @@
 import org.laurelweir.pgm.tree.NodeDifference;
 import org.laurelweir.wire.v1.NodeChange;
 
-/** Makes the settings tree agree with a file, all or nothing. */
+/** Changes the settings tree to match a file; either all changes are accepted or none. */
 @Command(name = "apply", description = Texts.APPLY)
 public final class SettingsApply implements PgmCommand {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
@@ -27,7 +27,7 @@
         List<NodeChange> changes =
                 mFile.compare(fleet.control()).stream().map(NodeDifference::toChange).toList();
         if (changes.isEmpty()) {
-            console.remark(Texts.NO_CHANGE);
+            console.printMessage(Texts.NO_CHANGE);
             return SUCCESS;
         }
         return mChanger.change(fleet.control(), changes, console, mFleet.isJson());
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsChanger.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsChanger.java
@@ -14,7 +14,10 @@
 import org.laurelweir.wire.v1.ChangeSettingsRequest;
 import org.laurelweir.wire.v1.NodeChange;
 
-/** Sends changes of settings under one id for each invocation, and tells how they ended. */
+/**
+ * Sends changes of settings to control and prints the result. Each invocation has one change id,
+ * which all its attempts use.
+ */
 public final class SettingsChanger {
     @Option(name = "--author", title = "NAME", description = Texts.OPTION_AUTHOR)
     private String mAuthor = "";
@@ -22,14 +25,14 @@
     @Option(name = "--change-id", title = "ID", description = Texts.OPTION_CHANGE_ID)
     private String mChangeId = "";
 
-    /** What a change gave, for scripts. */
+    /** The result of an accepted change, printed as JSON. */
     record Changed(long position, String changeId, List<DocumentNode> nodes) {}
 
     /**
-     * Sends changes, all or nothing.
+     * Sends changes, of which either all are accepted or none.
      *
      * @return {@link PgmCommand#SUCCESS}
-     * @throws LaurelweirException SETTINGS_CONFLICT with the winner's values, SETTINGS_INVALID with
+     * @throws LaurelweirException SETTINGS_CONFLICT with the values in force, SETTINGS_INVALID with
      *     every fault, or another code of control
      */
     int change(ControlClient control, List<NodeChange> changes, Console console, boolean json) {
@@ -60,7 +63,8 @@
         try {
             return control.changeSettings(request);
         } catch (LaurelweirException e) {
-            // A try that got no answer may have been accepted: only the same id is safe to resend.
+            // Control may have accepted an attempt that got no answer. A resend is safe only under
+            // the same id.
             throw new LaurelweirException(
                     e.getCode(),
                     String.format(Texts.NO_ANSWER_CHANGE, e.getMessage(), request.getChangeId()),
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsDiff.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsDiff.java
@@ -9,14 +9,14 @@
 import org.laurelweir.pgm.fleet.FleetConnection;
 import org.laurelweir.pgm.tree.NodeDifference;
 
-/** Shows what a file would change. */
+/** Shows the changes that applying a file would make. */
 @Command(name = "diff", description = Texts.DIFF)
 public final class SettingsDiff implements PgmCommand {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
     @AirlineModule private SettingsFileOptions mFile = new SettingsFileOptions();
     @AirlineModule private HelpFlag mHelp = new HelpFlag();
 
-    /** Differences, for scripts. */
+    /** The differences, printed as JSON. */
     record Differences(List<NodeDifference> nodes) {}
 
     @Override
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsEdit.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsEdit.java
@@ -10,8 +10,8 @@
 import org.laurelweir.pgm.Texts;
 
 /**
- * Describes the editing of settings nodes. The launch script carries it out by get, an editor and
- * apply, since our programs start no other process.
+ * Lists the edit command in the help. The launch script runs it as get, an editor and apply,
+ * because the programs of laurelweir start no other process.
  */
 @Command(name = "edit", description = Texts.EDIT)
 public final class SettingsEdit implements PgmCommand {
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsFileOptions.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsFileOptions.java
@@ -11,7 +11,7 @@
 import org.laurelweir.pgm.tree.SettingsDocument;
 import org.laurelweir.pgm.tree.TreeComparison;
 
-/** A file of settings nodes and how it is compared with the tree in force. */
+/** The options of commands that compare a tree file with the tree in force. */
 public final class SettingsFileOptions {
     @Option(name = "--prune", description = Texts.OPTION_PRUNE)
     private boolean mPrune;
@@ -23,7 +23,7 @@
     List<NodeDifference> compare(ControlClient control) {
         return TreeComparison.differences(
                 SettingsDocument.read(Path.of(mFile)),
-                Replies.nodes(Replies.read(control, "", 0)),
+                Replies.nodes(Replies.readSettings(control, "", 0)),
                 mPrune);
     }
 }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsGet.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsGet.java
@@ -14,7 +14,7 @@
 import org.laurelweir.pgm.tree.SettingsDocument;
 import org.laurelweir.wire.v1.ReadSettingsReply;
 
-/** Shows settings nodes. */
+/** Shows settings nodes, or the effective values for a path. */
 @Command(name = "get", description = Texts.GET)
 public final class SettingsGet implements PgmCommand {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
@@ -29,7 +29,7 @@
     @Arguments(title = "PATH", description = Texts.ARGUMENT_PATH_OR_ALL)
     private String mPath = "";
 
-    /** Nodes, for scripts. */
+    /** The nodes, printed as JSON. */
     record Nodes(long position, List<DocumentNode> nodes) {}
 
     @Override
@@ -39,7 +39,7 @@
     }
 
     private int showNodes(FleetConnection fleet, Console console) {
-        ReadSettingsReply reply = Replies.read(fleet.control(), mPath, mPosition);
+        ReadSettingsReply reply = Replies.readSettings(fleet.control(), mPath, mPosition);
         List<DocumentNode> nodes = Replies.nodes(reply);
         if (mFleet.isJson()) {
             console.printJson(new Nodes(reply.getPosition(), nodes));
@@ -47,14 +47,14 @@
             console.print(SettingsDocument.write(nodes).stripTrailing());
         }
         if (nodes.isEmpty() && !mPath.isEmpty()) {
-            console.remark(String.format(Texts.NO_SUCH_NODE, mPath));
+            console.printMessage(String.format(Texts.NO_SUCH_NODE, mPath));
             return NEGATIVE;
         }
         return SUCCESS;
     }
 
     private int showEffective(FleetConnection fleet, Console console) {
-        ReadSettingsReply reply = Replies.read(fleet.control(), "", mPosition);
+        ReadSettingsReply reply = Replies.readSettings(fleet.control(), "", mPosition);
         EffectiveView view = EffectiveView.of(reply, mPath);
         if (mFleet.isJson()) {
             console.printJson(view);
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsHistory.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsHistory.java
@@ -29,7 +29,7 @@
     @Arguments(title = "PATH", description = Texts.ARGUMENT_PATH_OR_ALL)
     private String mPath = "";
 
-    /** Changes, for scripts. */
+    /** The accepted changes, printed as JSON. */
     record Entries(List<Entry> entries) {}
 
     /** One accepted change. */
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What a change did to one node. */
+    /** The part of a change that concerns one node. */
     record NodeEntry(
             String path,
             long expectedVersion,
@@ -85,7 +85,7 @@
         HistoryRequest request =
                 HistoryRequest.newBuilder().setPath(mPath).setLimit(mLimit).build();
         HistoryReply reply = fleet.control().history(request);
-        Replies.check(reply.getCode(), "");
+        Replies.requireOk(reply.getCode(), "");
         List<Entry> entries = reply.getEntriesList().stream().map(Entry::of).toList();
         if (mFleet.isJson()) {
             console.printJson(new Entries(entries));
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsSet.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/SettingsSet.java
@@ -16,7 +16,7 @@
 import org.laurelweir.pgm.tree.DocumentNode;
 import org.laurelweir.wire.v1.NodeChange;
 
-/** Sets keys of one settings node. */
+/** Sets or removes keys of one settings node, or deletes the node. */
 @Command(name = "set", description = Texts.SET)
 public final class SettingsSet implements PgmCommand {
     private static final long NOT_GIVEN = -1;
@@ -66,7 +66,7 @@
         if (mExpected != NOT_GIVEN) {
             return mExpected;
         }
-        return Replies.nodes(Replies.read(control, path, 0)).stream()
+        return Replies.nodes(Replies.readSettings(control, path, 0)).stream()
                 .mapToLong(DocumentNode::version)
                 .findFirst()
                 .orElse(0);
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Status.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Status.java
@@ -8,7 +8,7 @@
 import org.laurelweir.pgm.fleet.FleetConnection;
 import org.laurelweir.pgm.fleet.FleetView;
 
-/** Shows the fleet. */
+/** Shows the status of the fleet. */
 @Command(name = "status", description = Texts.STATUS)
 public final class Status implements PgmCommand {
     @AirlineModule private FleetOptions mFleet = new FleetOptions();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Undrain.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/Undrain.java
@@ -6,7 +6,7 @@
 import org.laurelweir.pgm.PgmCommand;
 import org.laurelweir.pgm.Texts;
 
-/** Lets a drained backend server take work again. */
+/** Ends a backend server's drain: it takes work again. */
 @Command(name = "undrain", description = Texts.UNDRAIN)
 public final class Undrain implements PgmCommand {
     @AirlineModule private DrainRequests mRequests = new DrainRequests();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/package-info.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/command/package-info.java
@@ -1,2 +1,2 @@
-/** One class for each subcommand. */
+/** The subcommands, one class for each, and the options that they share. */
 package org.laurelweir.pgm.command;
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/ControlClient.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/ControlClient.java
@@ -29,37 +29,37 @@
 import org.laurelweir.wire.v1.StatusRequest;
 
 /**
- * Calls control until an instance answers for it: follows hints to the leader, goes on to the next
- * instance where one is silent, and gives up after a fixed number of tries. Every call may safely
- * arrive twice: a change carries its id, drains repeat the same wish, and a fencing number that
- * nobody received is merely skipped.
+ * Calls control and retries until an instance gives a final answer. A retry goes to the leader if
+ * the answer names it, else to the next instance. The call fails after a fixed number of attempts.
+ * Every call may safely arrive twice: a change carries its id, a drain order is idempotent, and a
+ * fencing token whose answer got lost is skipped.
  */
 public final class ControlClient {
-    private static final int TRIES = 12;
+    private static final int MAX_ATTEMPTS = 12;
 
     private final Channels mChannels;
     private final List<String> mAddresses;
     private final Duration mTimeout;
-    private final Runnable mPause;
-    private int mNext;
+    private final Runnable mRetryPause;
+    private int mCurrent;
 
     /**
      * Creates a client that has not called yet.
      *
-     * @param channels to the instances
-     * @param addresses of the instances, host:port; at least one
-     * @param timeout of one try
-     * @param pause waits before an instance is asked again that had no better answer
+     * @param channels the connections to the instances
+     * @param addresses the instances' addresses, host:port; at least one
+     * @param timeout the timeout of one attempt
+     * @param pause waits before a retry that follows no hint to the leader
      */
     public ControlClient(
             Channels channels, List<String> addresses, Duration timeout, Runnable pause) {
         mChannels = channels;
         mAddresses = List.copyOf(addresses);
         mTimeout = timeout;
-        mPause = pause;
+        mRetryPause = pause;
     }
 
-    /** Reads nodes from an instance that is sure to know the newest accepted change. */
+    /** Returns nodes by a linearizable read, which includes every accepted change. */
     public ReadSettingsReply readSettings(String path, long position) {
         ReadSettingsRequest request =
                 ReadSettingsRequest.newBuilder()
@@ -72,45 +72,45 @@
                 r -> ControlReply.of(r.getCode(), r.getMessage(), r.getLeader()));
     }
 
-    /** Changes nodes; the reply's code tells a conflict or faults. */
+    /** Changes nodes. The reply's code reports a conflict or faults. */
     public ChangeSettingsReply changeSettings(ChangeSettingsRequest request) {
         return call(
                 s -> s.changeSettings(request),
                 r -> ControlReply.of(r.getCode(), r.getMessage(), r.getLeader()));
     }
 
-    /** Reads accepted changes. */
+    /** Returns accepted changes of settings. */
     public HistoryReply history(HistoryRequest request) {
         return call(s -> s.history(request), r -> ControlReply.of(r.getCode(), "", r.getLeader()));
     }
 
-    /** Records whether a backend server shall take no new work. */
+    /** Orders a backend server's drain, or ends it. */
     public DrainReply drain(DrainRequest request) {
         return call(
                 s -> s.drain(request),
                 r -> ControlReply.of(r.getCode(), r.getMessage(), r.getLeader()));
     }
 
-    /** Lets a request be sent again that is kept away from backend servers. */
+    /** Releases a request from quarantine. */
     public ReleaseReply release(ReleaseRequest request) {
         return call(s -> s.release(request), r -> ControlReply.of(r.getCode(), r.getMessage(), ""));
     }
 
-    /** Returns a new fencing number for orders to a backend server. */
+    /** Returns a new fencing token for orders to a backend server. */
     public IssueFenceReply issueFence(String backend) {
         IssueFenceRequest request = IssueFenceRequest.newBuilder().setBackend(backend).build();
         return call(
                 s -> s.issueFence(request), r -> ControlReply.of(r.getCode(), "", r.getLeader()));
     }
 
-    /** Changes which replicas hold the log, by one step. */
+    /** Changes the log's membership by one step. */
     public ChangeMembersReply changeMembers(ChangeMembersRequest request) {
         return call(
                 s -> s.changeMembers(request),
                 r -> ControlReply.of(r.getCode(), r.getMessage(), r.getLeader()));
     }
 
-    /** Returns the fleet as one instance sees it. */
+    /** Returns the fleet's status as one control instance knows it. */
     public StatusReply status() {
         return call(
                 s -> s.status(StatusRequest.getDefaultInstance()),
@@ -119,10 +119,10 @@
 
     private <T> T call(
             Function<ControlServiceBlockingStub, T> rpc, Function<T, ControlReply> view) {
-        String address = mAddresses.get(mNext);
+        String address = mAddresses.get(mCurrent);
         ResultCode code = ResultCode.UNREACHABLE;
-        String last = "";
-        for (int i = 0; i < TRIES; i++) {
+        String lastFailure = "";
+        for (int i = 0; i < MAX_ATTEMPTS; i++) {
             String hint = "";
             try {
                 T reply = rpc.apply(stub(address));
@@ -131,22 +131,22 @@
                     return reply;
                 }
                 code = seen.code();
-                last = address + " answers " + code + " " + seen.message();
+                lastFailure = address + " answers " + code + " " + seen.message();
                 hint = seen.leader().equals(address) ? "" : seen.leader();
             } catch (StatusRuntimeException e) {
-                last = address + " " + Failures.describe(e);
+                lastFailure = address + " " + Failures.describe(e);
             }
             if (hint.isEmpty()) {
-                mPause.run();
+                mRetryPause.run();
             }
             address = hint.isEmpty() ? nextAddress() : hint;
         }
-        throw new LaurelweirException(code, String.format(Texts.NO_ANSWER, last));
+        throw new LaurelweirException(code, String.format(Texts.NO_ANSWER, lastFailure));
     }
 
     private String nextAddress() {
-        mNext = (mNext + 1) % mAddresses.size();
-        return mAddresses.get(mNext);
+        mCurrent = (mCurrent + 1) % mAddresses.size();
+        return mAddresses.get(mCurrent);
     }
 
     private ControlServiceBlockingStub stub(String address) {
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/DecisionReader.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/DecisionReader.java
@@ -27,9 +27,9 @@
 import org.laurelweir.wire.v1.StatusReply;
 
 /**
- * Asks routers and sidecars which decisions they remember. The routers tell which sidecars were
- * concerned, so that a question costs a few connections in a large fleet; only where no router
- * remembers anything is every sidecar asked.
+ * Collects the decisions that routers and sidecars have kept. The routers' decisions name the
+ * backend servers that they chose, so that only a few sidecars have to be called in a large fleet.
+ * If no router has kept a matching decision, every sidecar is called.
  */
 public final class DecisionReader {
     private final Channels mChannels;
@@ -38,10 +38,10 @@
     private final List<SilentProgram> mSilent = new ArrayList<>();
 
     /**
-     * Creates a reader for one question.
+     * Creates a reader for one request.
      *
-     * @param channels to the programs
-     * @param timeout of the routers' answers, and again of the sidecars'
+     * @param channels the connections to the programs
+     * @param timeout the timeout of the calls to routers, and again of those to sidecars
      */
     public DecisionReader(Channels channels, Duration timeout) {
         mChannels = channels;
@@ -51,19 +51,20 @@
     /**
      * A program that gave no answer.
      *
-     * @param name the router's or backend server's
-     * @param address where it was asked
-     * @param reason why there was no answer
+     * @param name the name of the router, or of the sidecar's backend server
+     * @param address the address that was called
+     * @param reason the call's failure
      */
     public record SilentProgram(String name, String address, String reason) {}
 
-    private record Question(String name, String address, ListenableFuture<ExplainReply> answer) {}
+    private record PendingCall(
+            String name, String address, ListenableFuture<ExplainReply> answer) {}
 
     /**
      * Collects decisions.
      *
-     * @param fleet whom to ask
-     * @param request what about; its limit holds for each program
+     * @param fleet the routers and backend servers to call
+     * @param request selects the decisions; its limit applies to each program
      * @return the decisions, oldest first
      */
     public List<Decision> read(StatusReply fleet, ExplainRequest request) {
@@ -73,12 +74,12 @@
         return List.copyOf(mDecisions);
     }
 
-    /** Returns the programs that gave no answer. */
+    /** Returns the programs that gave no answer so far. */
     public List<SilentProgram> silentPrograms() {
         return List.copyOf(mSilent);
     }
 
-    private List<Question> askRouters(StatusReply fleet, ExplainRequest request) {
+    private List<PendingCall> askRouters(StatusReply fleet, ExplainRequest request) {
         List<RouterReport> routers =
                 fleet.getRoutersList().stream()
                         .map(RouterStatus::getRouter)
@@ -95,7 +96,7 @@
                         .toList();
     }
 
-    private List<Question> askSidecars(StatusReply fleet, ExplainRequest request) {
+    private List<PendingCall> askSidecars(StatusReply fleet, ExplainRequest request) {
         Set<String> chosen = new HashSet<>();
         mDecisions.forEach(d -> chosen.add(d.getChoice()));
         return fleet.getBackendsList().stream()
@@ -106,7 +107,7 @@
                 .toList();
     }
 
-    private Question askSidecar(Backend backend, ExplainRequest request) {
+    private PendingCall askSidecar(Backend backend, ExplainRequest request) {
         return ask(backend.getRef().getId(), backend.getAddress(), sidecarCall(request));
     }
 
@@ -122,21 +123,22 @@
         return Deadline.after(mTimeout.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    private Question ask(
+    private PendingCall ask(
             String name, String address, Function<Channel, ListenableFuture<ExplainReply>> call) {
-        return new Question(name, address, call.apply(mChannels.get(address)));
+        return new PendingCall(name, address, call.apply(mChannels.get(address)));
     }
 
-    private void collect(List<Question> questions) {
-        for (Question q : questions) {
+    private void collect(List<PendingCall> calls) {
+        for (PendingCall c : calls) {
             try {
-                mDecisions.addAll(q.answer().get().getDecisionsList());
+                mDecisions.addAll(c.answer().get().getDecisionsList());
             } catch (ExecutionException e) {
                 String reason = Failures.describe(e);
-                mSilent.add(new SilentProgram(q.name(), q.address(), reason));
+                mSilent.add(new SilentProgram(c.name(), c.address(), reason));
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new LaurelweirException(ResultCode.CANCELLED, "interrupted", e);
+                throw new LaurelweirException(
+                        ResultCode.CANCELLED, "interrupted while waiting for decisions", e);
             }
         }
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/Failures.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/Failures.java
@@ -2,11 +2,14 @@
 
 import io.grpc.Status;
 
-/** Describes failed calls in a line, without the stack trace that gRPC puts into its texts. */
+/** Describes a failed call in one line, without the stack trace that gRPC puts into its texts. */
 public final class Failures {
     private Failures() {}
 
-    /** Returns the status, and the innermost cause's message where there is one. */
+    /**
+     * Returns the status code with the root cause's message, or with its description if it has no
+     * cause.
+     */
     public static String describe(Throwable failure) {
         Status status = Status.fromThrowable(failure);
         Throwable cause = status.getCause();
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/FleetConnection.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/FleetConnection.java
@@ -9,49 +9,49 @@
 import org.laurelweir.runtime.rpc.EventLoops;
 import org.laurelweir.runtime.rpc.TrafficCounters;
 
-/** One invocation's connections to the fleet. */
+/** The connections to the fleet that one invocation of the command line uses. */
 public final class FleetConnection implements Service {
     private final EventLoops mLoops = new EventLoops("fleet", 1);
     private final Channels mChannels =
             Channels.builder(mLoops, new TrafficCounters(new MetricRegistry())).build();
     private final Duration mTimeout;
-    private final Runnable mPause;
+    private final Runnable mRetryPause;
     private final ControlClient mControl;
 
     /**
-     * Creates connections that open with their first call.
+     * Creates connections, each of which opens with its first call.
      *
-     * @param control control instances, host:port
-     * @param timeout of one try
-     * @param pause waits before a try is repeated
+     * @param control the control instances' addresses, host:port
+     * @param timeout the timeout of one attempt
+     * @param pause waits before a retry
      */
     public FleetConnection(List<String> control, Duration timeout, Runnable pause) {
         mTimeout = timeout;
-        mPause = pause;
+        mRetryPause = pause;
         mControl = new ControlClient(mChannels, control, timeout, pause);
     }
 
-    /** Returns the client to control. */
+    /** Returns the client of control. */
     public ControlClient control() {
         return mControl;
     }
 
-    /** Returns a reader of decisions, for one question. */
+    /** Returns a new reader of decisions, for one request. */
     public DecisionReader decisions() {
         return new DecisionReader(mChannels, mTimeout);
     }
 
-    /** Returns the channel to another program. */
+    /** Returns the channel to a program's address, host:port. */
     public Channel channel(String address) {
         return mChannels.get(address);
     }
 
-    /** Waits before something is asked again. */
-    public void pause() {
-        mPause.run();
+    /** Waits before a retry. */
+    public void pauseBeforeRetry() {
+        mRetryPause.run();
     }
 
-    /** Returns the longest wait for one answer. */
+    /** Returns the timeout of one call. */
     public Duration timeout() {
         return mTimeout;
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/FleetView.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/FleetView.java
@@ -22,7 +22,7 @@
  * @param services services with their load; work is in token units
  * @param backends backend servers
  * @param routers routers
- * @param quarantined requests that are kept away from backend servers
+ * @param quarantined requests in quarantine, which no backend server receives
  */
 public record FleetView(
         long settingsPosition,
@@ -36,7 +36,7 @@
      * A control instance.
      *
      * @param replica its name and its disk's id
-     * @param role leader, follower, learner, or none where its disk is not in the membership
+     * @param role leader, follower, learner, or none if its disk is not in the log's membership
      */
     record Control(
             String name,
@@ -66,7 +66,9 @@
             if (c.getVotersList().contains(c.getReplica())) {
                 return Texts.FOLLOWER;
             }
-            return c.getLearnersList().contains(c.getReplica()) ? Texts.LEARNER : Texts.NO_MEMBER;
+            return c.getLearnersList().contains(c.getReplica())
+                    ? Texts.LEARNER
+                    : Texts.NOT_A_MEMBER;
         }
     }
 
@@ -122,10 +124,11 @@
     }
 
     /**
-     * A request that is kept away from backend servers.
+     * A request in quarantine.
      *
-     * @param lastEndSeconds how long ago a backend server ended under it last
-     * @param ended the backend servers that did
+     * @param lastEndSeconds the time since the last crash of a backend server that ran it, in
+     *     seconds
+     * @param ended the backend servers that crashed while they ran it
      */
     record Quarantined(
             String fingerprint,
@@ -145,7 +148,7 @@
         }
     }
 
-    /** Returns the view of an answer of control. */
+    /** Returns the view of a status reply of control. */
     public static FleetView of(StatusReply reply) {
         return new FleetView(
                 reply.getSettingsPosition(),
@@ -156,7 +159,7 @@
                 reply.getQuarantinedList().stream().map(Quarantined::of).toList());
     }
 
-    /** Returns the view for people: a table for each kind of program. */
+    /** Returns the view as lines: the settings position, then a table for each kind of entry. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add(String.format(Texts.SETTINGS_POSITION, settingsPosition));
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/Replicas.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/Replicas.java
@@ -14,7 +14,7 @@
     private Replicas() {}
 
     /**
-     * Reads a replica.
+     * Parses a replica's text form.
      *
      * @throws LaurelweirException USAGE if the text has another form
      */
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Returns the text of a replica; empty for none. */
+    /** Returns the text form of a replica; empty for an id without a name. */
     public static String text(ReplicaId id) {
         if (id.getName().isEmpty()) {
             return "";
@@ -39,7 +39,7 @@
         return id.getName() + "#" + Long.toHexString(id.getStorageId());
     }
 
-    /** Returns the texts of replicas, parted by commas. */
+    /** Returns the text forms of replicas, separated by commas. */
     public static String text(List<ReplicaId> ids) {
         return ids.stream().map(Replicas::text).collect(Collectors.joining(", "));
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/package-info.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/fleet/package-info.java
@@ -1,2 +1,4 @@
-/** Calls from the operator's desk to control instances, routers and sidecars. */
+/**
+ * Calls from the command line to control instances, routers and sidecars, and the fleet's status.
+ */
 package org.laurelweir.pgm.fleet;
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/package-info.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line: its entry, its texts and how it writes results. */
+/** The operators' command line: its entry point, its texts and its output. */
 package org.laurelweir.pgm;
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/DocumentNode.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/DocumentNode.java
@@ -7,11 +7,11 @@
 import org.laurelweir.wire.v1.SettingsNode;
 
 /**
- * One settings node as a file holds it.
+ * One settings node of a tree file.
  *
  * @param path the node's path
- * @param version the version that the file's author saw, 0 for none; null where the file is silent
- * @param values what the node sets, as written, by key
+ * @param version the version that the file's author saw, 0 for none; null if the file names none
+ * @param values the values that the node sets, as written, by key
  */
 public record DocumentNode(String path, Long version, SortedMap<String, String> values) {
     /** Copies the values. */
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/EffectiveView.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/EffectiveView.java
@@ -14,19 +14,19 @@
 import org.laurelweir.wire.v1.ReadSettingsReply;
 
 /**
- * What holds for the levels that a path names, and whence.
+ * The effective values for the levels that a path names, with the node that each comes from.
  *
  * @param path the path
  * @param position the tree's position
- * @param values every key
+ * @param values one for each key
  */
 public record EffectiveView(String path, long position, List<Value> values) {
     private static final String DEPLOYMENT = "/";
 
     /**
-     * One key.
+     * The effective value of one key.
      *
-     * @param from the node that sets it, or a word for the default
+     * @param from the path of the node that sets it, or {@link Texts#DEFAULT_ORIGIN}
      */
     public record Value(String key, String value, String from) {
         static Value of(EffectiveValue v) {
@@ -40,7 +40,7 @@
      *
      * @param reply the whole tree
      * @param path a node's path, whether the node exists or not; empty for the deployment
-     * @throws LaurelweirException USAGE if it is no path
+     * @throws LaurelweirException USAGE if the path is malformed
      */
     public static EffectiveView of(ReadSettingsReply reply, String path) {
         NodePath p = parse(path.isEmpty() ? DEPLOYMENT : path);
@@ -71,7 +71,7 @@
         return SettingsTree.of(reply.getPosition(), nodes);
     }
 
-    /** Returns the view for people: a table of keys. */
+    /** Returns the view as lines of a table with a row for each key. */
     public List<String> lines() {
         Table table = new Table(Texts.EFFECTIVE_COLUMNS);
         values.forEach(v -> table.add(v.key, v.value, v.from));
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/NodeDifference.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/NodeDifference.java
@@ -10,12 +10,13 @@
 import org.laurelweir.wire.v1.NodeChange;
 
 /**
- * What one node needs to become what a file says.
+ * The difference between a node in force and the same node of a file.
  *
  * @param path the node's path
- * @param expectedVersion the version for which the difference holds; 0 for a node to be made
+ * @param expectedVersion the version that the change expects the node to have; 0 for a node to
+ *     create
  * @param before the values in force
- * @param after the values wanted; empty for a node to be removed
+ * @param after the values of the file; empty for a node to be removed
  * @param delete whether the node is to be removed
  */
 public record NodeDifference(
@@ -25,7 +26,7 @@
         SortedMap<String, String> after,
         boolean delete) {
 
-    /** Returns the change as control takes it. */
+    /** Returns the change to send to control. */
     public NodeChange toChange() {
         NodeChange.Builder change =
                 NodeChange.newBuilder().setPath(path).setExpectedVersion(expectedVersion);
@@ -41,7 +42,7 @@
         return change.build();
     }
 
-    /** Returns the difference for people: the path, then lines marked - and +. */
+    /** Returns the difference as lines: the path, then old values after - and new ones after +. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         lines.add(path);
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/SettingsDocument.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/SettingsDocument.java
@@ -17,27 +17,28 @@
 import org.laurelweir.runtime.config.TreeFile;
 
 /**
- * Settings nodes as a tree file. The version that was seen stands as a remark behind each path, so
- * that the same file serves where no version matters.
+ * Reads and writes settings nodes as a tree file. The version that was read stands in a YAML
+ * comment after each path, so that programs which need no version can read the same file.
  */
 public final class SettingsDocument {
-    private static final Pattern VERSION =
+    private static final Pattern VERSION_COMMENT =
             Pattern.compile("^(/\\S*):.*# version (\\d+)\\s*$", Pattern.MULTILINE);
 
-    /** Texts that YAML reads as they stand; others are quoted. */
-    private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9/][A-Za-z0-9/ ,._*@+%-]*");
+    /** Texts that need no quotes in YAML, except for reserved words. */
+    private static final Pattern PLAIN_SCALAR =
+            Pattern.compile("[A-Za-z0-9/][A-Za-z0-9/ ,._*@+%-]*");
 
-    private static final Pattern WORD_WITH_MEANING =
+    private static final Pattern RESERVED_WORD =
             Pattern.compile("null|true|false|yes|no|on|off|y|n", Pattern.CASE_INSENSITIVE);
 
     private SettingsDocument() {}
 
     /**
-     * Reads a file.
+     * Reads a tree file.
      *
      * @param file the file
-     * @return its nodes in order
-     * @throws LaurelweirException BAD_SETTINGS_FILE with every fault, one a line
+     * @return its nodes in the order of the file
+     * @throws LaurelweirException BAD_SETTINGS_FILE with every fault, one per line
      */
     public static List<DocumentNode> read(Path file) {
         Map<String, Map<String, String>> values = TreeFile.read(file);
@@ -51,7 +52,8 @@
 
     private static Map<String, Long> versions(Path file) {
         Map<String, Long> versions = new HashMap<>();
-        VERSION.matcher(text(file))
+        VERSION_COMMENT
+                .matcher(text(file))
                 .results()
                 .forEach((MatchResult r) -> versions.put(r.group(1), Long.valueOf(r.group(2))));
         return versions;
@@ -66,7 +68,7 @@
         }
     }
 
-    /** Returns the text of a file that holds the nodes. */
+    /** Returns the text of a tree file with the given nodes. */
     public static String write(List<DocumentNode> nodes) {
         StringBuilder s = new StringBuilder();
         for (DocumentNode n : nodes) {
@@ -79,9 +81,9 @@
 
     private static String scalar(String text) {
         boolean plain =
-                PLAIN.matcher(text).matches()
+                PLAIN_SCALAR.matcher(text).matches()
                         && !text.endsWith(" ")
-                        && !WORD_WITH_MEANING.matcher(text).matches();
+                        && !RESERVED_WORD.matcher(text).matches();
         if (plain) {
             return text;
         }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/TreeComparison.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/TreeComparison.java
@@ -7,33 +7,35 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Compares the nodes of a file with those in force. */
+/** Compares the nodes of a file with the nodes in force. */
 public final class TreeComparison {
     private static final SortedMap<String, String> NO_VALUES = Collections.emptySortedMap();
 
     private TreeComparison() {}
 
     /**
-     * Returns the nodes that have to change, in the order of the file, removals last.
+     * Returns the differences of nodes that have to change, in the order of the file, removals
+     * last.
      *
-     * @param wanted the nodes of the file; their versions, where given, are expected as they are,
-     *     so that a change by somebody else since then is not undone unseen
+     * @param wanted the nodes of the file. A version in the file becomes the expected version, so
+     *     that a change which another operator has made since then causes a conflict instead of
+     *     being overwritten
      * @param present the nodes in force
      * @param prune whether nodes that the file lacks are to be removed
      */
     public static List<NodeDifference> differences(
             List<DocumentNode> wanted, List<DocumentNode> present, boolean prune) {
-        Map<String, DocumentNode> left = new TreeMap<>();
-        present.forEach(n -> left.put(n.path(), n));
+        Map<String, DocumentNode> unmatched = new TreeMap<>();
+        present.forEach(n -> unmatched.put(n.path(), n));
         List<NodeDifference> differences = new ArrayList<>();
         for (DocumentNode w : wanted) {
-            DocumentNode p = left.remove(w.path());
+            DocumentNode p = unmatched.remove(w.path());
             if (p == null || !p.values().equals(w.values())) {
                 differences.add(difference(w, p));
             }
         }
         if (prune) {
-            left.values().forEach(p -> differences.add(removal(p)));
+            unmatched.values().forEach(p -> differences.add(removal(p)));
         }
         return differences;
     }
--- a/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/package-info.java
+++ b/org.laurelweir.pgm/src/main/java/org/laurelweir/pgm/tree/package-info.java
@@ -1,2 +1,2 @@
-/** Settings trees as files, and what a file changes in the tree in force. */
+/** Settings trees as files, and how a file differs from the tree in force. */
 package org.laurelweir.pgm.tree;
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/ArchitecturePageTest.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/ArchitecturePageTest.java
@@ -14,14 +14,14 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The types that docs/ARCHITECTURE.md names against the sources. */
+/** Checks that the types and files that docs/ARCHITECTURE.md names exist in the sources. */
 class ArchitecturePageTest {
     private static final Path ROOT = Path.of(System.getProperty("laurelweir.root"));
     private static final Pattern TYPE = Pattern.compile("`(?:[a-z.]+\\.)?([A-Z]\\w*[a-z]\\w*)`");
     private static final Pattern FILE = Pattern.compile("`([a-z/]+/[A-Z]\\w*\\.java)`");
 
     @Test
-    void namesOnlyWhatExists() throws IOException {
+    void namesOnlyExistingTypesAndFiles() throws IOException {
         String page = Files.readString(ROOT.resolve("docs/ARCHITECTURE.md"));
         List<Path> files = sources();
         String code = files.stream().map(ArchitecturePageTest::read).collect(Collectors.joining());
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/CodesPageTest.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/CodesPageTest.java
@@ -12,9 +12,9 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.runtime.process.Program;
 
-/** The table in docs/CODES.md against the codes themselves. */
+/** Checks that the table in docs/CODES.md matches {@link ResultCode}. */
 class CodesPageTest {
-    private static final int FIRST_WITH_STATUS = 3000;
+    private static final int FIRST_CODE_WITH_EXIT_STATUS = 3000;
 
     private record Row(
             String number, String name, String http, String exit, String meaning, String action) {
@@ -25,7 +25,8 @@
         }
 
         static Row of(ResultCode code, Row page) {
-            boolean hasStatus = code == ResultCode.OK || code.number() >= FIRST_WITH_STATUS;
+            boolean hasStatus =
+                    code == ResultCode.OK || code.number() >= FIRST_CODE_WITH_EXIT_STATUS;
             return new Row(
                     Integer.toString(code.number()),
                     code.name(),
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/DeploymentsTest.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/DeploymentsTest.java
@@ -10,16 +10,16 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.runtime.config.SettingsFile;
 
-/** The example deployments against the programs that read them. */
+/** Checks that the settings files of the example deployments have no faults. */
 class DeploymentsTest {
-    private static final int FILES = 10;
+    private static final int MIN_FILES = 10;
 
     @Test
     void haveNoFault() throws IOException {
         Path folder = Path.of(System.getProperty("laurelweir.root"), "deployments");
         try (Stream<Path> files = Files.walk(folder)) {
             List<Path> found = files.filter(f -> f.toString().endsWith(".yaml")).toList();
-            assertThat(found).hasSizeGreaterThanOrEqualTo(FILES);
+            assertThat(found).hasSizeGreaterThanOrEqualTo(MIN_FILES);
             assertThat(found)
                     .flatExtracting(f -> SettingsFile.check(SettingsFiles.SPECS, f))
                     .isEmpty();
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/FakeFleet.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/FakeFleet.java
@@ -50,7 +50,7 @@
 import org.laurelweir.wire.v1.StatusReply;
 import org.laurelweir.wire.v1.StatusRequest;
 
-/** A leader and a follower of control, a router and a sidecar, over loopback and without a log. */
+/** A control leader and follower, a router and a sidecar on loopback, without a replicated log. */
 final class FakeFleet implements Service {
     static final String BACKEND = "sh-1";
     private static final CrashRecord QUARANTINED =
@@ -72,8 +72,8 @@
     private final RpcServer mFollower = server(new Follower());
     private final RpcServer mRouter = server(new Router());
     private final RpcServer mSidecar = server(new Sidecar());
-    private final List<String> mMemberSteps = new ArrayList<>();
-    private int mEarlyPromotions;
+    private final List<String> mMembershipSteps = new ArrayList<>();
+    private int mPendingPromotions;
     private int mChangeCalls;
     private int mLostAnswers;
 
@@ -96,7 +96,7 @@
         return address(mFollower);
     }
 
-    /** Makes that many answers to changes get lost after the change was accepted. */
+    /** Drops the answers to the next {@code count} changes, after accepting the changes. */
     synchronized void loseAnswers(int count) {
         mLostAnswers = count;
     }
@@ -113,13 +113,13 @@
         return mChangeCalls;
     }
 
-    /** Makes that many promotions come before the replica has caught up. */
+    /** Rejects the next {@code count} promotions as if the replica had not caught up yet. */
     synchronized void delayPromotion(int count) {
-        mEarlyPromotions = count;
+        mPendingPromotions = count;
     }
 
-    synchronized List<String> memberSteps() {
-        return List.copyOf(mMemberSteps);
+    synchronized List<String> membershipSteps() {
+        return List.copyOf(mMembershipSteps);
     }
 
     synchronized List<OrderRequest> orders() {
@@ -221,8 +221,8 @@
         public void changeMembers(
                 ChangeMembersRequest request, StreamObserver<ChangeMembersReply> observer) {
             synchronized (FakeFleet.this) {
-                mMemberSteps.add(request.getStep() + " " + Replicas.text(request.getReplica()));
-                boolean early = request.getStep() == Step.PROMOTE && mEarlyPromotions-- > 0;
+                mMembershipSteps.add(request.getStep() + " " + Replicas.text(request.getReplica()));
+                boolean early = request.getStep() == Step.PROMOTE && mPendingPromotions-- > 0;
                 ResultCode code = early ? ResultCode.MEMBERSHIP_CHANGE_PENDING : ResultCode.OK;
                 answer(observer, ChangeMembersReply.newBuilder().setCode(code.number()).build());
             }
@@ -238,7 +238,7 @@
                             .setState(BackendState.SERVING);
             RouterReport.Builder router =
                     RouterReport.newBuilder().setName("r1").setExplainAddress(address(mRouter));
-            RouterReport.Builder gone =
+            RouterReport.Builder unreachable =
                     RouterReport.newBuilder().setName("r2").setExplainAddress("127.0.0.1:1");
             answer(
                     observer,
@@ -247,7 +247,7 @@
                             .addControls(control("control-2", 0xb))
                             .addBackends(BackendStatus.newBuilder().setBackend(backend))
                             .addRouters(RouterStatus.newBuilder().setRouter(router))
-                            .addRouters(RouterStatus.newBuilder().setRouter(gone))
+                            .addRouters(RouterStatus.newBuilder().setRouter(unreachable))
                             .addQuarantined(QUARANTINED)
                             .build());
         }
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/FakeTree.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/FakeTree.java
@@ -15,7 +15,7 @@
 import org.laurelweir.wire.v1.ReadSettingsRequest;
 import org.laurelweir.wire.v1.SettingsNode;
 
-/** A settings tree under compare-and-set that gives each change id one answer. */
+/** A settings tree that checks expected versions and answers a repeated change id as before. */
 final class FakeTree {
     private final Map<String, SettingsNode> mNodes = new TreeMap<>();
     private final Map<String, ChangeSettingsReply> mAnswers = new HashMap<>();
--- a/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/MainTest.java
+++ b/org.laurelweir.pgm/src/test/java/org/laurelweir/pgm/MainTest.java
@@ -23,7 +23,7 @@
 import org.laurelweir.runtime.process.Program;
 import org.laurelweir.wire.v1.ReleaseRequest;
 
-/** Whole command lines against a fake fleet on loopback. */
+/** Runs complete command lines against a fake fleet on loopback. */
 class MainTest {
     private static final String NODE = "/service=seilhjerne";
 
@@ -84,7 +84,7 @@
                 "release x#1",
                 "replica add c"
             })
-    void wrongUseHasItsOwnStatus(String command) {
+    void usageErrorHasItsOwnExitStatus(String command) {
         assertThat(run(command.split(" "))).isEqualTo(Program.exitCode(ResultCode.USAGE));
         assertThat(mErr.toString()).startsWith("laurelweir: ");
     }
@@ -107,10 +107,10 @@
     }
 
     @Test
-    void resendsALostChangeUnderTheSameId() {
-        // The operator sees the change accepted, once. Order: control accepts the change and its
-        // answers get lost twice; the same invocation sends it again under the same id, so control
-        // gives the first answer instead of a conflict with itself.
+    void resendsChangeUnderSameIdIfAnswerIsLost() {
+        // Guards against a change that conflicts with itself. Control accepts the change, but two
+        // answers get lost. The invocation resends the change under the same id, and control gives
+        // the first answer again. The change is accepted once.
         mFleet.loseAnswers(2);
         assertThat(run("settings", "set", NODE, "bound.factor=1.5")).isZero();
         assertThat(mFleet.changeCalls()).isEqualTo(3);
@@ -118,10 +118,10 @@
     }
 
     @Test
-    void tellsHowToResendWhenNoAnswerComes() {
-        // The operator sees that the outcome is open, with the id for a safe resend. Order: control
-        // accepts the change, every answer gets lost and the tries run out; the operator sends the
-        // same change again later under that id and gets the first answer.
+    void reportsChangeIdForResendIfNoAnswerArrives() {
+        // Guards against an unknown outcome without a safe way to resend. Control accepts the
+        // change, every answer gets lost, and the last attempt fails. The message names the change
+        // id. The operator resends the change later under this id and gets the first answer.
         mFleet.loseAnswers(Integer.MAX_VALUE);
         assertThat(run("settings", "set", NODE, "--change-id", "c1", "bound.factor=1.5"))
                 .isEqualTo(Program.exitCode(ResultCode.UNREACHABLE));
@@ -143,14 +143,14 @@
     }
 
     @Test
-    void showsTheWinnerOfARace() {
+    void conflictShowsVersionAndValuesInForce() {
         assertThat(run("settings", "set", NODE, "--expect", "4", "bound.factor=2"))
                 .isEqualTo(Program.exitCode(ResultCode.SETTINGS_CONFLICT));
         assertThat(mErr.toString()).contains(NODE + " stands at version 5", "bound.factor=1.25");
     }
 
     @Test
-    void appliesWhatGetWroteAndAnEditorChanged() throws IOException {
+    void appliesEditedOutputOfGet() throws IOException {
         run("settings", "get");
         Path file = mFolder.resolve("tree.yaml");
         Files.writeString(file, mOut.toString().replace("1.25", "1.30"));
@@ -164,10 +164,10 @@
     }
 
     @Test
-    void refusesAFileMadeBeforeSomebodyElsesChange() throws IOException {
-        // The second operator sees a conflict instead of undoing the first one's change. Order:
-        // both export the node at version 5; the first one's change makes version 6; the second
-        // applies a file that still names version 5.
+    void rejectsFileMadeBeforeAnotherChange() throws IOException {
+        // Guards against overwriting another operator's change. Two operators export the node at
+        // version 5. The first one's change makes version 6. The second one applies a file that
+        // still names version 5 and gets a conflict.
         Path file = mFolder.resolve("tree.yaml");
         Files.writeString(file, NODE + ": # version 5\n  bound.factor: 3\n");
         run("settings", "set", NODE, "bound.factor=2");
@@ -194,7 +194,7 @@
     }
 
     @Test
-    void writesNodesThatReadBackAsTheyWere() throws IOException {
+    void outputOfGetReadsBackUnchanged() throws IOException {
         mFleet.put(
                 "/service=plain",
                 7,
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void namesFileAndLineOfAFault() throws IOException {
+    void reportsFileAndLineOfFault() throws IOException {
         Path file = mFolder.resolve("tree.yaml");
         Files.writeString(file, NODE + ":\n  bound.factor: 1.5\n  bound.factors: 2\n");
         assertThat(run("settings", "diff", file.toString()))
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void ordersUnderANewFence() {
+    void orderCarriesNewFencingToken() {
         assertThat(run("order", FakeFleet.BACKEND, "load_model", "seil-2")).isZero();
         assertThat(mFleet.orders()).hasSize(1);
         assertThat(mFleet.orders().get(0).getFence()).isEqualTo(7);
@@ -236,7 +236,7 @@
     }
 
     @Test
-    void explainsFromRouterAndSidecarWhileAnotherRouterIsGone() throws IOException {
+    void explainsDespiteUnreachableRouter() throws IOException {
         assertThat(run("explain", "--json", "f00d")).isZero();
         assertThat(json().at("/decisions/0/program").asText()).isEqualTo("router");
         assertThat(json().at("/decisions/1/program").asText()).isEqualTo("sidecar");
@@ -244,13 +244,13 @@
     }
 
     @Test
-    void replacesALostDiskOnceTheNewOneHasCaughtUp() {
-        // The operator sees the new disk vote in place of the lost one. Order: the new replica is
-        // added without a vote; its promotion is refused twice while it copies the log; only after
-        // it got its vote is the old replica removed, so that no quorum counts on an empty disk.
+    void replacesLostReplicaOnceNewOneHasCaughtUp() {
+        // Guards against a quorum that includes an empty disk. The new replica is added as a
+        // learner. Its promotion is rejected twice while it copies the log. The old replica is
+        // removed only after the new one has become a voter.
         mFleet.delayPromotion(2);
         assertThat(run("replica", "replace", "control-2")).isZero();
-        assertThat(mFleet.memberSteps())
+        assertThat(mFleet.membershipSteps())
                 .containsExactly(
                         "ADD_LEARNER control-2#b",
                         "PROMOTE control-2#b",
