--- a/org.laurelweir.junit/src/main/java/org/laurelweir/junit/Await.java
+++ b/org.laurelweir.junit/src/main/java/org/laurelweir/junit/Await.java
@@ -4,25 +4,25 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.BooleanSupplier;
 
-/** Waits for conditions, with a limit that only programs that hang reach. */
+/** Waits for conditions, with a timeout so long that only a hanging program reaches it. */
 public final class Await {
-    private static final Duration LIMIT = Duration.ofSeconds(90);
-    private static final Duration PAUSE = Duration.ofMillis(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(90);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     private Await() {}
 
     /**
-     * Returns once a condition holds.
+     * Waits until a condition holds, or fails after the timeout.
      *
-     * @param what told where it never does
+     * @param description names the condition in the failure message
      */
-    public static void until(String what, BooleanSupplier condition) {
+    public static void until(String description, BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - start > LIMIT.toNanos()) {
-                throw new AssertionError("not within " + LIMIT + ": " + what);
+            if (System.nanoTime() - start > TIMEOUT.toNanos()) {
+                throw new AssertionError("not within " + TIMEOUT + ": " + description);
             }
-            LockSupport.parkNanos(PAUSE.toNanos());
+            LockSupport.parkNanos(POLL_INTERVAL.toNanos());
         }
     }
 }
--- a/org.laurelweir.junit/src/main/java/org/laurelweir/junit/JavaProcess.java
+++ b/org.laurelweir.junit/src/main/java/org/laurelweir/junit/JavaProcess.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A program of the test's class path as a process of its own, and the signals it gets. */
+/** Runs a program of the test's class path in a process of its own, and sends signals to it. */
 public final class JavaProcess {
-    private static final List<String> JAVA =
+    private static final List<String> JAVA_COMMAND =
             List.of(
                     Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                     "-XX:-UsePerfData",
@@ -20,7 +20,7 @@
                     "-Xmx96m",
                     "--add-opens",
                     "java.base/jdk.internal.misc=ALL-UNNAMED");
-    private static final long EXIT_SECONDS = 90;
+    private static final long EXIT_TIMEOUT_SECONDS = 90;
 
     private final String mName;
     private final Path mLog;
@@ -28,43 +28,44 @@
     private Process mProcess;
 
     /**
-     * Creates a process that has not started.
+     * Creates a process without starting it.
      *
-     * @param name for failures
-     * @param log takes what it prints
-     * @param main the class to run
-     * @param args its arguments
+     * @param name the name that failure messages show
+     * @param log the file that its output is appended to
+     * @param main the class whose main method to run
+     * @param args the program's arguments
      */
     public JavaProcess(String name, Path log, String main, List<String> args) {
         this(name, log, List.of(), main, args);
     }
 
     /**
-     * Creates a process that has not started.
+     * Creates a process without starting it.
      *
-     * @param name for failures
-     * @param log takes what it prints
-     * @param options of the virtual machine, in place of the usual ones where both are given
-     * @param main the class to run
-     * @param args its arguments
+     * @param name the name that failure messages show
+     * @param log the file that its output is appended to
+     * @param options options of the virtual machine, which override the defaults of this class
+     * @param main the class whose main method to run
+     * @param args the program's arguments
      */
     public JavaProcess(
             String name, Path log, List<String> options, String main, List<String> args) {
         mName = name;
         mLog = log;
-        mCommand = new ArrayList<>(JAVA);
+        mCommand = new ArrayList<>(JAVA_COMMAND);
         mCommand.addAll(options);
         mCommand.addAll(List.of("-cp", classPath(), main));
         mCommand.addAll(args);
     }
 
     private static String classPath() {
-        // Surefire's own class path is a jar that names the entries; the property lists them.
+        // Surefire may run with a jar whose manifest names the class path; its property lists the
+        // entries.
         return System.getProperty(
                 "surefire.test.class.path", System.getProperty("java.class.path"));
     }
 
-    /** Starts the process, the first time or again. */
+    /** Starts the process, or starts it again after it has ended. */
     public void start() {
         try {
             mProcess =
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Waits for a port that the program writes to a file.
+     * Waits until the program has written its port to a file, and returns the port.
      *
-     * @param file written by the program once it listens
+     * @param file the file that the program writes once it listens
      */
     public int awaitPort(Path file) {
         Await.until("a port in " + file, () -> !isRunning() || !read(file).isEmpty());
@@ -98,28 +99,28 @@
         }
     }
 
-    /** Returns whether the process is there. */
+    /** Returns whether the process is running. */
     public boolean isRunning() {
         return mProcess != null && mProcess.isAlive();
     }
 
-    /** SIGKILL: the process ends at once, in the middle of whatever it does. */
+    /** Sends SIGKILL, which ends the process at once, and waits for its end. */
     public void kill() {
         mProcess.destroyForcibly();
         awaitExit();
     }
 
-    /** SIGTERM: the process ends in its own time. */
+    /** Sends SIGTERM, after which the process shuts down by itself. Doesn't wait for its end. */
     public void terminate() {
         mProcess.destroy();
     }
 
-    /** SIGSTOP: the process stands still with its connections open. */
+    /** Sends SIGSTOP, which suspends the process and leaves its connections open. */
     public void freeze() {
         signal("-STOP");
     }
 
-    /** SIGCONT: the process goes on. */
+    /** Sends SIGCONT, which resumes a suspended process. */
     public void resume() {
         signal("-CONT");
     }
@@ -127,7 +128,7 @@
     /** Waits for the end of the process and returns its exit status. */
     public int awaitExit() {
         try {
-            if (!mProcess.waitFor(EXIT_SECONDS, TimeUnit.SECONDS)) {
+            if (!mProcess.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new AssertionError(mName + " does not end");
             }
             return mProcess.exitValue();
@@ -136,7 +137,7 @@
         }
     }
 
-    /** Ends the process if it was ever started, without waiting. */
+    /** Kills the process if it was ever started, without waiting for its end. */
     public void destroy() {
         if (mProcess != null) {
             mProcess.destroyForcibly();
--- a/org.laurelweir.junit/src/main/java/org/laurelweir/junit/package-info.java
+++ b/org.laurelweir.junit/src/main/java/org/laurelweir/junit/package-info.java
@@ -1,2 +1,2 @@
-/** Fakes and fixtures for the tests of the other modules. */
+/** Test helpers for the other modules: child processes and waiting for conditions. */
 package org.laurelweir.junit;
