--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/AcceptedSettingsTest.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/AcceptedSettingsTest.java
@@ -13,106 +13,116 @@
 import org.laurelweir.packaging.fleet.Caller;
 import org.laurelweir.packaging.fleet.Fleet;
 import org.laurelweir.packaging.fleet.FleetProcess;
-import org.laurelweir.packaging.fleet.GenerationWatch;
+import org.laurelweir.packaging.fleet.SettingsMonitor;
 import org.laurelweir.pgm.fleet.ControlClient;
 import org.laurelweir.wire.v1.ChangeSettingsReply;
 import org.laurelweir.wire.v1.ChangeSettingsRequest;
 import org.laurelweir.wire.v1.NodeChange;
 
-/** Accepted settings under kills and freezes: in force on every router, and never back. */
+/**
+ * Checks that an accepted settings change reaches every router while processes are killed or
+ * frozen, and that no router returns to an older settings tree.
+ */
 class AcceptedSettingsTest {
     private static final String NODE = "/service=generations";
-    private static final int MANY = 200;
-    private static final int RACES = 20;
+    private static final int CHANGES_WHILE_DOWN = 200;
+    private static final int RACE_COUNT = 20;
 
     private static Fleet sFleet;
     private static List<FleetProcess> sRouters;
-    private static GenerationWatch sWatch;
+    private static SettingsMonitor sMonitor;
     private static int sGeneration;
 
     @BeforeAll
     static void startFleet() {
-        String node = NODE + ":\n  service.models: " + GenerationWatch.MODEL + "0";
+        String node = NODE + ":\n  service.models: " + SettingsMonitor.MODEL_PREFIX + "0";
         sFleet = Fleet.builder("settings").controls(3).routers(2).tree(node).start();
         sFleet.awaitReady();
         sRouters = List.of(sFleet.process("router-1"), sFleet.process("router-2"));
-        sWatch = new GenerationWatch(sRouters);
+        sMonitor = new SettingsMonitor(sRouters);
     }
 
     @AfterEach
-    void assertNoRouterWentBack() {
-        sWatch.await(sGeneration, sRouters);
-        assertThat(sWatch.fault()).isEmpty();
+    void assertNoRouterRegressed() {
+        sMonitor.await(sGeneration, sRouters);
+        assertThat(sMonitor.regression()).isEmpty();
     }
 
     @AfterAll
     static void stopFleet() {
-        sWatch.close();
+        sMonitor.close();
         sFleet.close();
     }
 
     /**
-     * The operator has the answer "accepted", and the leader that gave it is killed at once. The
-     * change stood on a majority's disks before the answer, so the next leader has it, and every
-     * router comes to it.
+     * The leader is killed right after it answers that a change is accepted. A majority has the
+     * change on disk before that answer, so the next leader has it and every router applies it.
      */
     @Test
-    void changeOutlivesTheLeaderThatAcceptedIt() {
+    void acceptedChangeSurvivesKilledLeader() {
         FleetProcess leader = sFleet.leader();
-        change();
+        commitChange();
         leader.kill();
-        sWatch.await(sGeneration, sRouters);
+        sMonitor.await(sGeneration, sRouters);
         leader.start();
         sFleet.awaitReady(leader);
     }
 
     /**
-     * A router is away for two hundred changes, and the control instance that it asks first has
-     * stood still for them. It must come up with the newest settings, not with that instance's.
+     * A router is down during 200 changes, and the control instance that it asks first is frozen
+     * during them. The restarted router must apply the newest settings, not the older ones of that
+     * instance.
      */
     @Test
-    void restartedRouterFindsNewestBesideStaleInstance() {
-        FleetProcess nearest = sFleet.process("control-1");
+    void restartedRouterAppliesNewestSettingsDespiteStaleInstance() {
+        FleetProcess staleControl = sFleet.process("control-1");
         FleetProcess router = sRouters.get(0);
         router.kill();
-        nearest.freeze();
-        for (int i = 0; i < MANY; i++) {
-            change();
+        staleControl.freeze();
+        for (int i = 0; i < CHANGES_WHILE_DOWN; i++) {
+            commitChange();
         }
         router.start();
-        sWatch.await(sGeneration, sRouters);
-        nearest.resume();
-        change();
-        sFleet.awaitReady(nearest);
+        sMonitor.await(sGeneration, sRouters);
+        staleControl.resume();
+        commitChange();
+        sFleet.awaitReady(staleControl);
     }
 
-    /** Two operators change a node under one version: one wins, the other is told who did. */
+    /**
+     * Two operators change one node and expect the same version. One change is accepted; the other
+     * gets a settings conflict.
+     */
     @Test
-    void operatorsRacingUnderOneVersionHaveOneWinner() {
-        ControlClient other = sFleet.newOperator();
-        for (int i = 0; i < RACES; i++) {
-            ChangeSettingsRequest mine = request("race-a-" + i, ++sGeneration);
-            ChangeSettingsRequest others = mine.toBuilder().setChangeId("race-b-" + i).build();
+    void concurrentChangesOfOneVersionHaveOneWinner() {
+        ControlClient otherOperator = sFleet.newOperator();
+        for (int i = 0; i < RACE_COUNT; i++) {
+            ChangeSettingsRequest firstRequest = changeRequest("race-a-" + i, ++sGeneration);
+            ChangeSettingsRequest secondRequest =
+                    firstRequest.toBuilder().setChangeId("race-b-" + i).build();
             CompletableFuture<ChangeSettingsReply> first =
-                    CompletableFuture.supplyAsync(() -> sFleet.control().changeSettings(mine));
+                    CompletableFuture.supplyAsync(
+                            () -> sFleet.control().changeSettings(firstRequest));
             CompletableFuture<ChangeSettingsReply> second =
-                    CompletableFuture.supplyAsync(() -> other.changeSettings(others));
-            assertThat(List.of(Caller.get(first).getCode(), Caller.get(second).getCode()))
+                    CompletableFuture.supplyAsync(
+                            () -> otherOperator.changeSettings(secondRequest));
+            assertThat(List.of(Caller.await(first).getCode(), Caller.await(second).getCode()))
                     .containsExactlyInAnyOrder(
                             ResultCode.OK.number(), ResultCode.SETTINGS_CONFLICT.number());
         }
     }
 
     /**
-     * An operator lost the answer and sends the change again, after other changes and to another
-     * leader. It gets the first answer and changes nothing: made twice, it would undo the others.
+     * An operator does not receive the answer to a change and sends it again, after another change
+     * and to another leader. The operator gets the first answer and nothing changes: applying the
+     * change twice would undo the later one.
      */
     @Test
-    void resentChangeGetsItsFirstAnswer() {
-        ChangeSettingsRequest request = request("lost-answer", ++sGeneration);
+    void resentChangeGetsFirstAnswer() {
+        ChangeSettingsRequest request = changeRequest("lost-answer", ++sGeneration);
         ChangeSettingsReply first = sFleet.control().changeSettings(request);
         assertThat(first.getCode()).isZero();
-        change();
+        commitChange();
         FleetProcess leader = sFleet.leader();
         leader.kill();
         ChangeSettingsReply again = sFleet.control().changeSettings(request);
@@ -122,21 +132,21 @@
         sFleet.awaitReady(leader);
     }
 
-    private static void change() {
+    private static void commitChange() {
         int generation = ++sGeneration;
-        ChangeSettingsRequest request = request("change-" + generation, generation);
+        ChangeSettingsRequest request = changeRequest("change-" + generation, generation);
         Await.until(
-                "an accepted change",
+                "control accepts a change",
                 () -> sFleet.control().changeSettings(request).getCode() == 0);
     }
 
-    private static ChangeSettingsRequest request(String id, int generation) {
+    private static ChangeSettingsRequest changeRequest(String id, int generation) {
         long version = sFleet.control().readSettings(NODE, 0).getNodes(0).getVersion();
         NodeChange change =
                 NodeChange.newBuilder()
                         .setPath(NODE)
                         .setExpectedVersion(version)
-                        .putSet("service.models", GenerationWatch.MODEL + generation)
+                        .putSet("service.models", SettingsMonitor.MODEL_PREFIX + generation)
                         .build();
         return ChangeSettingsRequest.newBuilder()
                 .setChangeId(id)
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/ResendTest.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/ResendTest.java
@@ -17,30 +17,33 @@
 import org.laurelweir.standin.Execution;
 import org.laurelweir.standin.Execution.Outcome;
 
-/** Orders that may run once only, sent again after a process between caller and service ended. */
+/**
+ * Checks that an order, which must run only once, is not run again when it is resent after a
+ * process between caller and service was killed.
+ */
 class ResendTest {
     private static final int CREATED = 201;
-    private static final long LATE_MILLIS = 2000;
+    private static final long ANSWER_DELAY_MILLIS = 2000;
 
     private static Fleet sFleet;
-    private static List<StandIn> sPlains;
-    private static FleetProcess sFirst;
-    private static FleetProcess sSecond;
+    private static List<StandIn> sPlainServices;
+    private static FleetProcess sFirstRouter;
+    private static FleetProcess sSecondRouter;
 
     @BeforeAll
     static void startFleet() {
         sFleet = Fleet.builder("resend").controls(3).routers(2).start();
-        sPlains = List.of(sFleet.startPlain("havnebok-1"), sFleet.startPlain("havnebok-2"));
+        sPlainServices = List.of(sFleet.startPlain("havnebok-1"), sFleet.startPlain("havnebok-2"));
         sFleet.awaitReady();
-        sFirst = sFleet.process("router-1");
-        sSecond = sFleet.process("router-2");
+        sFirstRouter = sFleet.process("router-1");
+        sSecondRouter = sFleet.process("router-2");
     }
 
     @BeforeEach
-    void restartFirst() {
-        if (!sFirst.isRunning()) {
-            sFirst.start();
-            sFleet.awaitServing(sFirst);
+    void restartFirstRouter() {
+        if (!sFirstRouter.isRunning()) {
+            sFirstRouter.start();
+            sFleet.awaitServing(sFirstRouter);
         }
     }
 
@@ -50,69 +53,72 @@
     }
 
     /**
-     * The caller loses its connection: the router is killed after it sent the order on, and before
-     * the answer. The order runs to its end. The caller sends it again through the other router,
-     * which finds the claim of the first attempt and fetches that attempt's answer.
+     * The router is killed after it sends an order to a backend server and before the answer, so
+     * the caller loses its connection. The order runs to its end. The caller resends it through the
+     * other router, which finds the claim of the first attempt and fetches that attempt's answer.
      */
     @Test
     void resendAfterRouterKilledGetsFirstOutcome() {
-        CompletableFuture<Caller.Reply> first = sendLate("killed-router");
-        sFirst.kill();
+        CompletableFuture<Caller.Reply> first = sendWithDelayedAnswer("killed-router");
+        sFirstRouter.kill();
         assertThat(first).failsWithin(Duration.ofMinutes(1));
-        Await.until("the run's end", () -> run("killed-router").outcome() == Outcome.FINISHED);
-        Caller.Reply again = Caller.get(Caller.order(sSecond, "killed-router"));
+        Await.until("the run ends", () -> run("killed-router").outcome() == Outcome.FINISHED);
+        Caller.Reply again = Caller.await(Caller.order(sSecondRouter, "killed-router"));
         assertIsOutcomeOfOnlyRun("killed-router", again);
     }
 
     /**
-     * As above, but the caller is back while the first attempt still runs: the second router
-     * follows that attempt to its end in place of sending one of its own.
+     * The caller resends while the first attempt still runs. The second router waits for the end of
+     * that attempt and sends no attempt of its own.
      */
     @Test
     void resendWhileFirstRunsGetsFirstOutcome() {
-        sendLate("still-running");
-        sFirst.kill();
+        sendWithDelayedAnswer("still-running");
+        sFirstRouter.kill();
         assertThat(run("still-running").outcome()).isEqualTo(Outcome.RUNNING);
-        Caller.Reply again = Caller.get(Caller.order(sSecond, "still-running"));
+        Caller.Reply again = Caller.await(Caller.order(sSecondRouter, "still-running"));
         assertIsOutcomeOfOnlyRun("still-running", again);
     }
 
-    /** Both routers get one order at a time, as from a caller that lost patience: one run. */
+    /**
+     * A caller that does not wait for the answer sends the same order to both routers at the same
+     * time. The order runs once.
+     */
     @Test
-    void bothRoutersAnswerWithOneRun() {
-        CompletableFuture<Caller.Reply> one = sendLate("two-at-once");
-        CompletableFuture<Caller.Reply> two = Caller.order(sSecond, "two-at-once");
-        assertIsOutcomeOfOnlyRun("two-at-once", Caller.get(one));
-        assertIsOutcomeOfOnlyRun("two-at-once", Caller.get(two));
+    void concurrentSendsToBothRoutersRunOnce() {
+        CompletableFuture<Caller.Reply> one = sendWithDelayedAnswer("two-at-once");
+        CompletableFuture<Caller.Reply> two = Caller.order(sSecondRouter, "two-at-once");
+        assertIsOutcomeOfOnlyRun("two-at-once", Caller.await(one));
+        assertIsOutcomeOfOnlyRun("two-at-once", Caller.await(two));
     }
 
     /**
      * The control leader that granted the claim is killed before the answer. The caller still gets
-     * the answer, and its resend through the other router finds the claim at the next leader: the
-     * claim was on a majority before the order was sent.
+     * the answer. Its resend through the other router finds the claim at the next leader, because a
+     * majority stores the claim before the order is sent.
      */
     @Test
-    void claimOutlivesTheLeaderThatGrantedIt() {
-        CompletableFuture<Caller.Reply> first = sendLate("killed-leader");
+    void claimSurvivesKilledLeader() {
+        CompletableFuture<Caller.Reply> first = sendWithDelayedAnswer("killed-leader");
         FleetProcess leader = sFleet.leader();
         leader.kill();
-        assertIsOutcomeOfOnlyRun("killed-leader", Caller.get(first));
+        assertIsOutcomeOfOnlyRun("killed-leader", Caller.await(first));
         sFleet.leader();
-        Caller.Reply again = Caller.get(Caller.order(sSecond, "killed-leader"));
+        Caller.Reply again = Caller.await(Caller.order(sSecondRouter, "killed-leader"));
         assertIsOutcomeOfOnlyRun("killed-leader", again);
     }
 
-    private static CompletableFuture<Caller.Reply> sendLate(String key) {
-        sPlains.forEach(p -> p.answerLate(1, LATE_MILLIS));
-        CompletableFuture<Caller.Reply> first = Caller.order(sFirst, key);
-        Await.until("a run of " + key, () -> !runs(key).isEmpty() || first.isDone());
+    private static CompletableFuture<Caller.Reply> sendWithDelayedAnswer(String key) {
+        sPlainServices.forEach(p -> p.delayAnswers(1, ANSWER_DELAY_MILLIS));
+        CompletableFuture<Caller.Reply> first = Caller.order(sFirstRouter, key);
+        Await.until("a service runs " + key, () -> !runs(key).isEmpty() || first.isDone());
         assertThat(runs(key)).as("runs; answer %s", first).hasSize(1);
-        sPlains.forEach(StandIn::clearFaults);
+        sPlainServices.forEach(StandIn::clearFaults);
         return first;
     }
 
     private static List<Execution> runs(String key) {
-        return StandIn.runsOfKey(sPlains, key);
+        return StandIn.runsOfKey(sPlainServices, key);
     }
 
     private static Execution run(String key) {
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/SilentConnectionTest.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/SilentConnectionTest.java
@@ -14,22 +14,25 @@
 import org.laurelweir.packaging.fleet.FleetProcess;
 import org.laurelweir.packaging.fleet.StandIn;
 
-/** Connections between a router and a sidecar that go silent for good while new ones work. */
+/**
+ * Checks calls on connections between a router and a sidecar that lose all bytes while new
+ * connections work.
+ */
 class SilentConnectionTest {
     private static final int CREATED = 201;
-    private static final long LATE_MILLIS = 500;
-    private static final long NEVER_MILLIS = 600_000;
+    private static final long ANSWER_DELAY_MILLIS = 500;
+    private static final long NO_ANSWER_DELAY_MILLIS = 600_000;
 
     private static Fleet sFleet;
     private static FleetProcess sRouter;
     private static StandIn sEngine;
-    private static StandIn sPlain;
+    private static StandIn sPlainService;
 
     @BeforeAll
     static void startFleet() {
         sFleet = Fleet.builder("silent").relayed().start();
         sEngine = sFleet.startEngine("seilhjerne-1");
-        sPlain = sFleet.startPlain("havnebok-1");
+        sPlainService = sFleet.startPlain("havnebok-1");
         sFleet.awaitReady();
         sRouter = sFleet.process("router-1");
     }
@@ -40,105 +43,106 @@
     }
 
     /**
-     * The caller sees a pause and then the rest of the same answer. Half-way through, the frames to
-     * the router stop arriving; the router misses them, opens a new connection and resumes behind
-     * the last byte that it has. The engine runs the chat once.
+     * The sidecar's frames stop arriving at the router in the middle of an answer. The router
+     * detects the missing frames, opens a new connection and resumes after the last byte that it
+     * received. The caller sees a pause and then the rest of the same answer. The engine runs the
+     * chat once.
      */
     @Test
-    void streamGoesOnAfterItsFramesStopArriving() {
-        ChatStream chat = Caller.chat(sRouter, "silent-back").awaitBegin();
-        sEngine.relay().silenceBack();
+    void streamResumesAfterLostResponseFrames() {
+        ChatStream chat = Caller.chat(sRouter, "silent-back").awaitFirstTokens();
+        sEngine.relay().dropBytesFromTarget();
         assertThat(chat.isOpen()).isTrue();
         assertThat(chat.findFault()).isEmpty();
         assertThat(sEngine.runsOfDigest(chat.digest())).hasSize(1);
     }
 
     /**
-     * The caller sees the whole answer. Half-way through, what the router sends stops arriving: its
-     * acknowledgements are lost, but that must neither cut the answer nor start it again.
+     * The router's frames stop arriving at the sidecar in the middle of an answer. The
+     * acknowledgements are lost, which must neither cut the answer nor run the chat again.
      */
     @Test
-    void streamOutlivesLostAcknowledgements() {
-        ChatStream chat = Caller.chat(sRouter, "silent-towards").awaitBegin();
-        sEngine.relay().silenceTowards();
+    void streamSurvivesLostAcknowledgements() {
+        ChatStream chat = Caller.chat(sRouter, "silent-towards").awaitFirstTokens();
+        sEngine.relay().dropBytesToTarget();
         assertThat(chat.isOpen()).isTrue();
         assertThat(chat.findFault()).isEmpty();
         assertThat(sEngine.runsOfDigest(chat.digest())).hasSize(1);
     }
 
-    /** As the two above, with both directions lost at once. */
+    /** The connection loses the frames of both directions in the middle of an answer. */
     @Test
-    void streamOutlivesItsConnection() {
-        ChatStream chat = Caller.chat(sRouter, "silent-both").awaitBegin();
-        sEngine.relay().silenceTowards();
-        sEngine.relay().silenceBack();
+    void streamSurvivesLossInBothDirections() {
+        ChatStream chat = Caller.chat(sRouter, "silent-both").awaitFirstTokens();
+        sEngine.relay().dropBytesToTarget();
+        sEngine.relay().dropBytesFromTarget();
         assertThat(chat.isOpen()).isTrue();
         assertThat(chat.findFault()).isEmpty();
         assertThat(sEngine.runsOfDigest(chat.digest())).hasSize(1);
     }
 
-    /** The open connection is closed in the middle of the answer, as by a restarted firewall. */
+    /** The connection is closed in the middle of an answer, as by a restarted firewall. */
     @Test
-    void streamOutlivesCutConnection() {
-        ChatStream chat = Caller.chat(sRouter, "cut").awaitBegin();
-        sEngine.relay().cut();
+    void streamSurvivesClosedConnection() {
+        ChatStream chat = Caller.chat(sRouter, "cut").awaitFirstTokens();
+        sEngine.relay().closeConnections();
         assertThat(chat.isOpen()).isTrue();
         assertThat(chat.findFault()).isEmpty();
         assertThat(sEngine.runsOfDigest(chat.digest())).hasSize(1);
     }
 
     /**
-     * The caller is told that its order was not run, and its resend is answered. Meanwhile the
-     * order stood in a connection that had lost the way to the sidecar, and arrives after all. The
-     * router had asked over a new connection that the attempt never start: the sidecar remembers,
-     * so that the late order is dropped. Without that it would run beside the resend.
+     * A connection holds an order back and delivers it late. Meanwhile the router asks the sidecar
+     * over a new connection to revoke the attempt, and tells the caller that the order was not run.
+     * The sidecar remembers the revocation and drops the late order, which would otherwise run in
+     * addition to the caller's resend.
      */
     @Test
-    void orderThatArrivesAfterNotRunIsDropped() {
-        sPlain.relay().holdTowards();
-        Caller.Reply reply = Caller.get(Caller.order(sRouter, "held-back"));
+    void delayedOrderIsDroppedAfterRevocation() {
+        sPlainService.relay().holdBytesToTarget();
+        Caller.Reply reply = Caller.await(Caller.order(sRouter, "held-back"));
         assertThat(reply.code()).as(reply.body()).isEqualTo(ResultCode.REVOKED.number());
-        assertThat(sPlain.runsOfKey("held-back")).isEmpty();
-        sPlain.relay().release();
-        Caller.Reply again = Caller.get(Caller.order(sRouter, "held-back"));
+        assertThat(sPlainService.runsOfKey("held-back")).isEmpty();
+        sPlainService.relay().deliverHeldBytes();
+        Caller.Reply again = Caller.await(Caller.order(sRouter, "held-back"));
         assertOnlyRun("held-back", again);
     }
 
     /**
-     * An order runs, but its answer is lost with the way back. The router asks over a new
-     * connection, learns that the attempt ran, and fetches that attempt's answer: a second one
-     * would order twice.
+     * An order runs, but its answer is lost on the connection. The router asks over a new
+     * connection, learns that the attempt ran and fetches its answer. A second attempt would run
+     * the order twice.
      */
     @Test
-    void orderWhoseAnswerIsLostRunsOnce() {
-        sPlain.answerLate(1, LATE_MILLIS);
+    void orderWithLostAnswerRunsOnce() {
+        sPlainService.delayAnswers(1, ANSWER_DELAY_MILLIS);
         CompletableFuture<Caller.Reply> reply = Caller.order(sRouter, "lost-answer");
-        Await.until("a run", () -> !sPlain.runsOfKey("lost-answer").isEmpty());
-        sPlain.relay().silenceBack();
-        assertOnlyRun("lost-answer", Caller.get(reply));
+        Await.until("the order runs", () -> !sPlainService.runsOfKey("lost-answer").isEmpty());
+        sPlainService.relay().dropBytesFromTarget();
+        assertOnlyRun("lost-answer", Caller.await(reply));
     }
 
     /**
-     * The sidecar is killed while an order runs, and is back before the router gives up. It knows
-     * nothing of the attempt, yet must not say that it was never started: it says that it is
-     * another incarnation, and the caller learns that the outcome is unknown.
+     * The sidecar is killed while an order runs, and restarts before the router gives up. It does
+     * not know the attempt, but must not report that the attempt never started. It reports that it
+     * is another incarnation, and the caller gets an unknown outcome.
      */
     @Test
-    void orderOfRestartedSidecarIsUnknown() {
-        sPlain.answerLate(1, NEVER_MILLIS);
+    void orderAtRestartedSidecarHasUnknownOutcome() {
+        sPlainService.delayAnswers(1, NO_ANSWER_DELAY_MILLIS);
         CompletableFuture<Caller.Reply> reply = Caller.order(sRouter, "restarted");
-        Await.until("a run", () -> !sPlain.runsOfKey("restarted").isEmpty());
-        sPlain.sidecar().kill();
-        sPlain.sidecar().start();
-        assertThat(Caller.get(reply).code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN.number());
-        assertThat(sPlain.runsOfKey("restarted")).hasSize(1);
+        Await.until("the order runs", () -> !sPlainService.runsOfKey("restarted").isEmpty());
+        sPlainService.sidecar().kill();
+        sPlainService.sidecar().start();
+        assertThat(Caller.await(reply).code()).isEqualTo(ResultCode.OUTCOME_UNKNOWN.number());
+        assertThat(sPlainService.runsOfKey("restarted")).hasSize(1);
         sFleet.awaitServing(sRouter);
     }
 
     private static void assertOnlyRun(String key, Caller.Reply reply) {
-        assertThat(sPlain.runsOfKey(key)).hasSize(1);
+        assertThat(sPlainService.runsOfKey(key)).hasSize(1);
         assertThat(reply.status()).as(reply.body()).isEqualTo(CREATED);
-        String execution = sPlain.runsOfKey(key).get(0).id();
+        String execution = sPlainService.runsOfKey(key).get(0).id();
         assertThat(reply.json().path("execution").asText()).isEqualTo(execution);
     }
 }
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/StockClientTest.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/StockClientTest.java
@@ -21,7 +21,8 @@
 import org.laurelweir.packaging.fleet.Fleet;
 
 /**
- * A client library that callers use elsewhere works unchanged: only its base URL and key differ.
+ * Checks that an unmodified OpenAI client library (LangChain4j) works with a router; only its base
+ * URL and key are set.
  */
 class StockClientTest {
     private static final Duration TIMEOUT = Duration.ofMinutes(1);
@@ -44,19 +45,19 @@
 
     @Test
     void plainCallIsAnswered() {
-        ChatResponse answer = plain(Caller.KEY).chat(user());
+        ChatResponse answer = blockingModel(Caller.KEY).chat(userMessages());
 
         assertThat(answer.aiMessage().text()).contains(MARKER);
         assertThat(answer.tokenUsage().inputTokenCount()).isPositive();
     }
 
     @Test
-    void streamedCallBringsWholeAnswer() throws Exception {
-        String whole = plain(Caller.KEY).chat(user()).aiMessage().text();
+    void streamedCallReturnsWholeAnswer() throws Exception {
+        String whole = blockingModel(Caller.KEY).chat(userMessages()).aiMessage().text();
         StringBuilder parts = new StringBuilder();
         CompletableFuture<ChatResponse> end = new CompletableFuture<>();
 
-        streaming().chat(user(), new Collector(parts, end));
+        streamingModel().chat(userMessages(), new Collector(parts, end));
         ChatResponse answer = end.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
 
         assertThat(parts).hasToString(whole);
@@ -64,17 +65,17 @@
     }
 
     @Test
-    void unknownKeyIsToldAsClientExpects() {
-        assertThatThrownBy(() -> plain("nobody's key").chat(user()))
+    void unknownKeyCausesAuthenticationException() {
+        assertThatThrownBy(() -> blockingModel("nobody's key").chat(userMessages()))
                 .isInstanceOf(AuthenticationException.class)
                 .hasMessageContaining("1002");
     }
 
-    private static List<ChatMessage> user() {
+    private static List<ChatMessage> userMessages() {
         return List.of(UserMessage.from(PROMPT));
     }
 
-    private static OpenAiChatModel plain(String key) {
+    private static OpenAiChatModel blockingModel(String key) {
         return OpenAiChatModel.builder()
                 .baseUrl(baseUrl())
                 .apiKey(key)
@@ -84,7 +85,7 @@
                 .build();
     }
 
-    private static OpenAiStreamingChatModel streaming() {
+    private static OpenAiStreamingChatModel streamingModel() {
         return OpenAiStreamingChatModel.builder()
                 .baseUrl(baseUrl())
                 .apiKey(Caller.KEY)
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Caller.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Caller.java
@@ -21,24 +21,28 @@
 import org.laurelweir.standin.Json;
 import org.laurelweir.standin.chat.ChatMessage;
 
-/** Calls over HTTP, each on a connection of its own, and never again by itself. */
+/** Sends HTTP calls to a fleet, each on a new connection and without retries. */
 public final class Caller {
-    /** The bearer key of the fleet's client account. */
+    /** The bearer key of the fleet's only client account. */
     public static final String KEY = "proof-key";
 
     private static final JsonMapper MAPPER = new JsonMapper();
-    private static final long LIMIT_SECONDS = 120;
+    private static final long TIMEOUT_SECONDS = 120;
 
     private Caller() {}
 
-    /** A final answer. */
+    /**
+     * A complete HTTP answer.
+     *
+     * @param retryAfter the value of the Retry-After header; empty if there is none
+     */
     public record Reply(int status, String body, String retryAfter) {
-        /** Returns the result code's number; 0 where the answer is no error. */
+        /** Returns the number of the result code in an error body; 0 if the body is no error. */
         public int code() {
             return json().path("error").path("code").asInt(0);
         }
 
-        /** Returns the body as JSON. */
+        /** Returns the body, parsed as JSON. */
         public JsonNode json() {
             try {
                 return MAPPER.readTree(body);
@@ -48,7 +52,7 @@
         }
     }
 
-    /** Sends a call and returns its answer to be. */
+    /** Sends a call to a port of the loopback address and returns its future answer. */
     public static CompletableFuture<Reply> send(
             int port, String method, String path, String body, Map<String, String> headers) {
         return client().sendAsync(
@@ -56,7 +60,7 @@
                 .thenApply(Caller::reply);
     }
 
-    /** Sends an order of provisions, which must not run twice, under an idempotency key. */
+    /** Sends an order to the plain service, which must not run twice, with an idempotency key. */
     public static CompletableFuture<Reply> order(FleetProcess router, String key) {
         return send(
                 router.port(),
@@ -71,7 +75,10 @@
         return chat(router, marker, Map.of(), Map.of());
     }
 
-    /** Sends a chat whose answer is streamed, with further fields of its body and headers. */
+    /**
+     * Sends a chat whose answer is streamed, with additional fields in its JSON body and additional
+     * headers.
+     */
     public static ChatStream chat(
             FleetProcess router,
             String marker,
@@ -86,14 +93,19 @@
         return new ChatStream(client(), request, messages);
     }
 
-    /** Returns an answer that is awaited, or throws what went wrong. */
-    public static <T> T get(CompletableFuture<T> future) {
+    /**
+     * Waits for a result and returns it.
+     *
+     * @throws CompletionException with the cause, if the result is a failure
+     * @throws AssertionError if there is no result after 120 s
+     */
+    public static <T> T await(CompletableFuture<T> future) {
         try {
-            return future.get(LIMIT_SECONDS, TimeUnit.SECONDS);
+            return future.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new CompletionException(e.getCause());
         } catch (InterruptedException | TimeoutException e) {
-            throw new AssertionError("no answer", e);
+            throw new AssertionError("no answer before the timeout", e);
         }
     }
 
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/ChatStream.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/ChatStream.java
@@ -17,10 +17,10 @@
 import org.laurelweir.standin.chat.ChatMessage;
 import org.laurelweir.standin.chat.Prompt;
 
-/** A streamed chat answer as it arrives at its caller. */
+/** A chat call whose answer is streamed; collects the lines of the answer as they arrive. */
 public final class ChatStream {
-    private static final String DATA = "data: ";
-    private static final String DONE = "data: [DONE]";
+    private static final String EVENT_PREFIX = "data: ";
+    private static final String END_OF_STREAM = "data: [DONE]";
 
     private final Prompt mPrompt;
     private final List<String> mLines = new CopyOnWriteArrayList<>();
@@ -34,76 +34,84 @@
     }
 
     private int read(HttpResponse<Stream<String>> response) {
-        response.body().filter(l -> !l.isEmpty()).forEach(mLines::add);
+        response.body().filter(line -> !line.isEmpty()).forEach(mLines::add);
         return response.statusCode();
     }
 
-    /** Returns the digest by which the engine's record names the chat. */
+    /**
+     * Returns the digest of the prompt, which identifies the chat in the engine's execution log.
+     */
     public String digest() {
         return mPrompt.digest();
     }
 
-    /** Returns once part of the answer is there. */
-    public ChatStream awaitBegin() {
-        Await.until("the begin of an answer", () -> mLines.size() > 2 || mStatus.isDone());
+    /** Waits until the answer has text or has ended. */
+    public ChatStream awaitFirstTokens() {
+        Await.until("the first tokens of an answer", () -> mLines.size() > 2 || mStatus.isDone());
         return this;
     }
 
-    /** Returns whether the answer is still on its way. */
+    /** Returns whether the answer has not ended yet. */
     public boolean isOpen() {
         return !mStatus.isDone();
     }
 
-    /** Returns the HTTP status, once the whole answer is there. */
+    /** Waits for the end of the answer and returns the HTTP status. */
     public int status() {
-        return Caller.get(mStatus);
+        return Caller.await(mStatus);
     }
 
-    /** Returns the result code's number of an answer that is an error. */
+    /**
+     * Waits for the end of the answer and returns the number of the result code in an error body; 0
+     * if the answer is no error.
+     */
     public int code() {
         return new Caller.Reply(status(), text(), "").code();
     }
 
-    /** Returns when to come back, as the answer says; empty if it does not. */
+    /** Returns the value of the Retry-After header; empty if there is none. */
     public String retryAfter() {
-        return Caller.get(mResponse).headers().firstValue("Retry-After").orElse("");
+        return Caller.await(mResponse).headers().firstValue("Retry-After").orElse("");
     }
 
-    /** Hangs up before the answer has begun. */
-    public void hangUp() {
+    /** Closes the connection if the answer has not begun. */
+    public void cancel() {
         mResponse.cancel(true);
     }
 
-    /** Returns the lines so far. */
+    /** Returns the lines received so far. */
     public String text() {
         return String.join("\n", mLines);
     }
 
-    /** Waits for the end and returns what is wrong with the answer; nothing if whole and own. */
+    /**
+     * Waits for the end of the answer and returns what is wrong with it; empty if it is the
+     * complete answer to this chat.
+     */
     public Optional<String> findFault() {
         int status = status();
         if (status != 200) {
             return Optional.of(status + " " + text());
         }
-        if (mLines.indexOf(DONE) != mLines.size() - 1) {
-            return Optional.of("does not end with, or goes on after, its end mark: " + text());
+        if (mLines.indexOf(END_OF_STREAM) != mLines.size() - 1) {
+            return Optional.of("[DONE] is missing or is not the last event: " + text());
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         for (String line : mLines) {
-            if (line.startsWith(DATA) && !line.equals(DONE)) {
-                all.append(content(line.substring(DATA.length())));
+            if (line.startsWith(EVENT_PREFIX) && !line.equals(END_OF_STREAM)) {
+                text.append(content(line.substring(EVENT_PREFIX.length())));
             }
         }
-        return Answer.findFault(mPrompt, all.toString());
+        return Answer.findFault(mPrompt, text.toString());
     }
 
     private static String content(String json) {
         ChatAnswer chunk = Json.read(json.getBytes(StandardCharsets.UTF_8), ChatAnswer.class);
-        StringBuilder all = new StringBuilder();
+        StringBuilder text = new StringBuilder();
         chunk.choices().stream()
                 .map(ChatAnswer.Choice::delta)
                 .filter(d -> d != null && d.content() != null)
-                .forEach(d -> all.append(d.content()));
-        return all.toString();
+                .forEach(d -> text.append(d.content()));
+        return text.toString();
     }
 }
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Fleet.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Fleet.java
@@ -26,13 +26,14 @@
 
 /**
  * A small deployment on this machine: control instances, routers, and backend servers with their
- * sidecars, each a process. Settings, ports and logs stand in one folder below target.
+ * sidecars, each a process. Its settings files, port files and logs are in {@code
+ * target/fleets/NAME}.
  */
 public final class Fleet implements AutoCloseable {
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(2);
-    private static final long PAUSE_NANOS = Duration.ofMillis(500).toNanos();
+    private static final long RETRY_PAUSE_NANOS = Duration.ofMillis(500).toNanos();
 
-    private static final Map<String, Object> SHORT = Map.of("max_tokens", 3);
+    private static final Map<String, Object> SHORT_ANSWER = Map.of("max_tokens", 3);
 
     private final Path mFolder;
     private final String mHost = host();
@@ -41,11 +42,11 @@
     private final List<StandIn> mStandIns = new ArrayList<>();
     private final List<FleetConnection> mConnections = new ArrayList<>();
     private ControlClient mControl;
-    private int mProbes;
+    private int mProbeCount;
 
     private final Builder mBuilder;
 
-    /** Says how large a fleet is. */
+    /** Sets the size and the settings of a fleet. */
     public static final class Builder {
         private final String mName;
         private int mControls = 1;
@@ -57,31 +58,31 @@
             mName = name;
         }
 
-        /** Sets how many control instances there are. */
+        /** Sets the number of control instances; 1 by default. */
         public Builder controls(int count) {
             mControls = count;
             return this;
         }
 
-        /** Sets how many routers there are. */
+        /** Sets the number of routers; 1 by default. */
         public Builder routers(int count) {
             mRouters = count;
             return this;
         }
 
-        /** Puts a relay in front of each sidecar. */
+        /** Puts a relay in front of each sidecar, so that a test can disturb its connections. */
         public Builder relayed() {
             mRelayed = true;
             return this;
         }
 
-        /** Sets lines added to the settings tree. */
+        /** Sets YAML lines that are added to the settings tree. */
         public Builder tree(String lines) {
             mTree = lines;
             return this;
         }
 
-        /** Starts control and routers. */
+        /** Starts the control instances and the routers. */
         public Fleet start() {
             Fleet fleet = new Fleet(this);
             fleet.startControls();
@@ -126,7 +127,7 @@
         mControl = newOperator();
     }
 
-    private static String tree(String more) {
+    private static String tree(String additionalLines) {
         return String.join(
                 "\n",
                 "/:",
@@ -140,20 +141,20 @@
                 "  service.path-prefix: /havnebok",
                 "/account=broker:",
                 "  account.key-digests: " + KeyDigest.of(Caller.KEY),
-                more);
+                additionalLines);
     }
 
-    /** Starts a router. */
+    /** Starts a router that listens on a free port of the loopback address. */
     public FleetProcess startRouter(String name) {
-        return startProgram("router", name, "listen: 127.0.0.1:0", controlList());
+        return startProgram("router", name, "listen: 127.0.0.1:0", controlSetting());
     }
 
-    /** Starts a plain service with its sidecar; its calls take no time unless told otherwise. */
+    /** Starts a plain service with its sidecar. Calls take no time unless a fault delays them. */
     public StandIn startPlain(String name) {
         return startStandIn(name, "plain", "havnebok", "work-time: 0s");
     }
 
-    /** Starts an engine of two hundred tokens an answer, which come at fifty a second. */
+    /** Starts an engine with its sidecar. An answer has 200 tokens at 50 tokens per second. */
     public StandIn startEngine(String name) {
         return startStandIn(
                 name,
@@ -174,7 +175,7 @@
                         settings));
         p.start();
         FleetProcess sidecar = process(name, "org.laurelweir.sidecar.Main");
-        // Chosen here, so that a restarted sidecar is where the killed one was.
+        // The port is fixed here, so that a restarted sidecar listens where the killed one did.
         InetSocketAddress address = new InetSocketAddress(mHost, freePort());
         Relay relay = mBuilder.mRelayed ? new Relay(address) : null;
         startProgram(
@@ -184,7 +185,7 @@
                 "listen: " + mHost + ":" + address.getPort(),
                 relay == null ? "" : "announce: 127.0.0.1:" + relay.port(),
                 "backend: 127.0.0.1:" + p.port(),
-                controlList());
+                controlSetting());
         StandIn s = new StandIn(p, sidecar, relay, "/" + kind);
         mStandIns.add(s);
         return s;
@@ -209,7 +210,7 @@
         return p;
     }
 
-    private String controlList() {
+    private String controlSetting() {
         return controlAddresses().stream()
                 .map(a -> "\n  - " + a)
                 .collect(Collectors.joining("", "controls:", ""));
@@ -219,52 +220,62 @@
         return mControlPorts.values().stream().map(p -> mHost + ":" + p).toList();
     }
 
-    /** Returns once control knows every backend server and every router has calls answered. */
+    /**
+     * Waits until every control instance is ready, control knows every backend server, and every
+     * router has calls answered.
+     */
     public Fleet awaitReady() {
-        startedWith("control").forEach(this::awaitReady);
+        processesByPrefix("control").forEach(this::awaitReady);
         Await.until(
-                "every backend server is announced",
-                () -> backends(BackendState.SERVING) == mStandIns.size());
-        startedWith("router").forEach(this::awaitServing);
+                "control knows every backend server",
+                () -> backendCount(BackendState.SERVING) == mStandIns.size());
+        processesByPrefix("router").forEach(this::awaitServing);
         return this;
     }
 
-    private List<FleetProcess> startedWith(String prefix) {
+    private List<FleetProcess> processesByPrefix(String prefix) {
         return mProcesses.values().stream().filter(p -> p.name().startsWith(prefix)).toList();
     }
 
-    /** Returns once a program says that it is ready. */
+    /** Waits until a program reports that it is ready. */
     public void awaitReady(FleetProcess p) {
         int port = p.metricsPort();
         Await.until(p.name() + " is ready", () -> isOk(port, "/readyz"));
     }
 
-    /** Returns once a router is ready and finds backend servers of every service. */
+    /** Waits until a router is ready and has calls answered by each kind of backend server. */
     public void awaitServing(FleetProcess router) {
         awaitReady(router);
         int port = router.port();
         if (mStandIns.stream().anyMatch(StandIn::isPlain)) {
-            Await.until("plain calls by " + router.name(), () -> isOk(port, "/havnebok/ready"));
+            Await.until(
+                    "plain calls through " + router.name(), () -> isOk(port, "/havnebok/ready"));
         }
         if (!mStandIns.stream().allMatch(StandIn::isPlain)) {
             Await.until(
-                    "chats by " + router.name(),
-                    () -> Caller.chat(router, "ready", SHORT, Map.of()).findFault().isEmpty());
+                    "chats through " + router.name(),
+                    () ->
+                            Caller.chat(router, "ready", SHORT_ANSWER, Map.of())
+                                    .findFault()
+                                    .isEmpty());
         }
     }
 
-    /** Returns once a router's calls reach each of some plain services as it runs now. */
-    public void awaitReached(FleetProcess router, List<StandIn> plains) {
+    /**
+     * Waits until calls through a router reach each of the given plain services at its present
+     * incarnation.
+     */
+    public void awaitReachable(FleetProcess router, List<StandIn> plains) {
         for (StandIn p : plains) {
-            String path = "/havnebok/reach-" + mProbes++;
+            String path = "/havnebok/reach-" + mProbeCount++;
             Await.until(
-                    "calls at " + p.sidecar().name(),
+                    "calls reach " + p.sidecar().name(),
                     () -> isOk(router.port(), path) && !p.runsOfPath(path).isEmpty());
         }
     }
 
-    /** Returns how many backend servers control knows in a state. */
-    public long backends(BackendState state) {
+    /** Returns the number of backend servers that control reports in a state. */
+    public long backendCount(BackendState state) {
         return control().status().getBackendsList().stream()
                 .filter(b -> b.getBackend().getState() == state)
                 .count();
@@ -272,33 +283,35 @@
 
     private static boolean isOk(int port, String path) {
         try {
-            return Caller.get(Caller.send(port, "GET", path, "", Map.of())).status() == 200;
+            return Caller.await(Caller.send(port, "GET", path, "", Map.of())).status() == 200;
         } catch (RuntimeException e) {
             return false;
         }
     }
 
-    /** Returns the operators' client to control. */
+    /** Returns the client by which tests act as an operator of control. */
     public ControlClient control() {
         return mControl;
     }
 
-    /** Returns a further client to control, for an operator beside others. */
+    /** Returns another client to control, for a test with several operators. */
     public ControlClient newOperator() {
         FleetConnection connection =
                 new FleetConnection(
-                        controlAddresses(), CALL_TIMEOUT, () -> LockSupport.parkNanos(PAUSE_NANOS));
+                        controlAddresses(),
+                        CALL_TIMEOUT,
+                        () -> LockSupport.parkNanos(RETRY_PAUSE_NANOS));
         connection.start();
         mConnections.add(connection);
         return connection.control();
     }
 
-    /** Returns a program by its name. */
+    /** Returns the process with a name; null if there is none. */
     public FleetProcess process(String name) {
         return mProcesses.get(name);
     }
 
-    /** Returns the control instance that leads, once one does. */
+    /** Waits until a running control instance is the leader and returns it. */
     public FleetProcess leader() {
         List<FleetProcess> found = new ArrayList<>();
         Await.until(
@@ -325,7 +338,10 @@
         mProcesses.values().forEach(FleetProcess::destroy);
     }
 
-    /** A loopback address of this run's own: no other program can take a port there meanwhile. */
+    /**
+     * Returns a loopback address that is derived from the process id: no other program takes a port
+     * of it between the choice of a free port and its use.
+     */
     private static String host() {
         long pid = ProcessHandle.current().pid();
         return "127." + (1 + (pid >> 16) % 254) + "." + ((pid >> 8) & 0xff) + "." + (pid & 0xff);
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/FleetProcess.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/FleetProcess.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.laurelweir.junit.JavaProcess;
 
-/** One program as a process: its settings file, its ports, its log and the signals it gets. */
+/**
+ * One program of a fleet as a process: its settings file, its port files, its log and the signals
+ * sent to it.
+ */
 public final class FleetProcess {
     private final String mName;
     private final Path mFolder;
@@ -39,7 +42,7 @@
         }
     }
 
-    /** Starts the process, the first time or again with the same settings. */
+    /** Starts the process, also again after its end, with the same settings. */
     public void start() {
         try {
             Files.deleteIfExists(portFile(""));
@@ -50,42 +53,42 @@
         mProcess.start();
     }
 
-    /** Returns the port that the program listens on, once it does. */
+    /** Waits until the program listens and returns its port. */
     public int port() {
         return mProcess.awaitPort(portFile(""));
     }
 
-    /** Returns the port of metrics and readiness, once the program listens there. */
+    /** Waits until the program serves metrics and readiness, and returns the port of these. */
     public int metricsPort() {
         return mProcess.awaitPort(portFile("-metrics"));
     }
 
-    /** Returns whether the process is there. */
+    /** Returns whether the process runs; also true while it is frozen. */
     public boolean isRunning() {
         return mProcess.isRunning();
     }
 
-    /** SIGKILL: the process ends at once, in the middle of whatever it does. */
+    /** Sends SIGKILL: the process ends at once, without clean-up. */
     public void kill() {
         mProcess.kill();
     }
 
-    /** SIGTERM: the process ends in its own time. */
+    /** Sends SIGTERM: the process drains and then exits. */
     public void terminate() {
         mProcess.terminate();
     }
 
-    /** SIGSTOP: the process stands still with its connections open. */
+    /** Sends SIGSTOP: the process freezes with its connections open. */
     public void freeze() {
         mProcess.freeze();
     }
 
-    /** SIGCONT: the process goes on. */
+    /** Sends SIGCONT: the process resumes. */
     public void resume() {
         mProcess.resume();
     }
 
-    /** Waits for the end of the process and returns its exit status. */
+    /** Waits until the process exits and returns its exit status. */
     public int awaitExit() {
         return mProcess.awaitExit();
     }
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Relay.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/Relay.java
@@ -12,18 +12,19 @@
 import org.laurelweir.junit.Await;
 
 /**
- * Forwards TCP connections. It can lose track of those that are open, in one direction or both, and
- * hold back what is sent on them; new ones work, and wait while the target does not listen.
+ * Forwards TCP connections to a target. On the connections that are open it can drop bytes in one
+ * or both directions, or hold back the bytes to the target. New connections are not affected; they
+ * wait while the target does not listen.
  */
 public final class Relay implements AutoCloseable {
     private static final int BUFFER_BYTES = 1 << 16;
 
     private final InetSocketAddress mTarget;
     private final ServerSocket mListener;
-    private final List<Pipe> mTowards = new CopyOnWriteArrayList<>();
-    private final List<Pipe> mBack = new CopyOnWriteArrayList<>();
+    private final List<Pipe> mToTarget = new CopyOnWriteArrayList<>();
+    private final List<Pipe> mFromTarget = new CopyOnWriteArrayList<>();
 
-    /** One direction of a connection through the relay. */
+    /** One direction of a forwarded connection. */
     private static final class Pipe {
         private enum Mode {
             PASS,
@@ -46,11 +47,11 @@
             try {
                 int n = mFrom.getInputStream().read(buffer);
                 while (n >= 0) {
-                    take(buffer, n);
+                    handle(buffer, n);
                     n = mFrom.getInputStream().read(buffer);
                 }
             } catch (IOException e) {
-                // One end is gone; closing both tells the other.
+                // One side closed its socket; closing both sockets informs the other side.
             }
             if (!isHolding()) {
                 close();
@@ -61,7 +62,7 @@
             return mMode == Mode.HOLD;
         }
 
-        private synchronized void take(byte[] bytes, int count) throws IOException {
+        private synchronized void handle(byte[] bytes, int count) throws IOException {
             if (mMode == Mode.PASS) {
                 mTo.getOutputStream().write(bytes, 0, count);
             } else if (mMode == Mode.HOLD) {
@@ -69,7 +70,7 @@
             }
         }
 
-        synchronized void set(Mode mode) {
+        synchronized void setMode(Mode mode) {
             mMode = mode;
         }
 
@@ -94,9 +95,9 @@
     }
 
     /**
-     * Listens.
+     * Listens on a free port of the loopback address.
      *
-     * @param target where to forward to
+     * @param target the address to forward connections to
      */
     Relay(InetSocketAddress target) {
         mTarget = target;
@@ -105,59 +106,59 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        daemon(this::accept);
+        startDaemonThread(this::accept);
     }
 
-    /** Returns the port on the loopback address. */
+    /** Returns the port that the relay listens on, at the loopback address. */
     public int port() {
         return mListener.getLocalPort();
     }
 
-    /** Drops what is sent to the target on the open connections; new ones work. */
-    public void silenceTowards() {
-        mTowards.forEach(p -> p.set(Pipe.Mode.DROP));
+    /** Drops all bytes to the target on the open connections; new connections work. */
+    public void dropBytesToTarget() {
+        mToTarget.forEach(p -> p.setMode(Pipe.Mode.DROP));
     }
 
-    /** Drops what the target sends on the open connections; new ones work. */
-    public void silenceBack() {
-        mBack.forEach(p -> p.set(Pipe.Mode.DROP));
+    /** Drops all bytes from the target on the open connections; new connections work. */
+    public void dropBytesFromTarget() {
+        mFromTarget.forEach(p -> p.setMode(Pipe.Mode.DROP));
     }
 
-    /** Holds back what is sent to the target on the open connections; new ones work. */
-    public void holdTowards() {
-        mTowards.forEach(p -> p.set(Pipe.Mode.HOLD));
+    /** Holds back all bytes to the target on the open connections; new connections work. */
+    public void holdBytesToTarget() {
+        mToTarget.forEach(p -> p.setMode(Pipe.Mode.HOLD));
     }
 
-    /** Delivers, late, what was held back. */
-    public void release() {
-        mTowards.stream().filter(Pipe::isHolding).forEach(Pipe::release);
+    /** Delivers the bytes that were held back, and forwards on these connections from then on. */
+    public void deliverHeldBytes() {
+        mToTarget.stream().filter(Pipe::isHolding).forEach(Pipe::release);
     }
 
-    /** Closes the open connections. */
-    public void cut() {
-        mTowards.forEach(Pipe::close);
+    /** Closes the open connections; new connections work. */
+    public void closeConnections() {
+        mToTarget.forEach(Pipe::close);
     }
 
     private void accept() {
         try {
             while (true) {
-                Socket near = mListener.accept();
-                daemon(() -> forward(near));
+                Socket client = mListener.accept();
+                startDaemonThread(() -> forward(client));
             }
         } catch (IOException e) {
             // The relay was closed.
         }
     }
 
-    private void forward(Socket near) {
-        Await.until("the target listens", () -> mListener.isClosed() || connect(near));
+    private void forward(Socket client) {
+        Await.until("the target listens", () -> mListener.isClosed() || connect(client));
     }
 
-    private boolean connect(Socket near) {
+    private boolean connect(Socket client) {
         try {
-            Socket far = new Socket(mTarget.getAddress(), mTarget.getPort());
-            mTowards.add(start(new Pipe(near, far)));
-            mBack.add(start(new Pipe(far, near)));
+            Socket target = new Socket(mTarget.getAddress(), mTarget.getPort());
+            mToTarget.add(start(new Pipe(client, target)));
+            mFromTarget.add(start(new Pipe(target, client)));
             return true;
         } catch (IOException e) {
             return false;
@@ -165,11 +166,11 @@
     }
 
     private static Pipe start(Pipe pipe) {
-        daemon(pipe::copy);
+        startDaemonThread(pipe::copy);
         return pipe;
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemonThread(Runnable work) {
         Thread thread = new Thread(work, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -182,6 +183,6 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        cut();
+        closeConnections();
     }
 }
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/StandIn.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/StandIn.java
@@ -9,25 +9,27 @@
 import org.laurelweir.standin.Json;
 
 /**
- * A backend server: a stand-in with its record of what really ran, and the sidecar beside it.
+ * A backend server: a stand-in, which records every run, and the sidecar beside it.
  *
  * @param process the stand-in
  * @param sidecar the sidecar beside it
- * @param relay what routers reach the sidecar through, or null
- * @param admin the path below which record and faults are reached
+ * @param relay the relay through which routers reach the sidecar; null if there is none
+ * @param adminPath the path prefix of the calls that read executions and inject faults
  */
-public record StandIn(FleetProcess process, FleetProcess sidecar, Relay relay, String admin) {
+public record StandIn(FleetProcess process, FleetProcess sidecar, Relay relay, String adminPath) {
     private static final String PLAIN = "/plain";
 
-    /** Returns whether it is a plain service rather than an engine. */
+    /** Returns whether this is a plain service rather than an engine. */
     public boolean isPlain() {
-        return admin.equals(PLAIN);
+        return adminPath.equals(PLAIN);
     }
 
-    /** Returns every run so far, in order of start. */
+    /** Returns the runs that the stand-in holds, in order of start. */
     public List<Execution> executions() {
         Caller.Reply r =
-                Caller.get(Caller.send(process.port(), "GET", admin + "/executions", "", Map.of()));
+                Caller.await(
+                        Caller.send(
+                                process.port(), "GET", adminPath + "/executions", "", Map.of()));
         byte[] json = r.body().getBytes(StandardCharsets.UTF_8);
         return Json.read(json, AdminEndpoints.Executions.class).executions();
     }
@@ -37,38 +39,45 @@
         return executions().stream().filter(e -> key.equals(e.idempotencyKey())).toList();
     }
 
-    /** Returns the runs of calls with a digest. */
+    /** Returns the runs of calls with a digest of the prompt or body. */
     public List<Execution> runsOfDigest(String digest) {
         return executions().stream().filter(e -> digest.equals(e.digest())).toList();
     }
 
-    /** Returns the runs of calls by a path. */
+    /** Returns the runs of calls to a path. */
     public List<Execution> runsOfPath(String path) {
         return executions().stream().filter(e -> path.equals(e.path())).toList();
     }
 
-    /** Returns the runs of calls with an idempotency key at any of several backend servers. */
+    /** Returns the runs of calls with an idempotency key at any of the given backend servers. */
     public static List<Execution> runsOfKey(List<StandIn> all, String key) {
         return all.stream().flatMap(s -> s.runsOfKey(key).stream()).toList();
     }
 
-    /** Returns how many runs have not ended. */
-    public long running() {
+    /** Returns the number of runs that have not ended. */
+    public long runningCount() {
         return executions().stream().filter(e -> e.outcome() == Outcome.RUNNING).count();
     }
 
-    /** Asks for a fault by its JSON order. */
-    public void fault(String order) {
-        Caller.get(Caller.send(process.port(), "POST", admin + "/faults", order, Map.of()));
+    /**
+     * Injects a fault.
+     *
+     * @param order the JSON body that describes the fault, see {@link
+     *     org.laurelweir.standin.Fault.Order}
+     */
+    public void injectFault(String order) {
+        Caller.await(Caller.send(process.port(), "POST", adminPath + "/faults", order, Map.of()));
     }
 
-    /** Asks that the next calls are answered late. */
-    public void answerLate(int calls, long millis) {
-        fault(String.format("{\"kind\":\"late\",\"count\":%d,\"delayMillis\":%d}", calls, millis));
+    /** Delays the answers to a number of next calls. */
+    public void delayAnswers(int calls, long millis) {
+        injectFault(
+                String.format(
+                        "{\"kind\":\"late\",\"count\":%d,\"delayMillis\":%d}", calls, millis));
     }
 
-    /** Takes back the faults that have not been shown. */
+    /** Removes the injected faults that have not been applied. */
     public void clearFaults() {
-        Caller.get(Caller.send(process.port(), "DELETE", admin + "/faults", "", Map.of()));
+        Caller.await(Caller.send(process.port(), "DELETE", adminPath + "/faults", "", Map.of()));
     }
 }
--- a/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/package-info.java
+++ b/org.laurelweir.packaging/src/test/java/org/laurelweir/packaging/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** Starts, disturbs and asks the programs of a small fleet, each a process of its own. */
+/** Starts the programs of a small fleet as processes, sends calls to them, and injects failures. */
 package org.laurelweir.packaging.fleet;
