--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/AdminEndpoints.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/AdminEndpoints.java
@@ -6,7 +6,7 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.standin.http.HttpExchange;
 
-/** The calls by which a test reads the executions and asks for faults, under a prefix. */
+/** The HTTP calls by which a test reads the executions of a stand-in and injects faults. */
 public final class AdminEndpoints {
     private static final int OK = 200;
 
@@ -19,24 +19,24 @@
      * The answer to a read of the executions.
      *
      * @param executions the newest runs, in order of start
-     * @param dropped how many older runs are no longer held
+     * @param dropped the number of older runs that were evicted from memory
      */
     public record Executions(List<Execution> executions, long dropped) {
-        /** Returns how many runs there were so far. */
+        /** Returns the number of runs that have started. */
         public long started() {
             return dropped + executions.size();
         }
 
-        /** Returns whether a run that started after so many others is no longer held. */
-        public boolean isCutAfter(long before) {
+        /** Returns whether any run after the first {@code before} runs was evicted. */
+        public boolean lacksRunsAfter(long before) {
             return dropped > before;
         }
     }
 
-    /** The faults that are still to be shown. */
+    /** The injected faults that have not been applied in full. */
     public record Faults(List<Fault.Shown> faults) {}
 
-    /** Creates the calls {@code PREFIX/executions} and {@code PREFIX/faults}. */
+    /** Creates the handler of the calls {@code PREFIX/executions} and {@code PREFIX/faults}. */
     public AdminEndpoints(String prefix, ExecutionLog log, FaultPlan faults) {
         mExecutionsPath = prefix + "/executions";
         mFaultsPath = prefix + "/faults";
@@ -44,7 +44,7 @@
         mFaults = faults;
     }
 
-    /** Answers the call if it is one of these; returns whether it was. */
+    /** Answers the call if its path is one of these; returns whether it is. */
     public boolean handle(Instant now, HttpExchange call) {
         if (call.path().equals(mExecutionsPath)) {
             call.respond(OK, new Executions(mLog.list(), mLog.dropped()));
@@ -64,6 +64,6 @@
             case "DELETE" -> mFaults.clear();
             default -> throw new LaurelweirException(ResultCode.METHOD_NOT_ALLOWED, call.method());
         }
-        call.respond(OK, new Faults(mFaults.list().stream().map(Fault::show).toList()));
+        call.respond(OK, new Faults(mFaults.list().stream().map(Fault::toShown).toList()));
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/Execution.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/Execution.java
@@ -5,7 +5,7 @@
 /**
  * One run of one request at a stand-in. Times are ISO-8601 instants.
  *
- * @param id the stand-in's own id; a resumed run has the id of the one that it goes on with
+ * @param id the stand-in's own id; a resumed run has the id of the run that it continues
  * @param requestId the caller's X-Request-Id header, or null
  * @param idempotencyKey the caller's Idempotency-Key header, or null
  * @param method the HTTP method
@@ -14,7 +14,7 @@
  * @param started when the run began
  * @param ended when it ended; null while it runs
  * @param outcome how it ended; {@code RUNNING} until then
- * @param work what it used; null where the stand-in has no tokens
+ * @param work the tokens that it used; null if the stand-in does not count tokens
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record Execution(
@@ -34,16 +34,25 @@
         RUNNING,
         FINISHED,
         CANCELLED,
-        /** Cut by a fault that was asked for. */
+        /** The connection was closed early by an injected fault. */
         CUT
     }
 
-    /** Tokens that a run used. */
+    /** The tokens that a run used; {@code promptTokens} includes {@code cachedTokens}. */
     public record Work(int promptTokens, int cachedTokens, int outputTokens) {}
 
-    /** Returns this run at its end. */
-    public Execution end(String at, Outcome how, Work used) {
+    /** Returns this run with its end time, outcome and tokens. */
+    public Execution end(String endTime, Outcome result, Work usedTokens) {
         return new Execution(
-                id, requestId, idempotencyKey, method, path, digest, started, at, how, used);
+                id,
+                requestId,
+                idempotencyKey,
+                method,
+                path,
+                digest,
+                started,
+                endTime,
+                result,
+                usedTokens);
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/ExecutionLog.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/ExecutionLog.java
@@ -16,34 +16,37 @@
 import org.laurelweir.standin.http.HttpExchange;
 
 /**
- * The record of what really ran, in order of start. Used on one thread. Memory holds the newest
- * runs only. With a file, each start and each end is appended as one JSON line, so that the whole
- * record outlives the process.
+ * Records every run in order of start. Confined to one thread. Memory holds the newest runs only.
+ * If a file is set, each start and each end is appended to it as one JSON line, so the complete
+ * record survives the process.
  */
 public final class ExecutionLog {
     private static final String REQUEST_ID = "X-Request-Id";
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
     private final Optional<Path> mFile;
-    private final int mKeep;
+    private final int mMaxKept;
 
-    /** The newest runs by their number, in order of start. */
+    /** The newest runs by their sequence number, in order of start. */
     private final Map<Long, Execution> mExecutions = new LinkedHashMap<>();
 
     private final Map<String, Running> mRunning = new HashMap<>();
-    private long mStarted;
+    private long mStartedCount;
 
-    /** A run that is on; its end is recorded even if it is no longer among the newest. */
+    /**
+     * A run that has not ended. Its end is recorded even if the run was evicted from the newest
+     * ones.
+     */
     private record Running(long number, Execution execution) {}
 
     /**
-     * Creates an empty record.
+     * Creates an empty log.
      *
-     * @param settings how many runs it holds, and the file to append to
+     * @param settings how many runs memory holds, and the file to append to
      */
     public ExecutionLog(ExecutionSettings settings) {
         mFile = settings.file();
-        mKeep = settings.keep();
+        mMaxKept = settings.keep();
     }
 
     /** Records that a run began. */
@@ -60,22 +63,22 @@
                         null,
                         Outcome.RUNNING,
                         null);
-        mStarted++;
-        mRunning.put(id, new Running(mStarted, e));
-        mExecutions.put(mStarted, e);
-        if (mExecutions.size() > mKeep) {
-            mExecutions.remove(mStarted - mKeep);
+        mStartedCount++;
+        mRunning.put(id, new Running(mStartedCount, e));
+        mExecutions.put(mStartedCount, e);
+        if (mExecutions.size() > mMaxKept) {
+            mExecutions.remove(mStartedCount - mMaxKept);
         }
         append(e);
     }
 
-    /** Records that a run ended; does nothing if no run of this id is on. */
-    public void end(Instant now, String id, Outcome how, Work used) {
+    /** Records that a run ended; does nothing if no run with this id is running. */
+    public void end(Instant now, String id, Outcome outcome, Work work) {
         Running running = mRunning.remove(id);
         if (running == null) {
             return;
         }
-        Execution e = running.execution().end(now.toString(), how, used);
+        Execution e = running.execution().end(now.toString(), outcome, work);
         mExecutions.replace(running.number(), e);
         append(e);
     }
@@ -85,9 +88,9 @@
         return List.copyOf(mExecutions.values());
     }
 
-    /** Returns how many older runs are no longer held. */
+    /** Returns the number of older runs that were evicted from memory. */
     public long dropped() {
-        return mStarted - mExecutions.size();
+        return mStartedCount - mExecutions.size();
     }
 
     private void append(Execution e) {
@@ -97,8 +100,8 @@
     private static void append(Path file, String line) {
         try {
             Files.writeString(file, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
-        } catch (IOException x) {
-            throw new UncheckedIOException(x);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/ExecutionSettings.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/ExecutionSettings.java
@@ -6,9 +6,9 @@
 import org.laurelweir.runtime.config.Range;
 
 /**
- * How a stand-in records what it ran.
+ * How a stand-in records its runs.
  *
- * @param keep how many of the newest runs memory holds
+ * @param keep the number of newest runs that memory holds
  * @param file the file to which each start and end is appended
  */
 public record ExecutionSettings(
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/FaultPlan.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/FaultPlan.java
@@ -9,15 +9,18 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** The faults that a stand-in has still to show, in the order in which they were asked for. */
+/**
+ * The injected faults that have not been applied in full, in the order in which they were added.
+ */
 public final class FaultPlan {
     private final List<Fault> mFaults = new ArrayList<>();
 
     /**
      * Adds a fault.
      *
-     * @return the fault as planned
-     * @throws LaurelweirException with {@code BAD_REQUEST} for an unknown kind or a negative number
+     * @return the added fault
+     * @throws LaurelweirException with {@code BAD_REQUEST} if the kind is unknown or a number is
+     *     negative
      */
     public Fault add(Instant now, Fault.Order order) {
         boolean negative =
@@ -26,7 +29,9 @@
                         || order.delayMillis() < 0
                         || order.after() < 0;
         if (order.kind() == null || negative) {
-            throw new LaurelweirException(ResultCode.BAD_REQUEST, "not a fault: " + order);
+            throw new LaurelweirException(
+                    ResultCode.BAD_REQUEST,
+                    "not a valid fault, which has a kind and no negative number: " + order);
         }
         boolean timed = order.durationMillis() > 0;
         Fault f =
@@ -40,54 +45,58 @@
         return f;
     }
 
-    /** Drops all faults. */
+    /** Removes all faults. */
     public void clear() {
         mFaults.clear();
     }
 
-    /** Returns the faults that are still to be shown. */
+    /** Returns the faults that have not been applied in full. */
     public List<Fault> list() {
         return List.copyOf(mFaults);
     }
 
-    /** Returns until when the whole stand-in is held; the past if it is not. */
+    /** Returns until when every call is held; {@link Instant#MIN} if no fault holds them. */
     public Instant heldUntil() {
         return mFaults.stream()
-                .filter(Fault::holdsAll)
+                .filter(Fault::holdsAllCalls)
                 .map(Fault::until)
                 .max(Instant::compareTo)
                 .orElse(Instant.MIN);
     }
 
-    /** Takes the fault that hits the call that arrives now, if any. */
+    /**
+     * Returns the fault that applies to the call that arrives now, if any, and reduces its count by
+     * one.
+     */
     public Optional<Fault> take(Instant now) {
         mFaults.removeIf(f -> f.isOver(now));
         for (int i = 0; i < mFaults.size(); i++) {
             Fault f = mFaults.get(i);
-            if (!f.holdsAll()) {
-                use(i, f);
+            if (!f.holdsAllCalls()) {
+                consume(i, f);
                 return Optional.of(f);
             }
         }
         return Optional.empty();
     }
 
-    private void use(int i, Fault f) {
+    private void consume(int index, Fault f) {
         if (f.count() == 0) {
             return;
         }
         if (f.count() == 1) {
-            mFaults.remove(i);
+            mFaults.remove(index);
             return;
         }
-        mFaults.set(i, f.hit());
+        mFaults.set(index, f.afterHit());
     }
 
     private static Fault.Kind kind(String name) {
         try {
             return Fault.Kind.valueOf(name.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new LaurelweirException(ResultCode.BAD_REQUEST, "unknown fault: " + name, e);
+            throw new LaurelweirException(
+                    ResultCode.BAD_REQUEST, "unknown kind of fault: " + name, e);
         }
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/Json.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/Json.java
@@ -8,7 +8,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** Reads and writes the JSON of the stand-ins; fields that a record does not name are skipped. */
+/** Reads and writes the JSON of the stand-ins. Unknown fields are ignored. */
 public final class Json {
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
@@ -21,13 +21,14 @@
      * @param bytes UTF-8 JSON
      * @param type the record to read
      * @return the value, never null
-     * @throws LaurelweirException with {@code BAD_REQUEST} if the bytes are not such a value
+     * @throws LaurelweirException with {@code BAD_REQUEST} if the bytes are not a JSON value of
+     *     this type
      */
     public static <T> T read(byte[] bytes, Class<T> type) {
         try {
             T value = MAPPER.readValue(bytes, type);
             if (value == null) {
-                throw new LaurelweirException(ResultCode.BAD_REQUEST, "the body is null");
+                throw new LaurelweirException(ResultCode.BAD_REQUEST, "the JSON value is null");
             }
             return value;
         } catch (IOException e) {
@@ -35,7 +36,7 @@
         }
     }
 
-    /** Writes one value on one line. */
+    /** Returns a value as JSON on one line. */
     public static String write(Object value) {
         try {
             return MAPPER.writeValueAsString(value);
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/StandinProgram.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/StandinProgram.java
@@ -13,26 +13,26 @@
 import org.laurelweir.runtime.rpc.PortFile;
 import org.laurelweir.standin.http.HttpServer;
 
-/** Starts a stand-in from its settings file, tells where it listens, and stops it on SIGTERM. */
+/** Starts a stand-in from its settings file, reports its port, and stops it on SIGTERM. */
 public final class StandinProgram {
     private StandinProgram() {}
 
-    /** A stand-in that listens for HTTP calls. */
-    public interface Listening {
-        /** Returns the server, bound once the stand-in has started. */
+    /** A stand-in that serves HTTP calls. */
+    public interface HttpService {
+        /** Returns the server; its address is bound once the stand-in has started. */
         HttpServer server();
     }
 
     /**
-     * Runs a stand-in until the process is told to end. If it can't start, the process ends with
-     * the exit code of the failure.
+     * Runs a stand-in until the process receives SIGTERM. If the stand-in cannot start, the process
+     * ends with the exit code of the failure.
      *
      * @param name the program's name, for messages
      * @param settings the path of the settings file; null if none was given
      * @param type the settings record
-     * @param create makes the stand-in from its settings
+     * @param create creates the stand-in from its settings
      */
-    public static <S extends Record & StandinSettings, T extends Service & Listening> void run(
+    public static <S extends Record & StandinSettings, T extends Service & HttpService> void run(
             String name, String settings, Class<S> type, Function<S, T> create) {
         Program.run(
                 name,
@@ -43,19 +43,19 @@
                     }
                     S s = SettingsFile.read(type, Path.of(settings));
                     new Logging(s.log()).start();
-                    return new Announced<>(create.apply(s), s.portFile());
+                    return new PortReporter<>(create.apply(s), s.portFile());
                 });
     }
 
-    /** Tells where a stand-in listens once it does. */
-    private record Announced<T extends Service & Listening>(T standin, Optional<Path> portFile)
+    /** Starts a stand-in, then writes its port file and prints its address. */
+    private record PortReporter<T extends Service & HttpService>(T standin, Optional<Path> portFile)
             implements Service {
         @Override
         public void start() {
             standin.start();
-            InetSocketAddress at = standin.server().address();
-            portFile.ifPresent(f -> PortFile.write(f, at.getPort()));
-            System.out.println("listening on " + at.getHostString() + ":" + at.getPort());
+            InetSocketAddress address = standin.server().address();
+            portFile.ifPresent(f -> PortFile.write(f, address.getPort()));
+            System.out.println("listening on " + address.getHostString() + ":" + address.getPort());
             System.out.flush();
         }
 
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/StandinSettings.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/StandinSettings.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 import org.laurelweir.runtime.log.LogSettings;
 
-/** What the settings files of all stand-ins hold. */
+/** The settings that every stand-in has. */
 public interface StandinSettings {
-    /** Returns the file that receives the bound port. */
+    /** Returns the file to write the bound port to; empty to write none. */
     Optional<Path> portFile();
 
-    /** Returns how to log. */
+    /** Returns the settings of the log. */
     LogSettings log();
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/Answer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/Answer.java
@@ -5,26 +5,26 @@
 import java.util.regex.Pattern;
 
 /**
- * The answer text that belongs to one prompt: the prompt's marker, the prompt's digest with the
- * count of tokens, the numbers of the tokens between, and the marker again. A reader who knows the
- * prompt can tell whether a text is the whole answer to it.
+ * The answer text of one prompt, made of tokens: the prompt's marker, the prompt's digest with the
+ * token count, the index of each further token, and the marker again as the last token. A reader
+ * who knows the prompt can check whether a text is the complete answer to it.
  *
  * @param marker the prompt's marker
  * @param digest the prompt's digest
- * @param tokens the count of tokens, at least {@link #MIN_TOKENS}
+ * @param tokens the token count, at least {@link #MIN_TOKENS}
  */
 public record Answer(String marker, String digest, int tokens) {
-    /** Marker, digest, marker. */
+    /** The smallest token count: marker, digest and marker. */
     public static final int MIN_TOKENS = 3;
 
     private static final Pattern HEAD = Pattern.compile("^\\[\\[[^\\[\\]]*]] [0-9a-f]+/(\\d{1,9})");
 
-    /** Returns the answer to a prompt; a count that is too small is raised to the least one. */
+    /** Returns the answer to a prompt; a count below {@link #MIN_TOKENS} is raised to it. */
     public static Answer of(Prompt prompt, int tokens) {
         return new Answer(prompt.marker(), prompt.digest(), Math.max(MIN_TOKENS, tokens));
     }
 
-    /** Returns the text of one token, with the space that parts it from the one before. */
+    /** Returns the text of one token, with the space that separates it from the token before. */
     public String token(int index) {
         if (index == 0) {
             return "[[" + marker + "]]";
@@ -35,7 +35,9 @@
         return index == tokens - 1 ? " [[" + marker + "]]" : " " + index;
     }
 
-    /** Returns the text of the tokens from one index up to, and without, another. */
+    /**
+     * Returns the text of the tokens from index {@code from} (inclusive) to {@code to} (exclusive).
+     */
     public String text(int from, int to) {
         StringBuilder all = new StringBuilder();
         for (int i = from; i < to; i++) {
@@ -44,15 +46,15 @@
         return all.toString();
     }
 
-    /** Returns the whole text. */
+    /** Returns the text of all tokens. */
     public String text() {
         return text(0, tokens);
     }
 
     /**
-     * Checks a text against the prompt it should answer.
+     * Checks whether a text is the complete answer to a prompt.
      *
-     * @return what is wrong, or nothing if the text is the whole answer to this prompt
+     * @return what is wrong; empty if the text is the complete answer to this prompt
      */
     public static Optional<String> findFault(Prompt prompt, String text) {
         Matcher head = HEAD.matcher(text);
@@ -63,8 +65,8 @@
         if (!head.group().equals(new Answer(prompt.marker(), prompt.digest(), tokens).text(0, 2))) {
             return Optional.of("the answer to another prompt");
         }
-        // A wrong count could ask for a very long text; the true one is never shorter than its
-        // count.
+        // A corrupt count could ask for a very long text. The true text is never shorter than its
+        // token count, so a larger count is rejected first.
         if (tokens > text.length() || !text.equals(of(prompt, tokens).text())) {
             return Optional.of("not whole");
         }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/ChatRequest.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/ChatRequest.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.List;
 
-/** The body of a chat-completions call, as far as a stand-in looks at it; null is absent. */
+/** The fields of a chat-completions call that a stand-in reads; null for an absent field. */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public record ChatRequest(
         String model,
@@ -15,7 +15,7 @@
         @JsonProperty("max_completion_tokens") Integer maxCompletionTokens,
         Integer priority) {
 
-    /** What a streamed answer carries besides the text. */
+    /** Options of a streamed answer. */
     public record StreamOptions(@JsonProperty("include_usage") boolean includeUsage) {}
 
     /** Returns whether the answer is to be streamed. */
@@ -28,7 +28,7 @@
         return streamOptions != null && streamOptions.includeUsage();
     }
 
-    /** Returns the limit of output tokens under either of its names, or null. */
+    /** Returns the limit of output tokens, which has two names; null if there is none. */
     public Integer outputLimit() {
         return maxCompletionTokens != null ? maxCompletionTokens : maxTokens;
     }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/Prompt.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/Prompt.java
@@ -10,10 +10,11 @@
 
 /**
  * The messages of a call as one text. A longer history of the same chat has the shorter one as its
- * prefix, and the answer, once appended, is a prefix of the next turn.
+ * prefix, and a prompt with its answer appended is a prefix of the next turn's prompt.
  *
  * @param text the messages, one after the other
- * @param marker what stands between double brackets in the last user message; empty if nothing does
+ * @param marker the text between the last double brackets in the last user message; empty if there
+ *     are none
  */
 public record Prompt(String text, String marker) {
     private static final Pattern MARKER = Pattern.compile("\\[\\[([^\\[\\]]*)]]");
@@ -35,17 +36,19 @@
         return new Prompt(all.toString(), marker);
     }
 
-    /** Returns the text of this prompt and its answer, as the next turn renders them. */
+    /**
+     * Returns the text of this prompt and its answer, in the form that the next turn's prompt has.
+     */
     public String withAnswer(String answer) {
         return text + render(ASSISTANT, answer);
     }
 
-    /** Returns the first bytes of the text's SHA-256 in hexadecimal. */
+    /** Returns the first 8 bytes of the text's SHA-256 digest, in hexadecimal. */
     public String digest() {
         return digest(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns the first bytes of a SHA-256 in hexadecimal. */
+    /** Returns the first 8 bytes of the SHA-256 digest of some bytes, in hexadecimal. */
     public static String digest(byte[] bytes) {
         try {
             byte[] all = MessageDigest.getInstance("SHA-256").digest(bytes);
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/package-info.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/chat/package-info.java
@@ -1,2 +1,2 @@
-/** The chat-completions JSON shapes and the answer text that follows from a prompt. */
+/** The JSON shapes of chat completions, and the answer text that is derived from a prompt. */
 package org.laurelweir.standin.chat;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/CacheEvents.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/CacheEvents.java
@@ -7,17 +7,18 @@
 import java.util.List;
 
 /**
- * The published changes of the prefix cache: late by a set time, with gaps at a set interval, and
- * only the newest ones. A reader tells a gap by the jump in the numbers.
+ * Publishes the changes of the prefix cache with a delay, with gaps at a set interval, and the
+ * newest 65536 only. A reader detects a gap by a jump in the sequence numbers.
  */
 final class CacheEvents {
     private static final int MAX_EVENTS = 65_536;
-    private static final int MAX_READ = 4096;
+    private static final int MAX_EVENTS_PER_READ = 4096;
 
     /**
      * One published change.
      *
-     * @param seq counts all changes, also those that are never published
+     * @param seq the sequence number, which also counts changes that are never published
+     * @param at the time of the change, in milliseconds since 1970
      * @param kind stored or evicted
      * @param block the block's hash in hexadecimal
      */
@@ -31,15 +32,15 @@
     /**
      * Creates an empty feed.
      *
-     * @param lag how late a change is published
-     * @param gapEvery each change whose number is a multiple of this is lost; 0 for none
+     * @param lag the delay before a change is published
+     * @param gapEvery a change whose sequence number is a multiple of this is dropped; 0 for none
      */
     CacheEvents(Duration lag, int gapEvery) {
         mLag = lag;
         mGapEvery = gapEvery;
     }
 
-    /** Takes a change. */
+    /** Adds a change. */
     void add(Instant now, PrefixCache.Change change) {
         mSeq++;
         if (mGapEvery > 0 && mSeq % mGapEvery == 0) {
@@ -53,12 +54,15 @@
         }
     }
 
-    /** Returns the published changes after a number, oldest first, up to a limit. */
+    /**
+     * Returns the published changes after a sequence number, oldest first, up to {@link
+     * #MAX_EVENTS_PER_READ}.
+     */
     List<CacheEvent> read(Instant now, long after) {
         long newest = now.toEpochMilli() - mLag.toMillis();
         return mEvents.stream()
                 .filter(e -> e.seq() > after && e.at() <= newest)
-                .limit(MAX_READ)
+                .limit(MAX_EVENTS_PER_READ)
                 .toList();
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatCall.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatCall.java
@@ -13,7 +13,7 @@
 import org.laurelweir.standin.chat.ChatRequest;
 import org.laurelweir.standin.http.HttpExchange;
 
-/** One chat call: writes the tokens of its answer to the connection that waits for them. */
+/** One chat call. Writes the tokens of its answer to the connection that is attached to it. */
 final class ChatCall {
     private static final int OK = 200;
     private static final String JSON = "application/json";
@@ -28,12 +28,12 @@
     private HttpExchange mExchange;
     private int mOffset;
     private int mCachedTokens;
-    private boolean mBegun;
+    private boolean mHeadSent;
 
     /**
-     * Creates a call that no connection waits for yet.
+     * Creates a call without a connection.
      *
-     * @param finishReason why the answer ends where it does
+     * @param finishReason the finish reason of the answer: stop or length
      */
     ChatCall(
             EngineRequest request,
@@ -64,41 +64,47 @@
         return mAnswer.digest();
     }
 
-    /** Has the tokens from an offset on written to a connection, and to no other any more. */
+    /**
+     * Attaches a connection, which receives the tokens from an offset on. The connection attached
+     * before is closed.
+     */
     void attach(HttpExchange exchange, int offset) {
         HttpExchange old = mExchange;
         mExchange = exchange;
         mOffset = offset;
-        mBegun = false;
+        mHeadSent = false;
         if (old != null) {
             old.abort();
         }
     }
 
-    /** Takes note of how much of the prompt was cached, and begins a streamed answer. */
-    void started(int cachedTokens) {
+    /** Records how much of the prompt was cached, and sends the head of a streamed answer. */
+    void begin(int cachedTokens) {
         mCachedTokens = cachedTokens;
-        begin();
+        sendHead();
     }
 
-    /** Writes tokens if the answer is streamed. */
-    void produced(int from, int to) {
+    /**
+     * Sends tokens, from index {@code from} (inclusive) to {@code to} (exclusive), if the answer is
+     * streamed.
+     */
+    void sendTokens(int from, int to) {
         if (!mBody.isStreamed()) {
             return;
         }
-        begin();
+        sendHead();
         for (int i = from; i < to; i++) {
             sendChunk(new Text(null, mAnswer.token(i)), null);
         }
     }
 
-    /** Ends the answer after its last token. */
-    void finished() {
+    /** Ends the answer after its last token; an answer that is not streamed is sent now. */
+    void finish() {
         if (!mBody.isStreamed()) {
-            mExchange.respond(OK, whole());
+            mExchange.respond(OK, wholeAnswer());
             return;
         }
-        begin();
+        sendHead();
         sendChunk(new Text(null, null), mFinishReason);
         if (mBody.wantsUsage()) {
             send(chunk(List.of(), usage()));
@@ -107,33 +113,40 @@
         mExchange.finish();
     }
 
-    /** Closes the connection in the middle of the answer. */
+    /**
+     * Closes the connection in the middle of the answer. Of an answer that is not streamed, half is
+     * sent.
+     */
     void cut() {
         if (mBody.isStreamed()) {
             mExchange.abort();
             return;
         }
-        byte[] body = Json.write(whole()).getBytes(StandardCharsets.UTF_8);
+        byte[] body = Json.write(wholeAnswer()).getBytes(StandardCharsets.UTF_8);
         mExchange.cut(OK, JSON, body, body.length / 2);
     }
 
-    /** Returns the tokens used so far. */
+    /**
+     * Returns the tokens used so far.
+     *
+     * @param outputTokens the output tokens produced so far
+     */
     Work work(int outputTokens) {
         return new Work(mRequest.blocks().promptTokens(), mCachedTokens, outputTokens);
     }
 
-    private void begin() {
-        if (mBegun || !mBody.isStreamed()) {
+    private void sendHead() {
+        if (mHeadSent || !mBody.isStreamed()) {
             return;
         }
-        mBegun = true;
+        mHeadSent = true;
         mExchange.begin(EVENT_STREAM);
         if (mOffset == 0) {
             sendChunk(new Text(ASSISTANT, ""), null);
         }
     }
 
-    private ChatAnswer whole() {
+    private ChatAnswer wholeAnswer() {
         Text text = new Text(ASSISTANT, mAnswer.text(mOffset, mAnswer.tokens()));
         return new ChatAnswer(
                 mRequest.id(),
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatCalls.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatCalls.java
@@ -16,7 +16,7 @@
 import org.laurelweir.standin.ExecutionLog;
 import org.laurelweir.standin.http.HttpExchange;
 
-/** Feeds the engine model with events and carries out its effects on the calls. */
+/** Passes events to the engine model and applies its effects to the calls. */
 final class ChatCalls {
     private final InstantSource mClock;
     private final EngineModel mModel;
@@ -32,9 +32,10 @@
     }
 
     /**
-     * Has a call run; its answer goes to the connection, and it is cancelled if that closes.
+     * Submits a call. Its answer goes to the connection, and the call is cancelled if the
+     * connection closes.
      *
-     * @param cutAfter after how many tokens the connection is cut
+     * @param cutAfter the number of tokens after which the connection is cut
      */
     void submit(ChatCall call, HttpExchange exchange, int cutAfter) {
         mCalls.put(call.request().id(), call);
@@ -43,22 +44,24 @@
     }
 
     /**
-     * Gives a call's output from an offset on to another connection.
+     * Sends a call's output from an offset on to another connection.
      *
-     * @param cutAfter after how many tokens of the whole output the connection is cut
-     * @throws LaurelweirException with {@code OUTPUT_NOT_KEPT} if the call is not known any more
+     * @param cutAfter the number of tokens of the whole output after which the connection is cut
+     * @throws LaurelweirException with {@code OUTPUT_NOT_KEPT} if the call is unknown or its output
+     *     was dropped
      */
     void resume(String id, HttpExchange exchange, int offset, int cutAfter) {
         ChatCall call =
                 Optional.ofNullable(mCalls.get(id))
                         .orElseThrow(() -> new LaurelweirException(ResultCode.OUTPUT_NOT_KEPT, id));
-        // What is due by now still goes to the old connection, or the new one would get it twice.
+        // Tokens that are due by now go to the old connection; otherwise the new one would receive
+        // them twice.
         step(new EngineEvent.Tick());
         attach(call, exchange, offset);
         step(new EngineEvent.Resume(id, offset, cutAfter));
     }
 
-    /** Has the model take an event. Events that come up meanwhile follow in order. */
+    /** Processes an event. Events that arise during processing follow in order. */
     void step(EngineEvent event) {
         mEvents.add(event);
         if (mStepping) {
@@ -70,7 +73,7 @@
                 Instant now = mClock.instant();
                 List<EngineEffect> effects = new ArrayList<>();
                 mModel.step(now, mEvents.remove(), effects::add);
-                effects.forEach(e -> carryOut(now, e));
+                effects.forEach(e -> apply(now, e));
             }
         } finally {
             mStepping = false;
@@ -89,38 +92,38 @@
         call.attach(exchange, offset);
     }
 
-    private void carryOut(Instant now, EngineEffect effect) {
+    private void apply(Instant now, EngineEffect effect) {
         ChatCall call = mCalls.get(effect.id());
         if (effect instanceof EngineEffect.Started e) {
             mLog.start(now, e.id(), call.exchange(), call.digest());
-            call.started(e.cachedTokens());
+            call.begin(e.cachedTokens());
         } else if (effect instanceof EngineEffect.Produced e) {
-            call.produced(e.from(), e.to());
+            call.sendTokens(e.from(), e.to());
         } else if (effect instanceof EngineEffect.Ended e) {
             end(now, call, e);
         } else if (effect instanceof EngineEffect.Rejected) {
-            refuse(call, ResultCode.OVERLOADED, "too many requests wait");
-        } else if (effect instanceof EngineEffect.NotKept) {
-            refuse(call, ResultCode.OUTPUT_NOT_KEPT, "not kept at this offset");
+            reject(call, ResultCode.OVERLOADED, "the engine's queue is full");
+        } else if (effect instanceof EngineEffect.ResumeRejected) {
+            reject(call, ResultCode.OUTPUT_NOT_KEPT, "no output is kept at this offset");
         } else if (effect instanceof EngineEffect.Forgotten e) {
             mCalls.remove(e.id());
         }
     }
 
     private void end(Instant now, ChatCall call, EngineEffect.Ended e) {
-        mLog.end(now, e.id(), e.how(), call.work(e.outputTokens()));
-        if (e.how() == Outcome.FINISHED) {
-            call.finished();
-        } else if (e.how() == Outcome.CUT) {
+        mLog.end(now, e.id(), e.outcome(), call.work(e.outputTokens()));
+        if (e.outcome() == Outcome.FINISHED) {
+            call.finish();
+        } else if (e.outcome() == Outcome.CUT) {
             call.cut();
         }
     }
 
-    private static void refuse(ChatCall call, ResultCode code, String message) {
-        HttpExchange x = call.exchange();
+    private static void reject(ChatCall call, ResultCode code, String message) {
+        HttpExchange exchange = call.exchange();
         if (code == ResultCode.OVERLOADED) {
-            x.setHeader("Retry-After", "1");
+            exchange.setHeader("Retry-After", "1");
         }
-        x.respond(code.httpStatus(), ErrorBody.of(code, message));
+        exchange.respond(code.httpStatus(), ErrorBody.of(code, message));
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatParser.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ChatParser.java
@@ -10,9 +10,9 @@
 import org.laurelweir.standin.chat.Prompt;
 import org.laurelweir.standin.http.HttpExchange;
 
-/** Turns the body and headers of a chat-completions call into a call for the engine. */
+/** Parses the body and headers of a chat-completions call. */
 final class ChatParser {
-    /** The routers let the second name through as callers give it. */
+    /** Headers that set the priority. Routers pass the second one through as callers send it. */
     private static final List<String> PRIORITY_HEADERS = List.of("Priority", "X-Priority");
 
     private final String mIdPrefix;
@@ -22,8 +22,9 @@
     /**
      * Creates a parser.
      *
-     * @param idPrefix begins each engine-side id; unlike those of earlier runs
-     * @param answerTokens the tokens of an answer that has no lower limit
+     * @param idPrefix the prefix of each engine-side id; differs from that of earlier runs of the
+     *     program
+     * @param answerTokens the tokens of an answer, unless the call sets a lower limit
      */
     ChatParser(String idPrefix, int answerTokens) {
         mIdPrefix = idPrefix;
@@ -31,14 +32,14 @@
     }
 
     /**
-     * Reads a call.
+     * Parses a call.
      *
-     * @throws LaurelweirException with {@code BAD_REQUEST} if the call lacks something or is wrong
+     * @throws LaurelweirException with {@code BAD_REQUEST} if a field is missing or invalid
      */
     ChatCall parse(Instant now, HttpExchange exchange) {
         ChatRequest body = Json.read(exchange.body(), ChatRequest.class);
         if (body.model() == null || body.messages() == null || body.messages().isEmpty()) {
-            throw new LaurelweirException(ResultCode.BAD_REQUEST, "model and messages are needed");
+            throw new LaurelweirException(ResultCode.BAD_REQUEST, "model or messages are missing");
         }
         Integer limit = body.outputLimit();
         if (limit != null && limit < 1) {
@@ -69,7 +70,8 @@
         try {
             return Integer.parseInt(header);
         } catch (NumberFormatException e) {
-            throw new LaurelweirException(ResultCode.BAD_REQUEST, "priority: " + header, e);
+            throw new LaurelweirException(
+                    ResultCode.BAD_REQUEST, "priority is not a whole number: " + header, e);
         }
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineEvent.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineEvent.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** What happens to the engine model. */
+/** An event that the engine model processes. */
 public sealed interface EngineEvent {
     /** Time has passed. */
     record Tick() implements EngineEvent {}
@@ -10,21 +10,21 @@
     /** The {@code cutAfter} of a request that is not to be cut. */
     int NO_CUT = Integer.MAX_VALUE;
 
-    /** A request arrived; its run is cut once it has so many tokens. */
+    /** A request arrived. Its run is cut after {@code cutAfter} tokens. */
     record Submit(EngineRequest request, int cutAfter) implements EngineEvent {}
 
-    /** The caller of a request is gone. */
+    /** The caller of a request closed its connection. */
     record Cancel(String id) implements EngineEvent {}
 
     /**
-     * A caller wants a request's output again from an offset in tokens, and what follows it; the
-     * run is cut once the output has so many tokens from its begin.
+     * A caller asks for a request's output from an offset in tokens on. The run is cut when the
+     * whole output has {@code cutAfter} tokens.
      */
     record Resume(String id, int offset, int cutAfter) implements EngineEvent {}
 
-    /** The engine makes no progress until a time. */
+    /** The engine stops all progress until a time. */
     record Freeze(Instant until) implements EngineEvent {}
 
-    /** Another model was loaded or unloaded: its cached blocks are gone. */
+    /** A model or adapter was loaded or unloaded, which clears the prefix cache. */
     record DropCache() implements EngineEvent {}
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineModel.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineModel.java
@@ -14,23 +14,23 @@
 import org.laurelweir.standin.Execution.Outcome;
 
 /**
- * A model of an engine with continuous batching: requests enter the batch by priority, work through
- * the part of their prompt that is not cached, and then all make tokens at a rate that falls with
- * the size of the batch. It gives token counts, not texts.
+ * A model of an engine with continuous batching. Requests enter the batch by priority, process the
+ * uncached part of their prompt, and then all produce tokens at a rate that falls with the size of
+ * the batch. The model counts tokens and has no texts.
  *
- * <p>A request that was cancelled keeps its progress for a while; a resume goes on from there.
+ * <p>A cancelled request keeps its progress for a while; a resume continues from there.
  */
 public final class EngineModel implements Reducer<EngineEvent, EngineEffect> {
-    /** The longest span over which the rates are taken as constant. */
-    private static final Duration SLICE = Duration.ofMillis(5);
+    /** The longest time step for which the rates are taken as constant. */
+    private static final Duration MAX_STEP = Duration.ofMillis(5);
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final BatchSettings mSettings;
     private final PrefixCache mCache;
     private final Map<String, Sequence> mRunning = new LinkedHashMap<>();
     private final Map<String, Sequence> mWaiting = new LinkedHashMap<>();
-    private final Map<String, Sequence> mKept = new LinkedHashMap<>();
+    private final Map<String, Sequence> mEnded = new LinkedHashMap<>();
     private Instant mTime;
     private Instant mFrozenUntil = Instant.MIN;
 
@@ -75,7 +75,7 @@
                 mCache.capacity());
     }
 
-    /** Returns whether time alone will change anything. */
+    /** Returns whether any request runs or waits, so that the passing of time has effects. */
     boolean isBusy() {
         return !mRunning.isEmpty() || !mWaiting.isEmpty();
     }
@@ -85,22 +85,22 @@
             mTime = earlier(now, mFrozenUntil);
         }
         while (mTime.isBefore(now) && isBusy()) {
-            Instant next = earlier(now, mTime.plus(SLICE));
-            work(Duration.between(mTime, next).toNanos() / NANOS, effects);
+            Instant next = earlier(now, mTime.plus(MAX_STEP));
+            runBatch(Duration.between(mTime, next).toNanos() / NANOS_PER_SECOND, effects);
             mTime = next;
             admit(effects);
         }
         mTime = mTime.isBefore(now) ? now : mTime;
     }
 
-    private void work(double seconds, Consumer<? super EngineEffect> effects) {
+    private void runBatch(double seconds, Consumer<? super EngineEffect> effects) {
         List<Sequence> batch = List.copyOf(mRunning.values());
         List<Sequence> decoding = batch.stream().filter(Sequence::isDecoding).toList();
         double budget = mSettings.prefillTokensPerSecond() * seconds;
         for (Sequence s : batch) {
             budget = s.prefill(budget);
         }
-        double tokens = mSettings.rate(decoding.size()) * seconds;
+        double tokens = mSettings.tokensPerSecondEach(decoding.size()) * seconds;
         for (Sequence s : decoding) {
             decode(s, tokens, effects);
         }
@@ -122,7 +122,7 @@
         }
     }
 
-    /** Has a request wait for the batch; returns whether there was room. */
+    /** Adds a request to the queue for the batch; returns whether there was room. */
     private boolean enqueue(Sequence s, Consumer<? super EngineEffect> effects) {
         boolean full =
                 mRunning.size() >= mSettings.maxRunning()
@@ -137,12 +137,12 @@
 
     private void admit(Consumer<? super EngineEffect> effects) {
         while (!mWaiting.isEmpty() && mRunning.size() < mSettings.maxRunning()) {
-            Sequence s = first(mWaiting.values());
+            Sequence s = nextToAdmit(mWaiting.values());
             mWaiting.remove(s.id());
             mRunning.put(s.id(), s);
             PromptBlocks blocks = s.request().blocks();
             int cached = mCache.match(blocks.hashes(), blocks.promptBlocks());
-            s.enter(cached * PromptBlocks.BLOCK_TOKENS);
+            s.startPrefill(cached * PromptBlocks.BLOCK_TOKENS);
             mCache.store(blocks.hashes(), blocks.promptBlocks());
             effects.accept(new EngineEffect.Started(s.id(), s.cachedTokens()));
         }
@@ -160,10 +160,10 @@
 
     private void end(Sequence s, Consumer<? super EngineEffect> effects) {
         effects.accept(new EngineEffect.Ended(s.id(), outcome(s), s.produced()));
-        mKept.put(s.id(), s);
-        while (mKept.size() > mSettings.maxKept()) {
-            String eldest = mKept.keySet().iterator().next();
-            mKept.remove(eldest);
+        mEnded.put(s.id(), s);
+        while (mEnded.size() > mSettings.maxKept()) {
+            String eldest = mEnded.keySet().iterator().next();
+            mEnded.remove(eldest);
             effects.accept(new EngineEffect.Forgotten(eldest));
         }
     }
@@ -171,21 +171,21 @@
     private void resume(EngineEvent.Resume e, Consumer<? super EngineEffect> effects) {
         Sequence s = find(e.id());
         if (s == null || e.offset() < 0 || e.offset() > s.produced()) {
-            effects.accept(new EngineEffect.NotKept(e.id()));
+            effects.accept(new EngineEffect.ResumeRejected(e.id()));
             return;
         }
-        boolean goesOn = s.produced() < e.cutAfter() && !s.isWhole();
-        boolean stopped = mKept.containsKey(s.id());
-        if (goesOn && stopped && !enqueue(s, effects)) {
+        boolean unfinished = s.produced() < e.cutAfter() && !s.isWhole();
+        boolean stopped = mEnded.containsKey(s.id());
+        if (unfinished && stopped && !enqueue(s, effects)) {
             return;
         }
-        s.cutAfter(e.cutAfter());
+        s.setCutAfter(e.cutAfter());
         int to = Math.min(s.produced(), e.cutAfter());
         if (e.offset() < to) {
             effects.accept(new EngineEffect.Produced(s.id(), e.offset(), to));
         }
-        if (goesOn) {
-            mKept.remove(s.id());
+        if (unfinished) {
+            mEnded.remove(s.id());
             return;
         }
         mRunning.remove(s.id());
@@ -194,15 +194,15 @@
     }
 
     private Sequence find(String id) {
-        return Stream.of(mRunning, mWaiting, mKept)
+        return Stream.of(mRunning, mWaiting, mEnded)
                 .map(m -> m.get(id))
                 .filter(Objects::nonNull)
                 .findAny()
                 .orElse(null);
     }
 
-    /** Returns the first to arrive of those with the highest priority. */
-    private static Sequence first(Collection<Sequence> waiting) {
+    /** Returns the request of the highest priority; among equals the one that arrived first. */
+    private static Sequence nextToAdmit(Collection<Sequence> waiting) {
         return waiting.stream()
                 .sorted(Comparator.comparingInt((Sequence s) -> -s.request().priority()))
                 .findFirst()
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineOrder.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineOrder.java
@@ -3,14 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonProperty;
 
 /**
- * An order to the engine.
+ * An order to change what the engine has loaded or its role.
  *
- * @param kind what to do
+ * @param kind the sort of the order
  * @param name the model, adapter or role that it is about
- * @param fence the fencing number of whoever gives the order; absent is 0
+ * @param fence the fencing token of the sender; 0 if absent
  */
 public record EngineOrder(Kind kind, String name, long fence) {
-    /** The sorts of orders, by the names that stand in the JSON. */
+    /** The sorts of orders, by their names in the JSON. */
     public enum Kind {
         @JsonProperty("load_model")
         LOAD_MODEL,
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineRequest.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineRequest.java
@@ -1,11 +1,11 @@
 package org.laurelweir.standin.engine;
 
 /**
- * One request as the engine model sees it.
+ * One request to the engine model.
  *
  * @param id the engine's own id
  * @param blocks the prompt's tokens and blocks
- * @param outputTokens how many tokens the answer has
- * @param priority higher goes first into the batch
+ * @param outputTokens the number of tokens of the answer
+ * @param priority requests with a higher priority enter the batch first
  */
 public record EngineRequest(String id, PromptBlocks blocks, int outputTokens, int priority) {}
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineServer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineServer.java
@@ -20,12 +20,12 @@
 import org.laurelweir.standin.http.HttpExchange;
 import org.laurelweir.standin.http.HttpServer;
 
-/** The HTTP side of the engine. */
-public final class EngineServer implements Service, StandinProgram.Listening {
-    /** Names a request by the engine's id: in each answer, and in a call that resumes one. */
+/** Serves the engine model over HTTP. */
+public final class EngineServer implements Service, StandinProgram.HttpService {
+    /** Header with the engine's id of a request: in each answer, and in a call that resumes one. */
     public static final String ENGINE_REQUEST = "X-Engine-Request";
 
-    /** From which output token on a resumed answer is wanted. */
+    /** Header with the output token from which a resumed answer starts. */
     public static final String RESUME_OFFSET = "X-Resume-Offset";
 
     private static final int OK = 200;
@@ -36,7 +36,7 @@
     private final FaultPlan mFaults = new FaultPlan();
     private final ExecutionLog mLog;
     private final AdminEndpoints mAdmin;
-    private final OrderBook mOrders;
+    private final EngineState mState;
     private final CacheEvents mCacheEvents;
     private final EngineModel mModel;
     private final LoadReports mLoad;
@@ -46,7 +46,7 @@
     /** The answer to a read of the cache events. */
     private record CacheEventsAnswer(List<CacheEvents.CacheEvent> events) {}
 
-    /** Creates an engine. */
+    /** Creates an engine that is not started. */
     public EngineServer(EngineSettings settings, InstantSource clock) {
         Instant now = clock.instant();
         mSettings = settings;
@@ -54,15 +54,15 @@
         mServer = new HttpServer(settings.listen(), this::handle);
         mLog = new ExecutionLog(settings.executions());
         mAdmin = new AdminEndpoints("/engine", mLog, mFaults);
-        mOrders = new OrderBook(settings, now);
+        mState = new EngineState(settings, now);
         mCacheEvents =
                 new CacheEvents(
                         settings.reports().cacheEventLag(),
                         settings.reports().cacheEventGapEvery());
         mModel = new EngineModel(settings.batch(), now, c -> mCacheEvents.add(clock.instant(), c));
         mLoad = new LoadReports(settings.reports().loadLag(), mModel.load());
-        String run = settings.name() + "-" + Long.toHexString(now.toEpochMilli()) + "-";
-        mParser = new ChatParser(run, settings.answerTokens());
+        String idPrefix = settings.name() + "-" + Long.toHexString(now.toEpochMilli()) + "-";
+        mParser = new ChatParser(idPrefix, settings.answerTokens());
         mCalls = new ChatCalls(clock, mModel, mLog);
     }
 
@@ -107,10 +107,10 @@
     private void route(Instant now, HttpExchange call) {
         switch (call.method() + " " + call.path()) {
             case "POST /v1/chat/completions" -> chat(now, call);
-            case "GET /v1/models" -> call.respond(OK, ModelList.of(mOrders.read(now)));
+            case "GET /v1/models" -> call.respond(OK, ModelList.of(mState.read(now)));
             case "GET /engine/load" -> call.respond(OK, mLoad.read(now));
             case "GET /engine/cache-events" -> readCacheEvents(now, call);
-            case "GET /engine/orders" -> call.respond(OK, mOrders.read(now));
+            case "GET /engine/orders" -> call.respond(OK, mState.read(now));
             case "POST /engine/orders" -> order(now, call);
             default ->
                     throw new LaurelweirException(
@@ -127,7 +127,9 @@
         Fault f = fault.get();
         switch (f.kind()) {
             case FREEZE -> freeze(now, call);
-            case REFUSE -> throw new LaurelweirException(ResultCode.OVERLOADED, "told to refuse");
+            case REFUSE ->
+                    throw new LaurelweirException(
+                            ResultCode.OVERLOADED, "refused by an injected fault");
             case LATE ->
                     mServer.loop()
                             .schedule(
@@ -162,14 +164,15 @@
 
     private ChatCall parse(Instant now, HttpExchange call) {
         ChatCall chat = mParser.parse(now, call);
-        if (!mOrders.isReady(now, chat.model())) {
+        if (!mState.isReady(now, chat.model())) {
             throw new LaurelweirException(ResultCode.UNKNOWN_MODEL, chat.model());
         }
         return chat;
     }
 
     /**
-     * Records a run, unless a resumed one, that neither answers nor ends before its caller goes.
+     * Records a run that is never answered and ends only when its caller disconnects. A resume is
+     * not recorded.
      */
     private void freeze(Instant now, HttpExchange call) {
         if (call.header(ENGINE_REQUEST).isPresent()) {
@@ -182,9 +185,9 @@
     }
 
     private void order(Instant now, HttpExchange call) {
-        mOrders.apply(now, Json.read(call.body(), EngineOrder.class));
+        mState.apply(now, Json.read(call.body(), EngineOrder.class));
         mCalls.step(new EngineEvent.DropCache());
-        call.respond(OK, mOrders.read(now));
+        call.respond(OK, mState.read(now));
     }
 
     private void readCacheEvents(Instant now, HttpExchange call) {
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineSettings.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineSettings.java
@@ -16,19 +16,19 @@
 /**
  * The settings file of an engine.
  *
- * @param name begins the ids of the requests
- * @param listen where callers reach it; with port 0 the operating system chooses
- * @param portFile where to write the port
+ * @param name the prefix of the ids of requests
+ * @param listen the address to listen on; with port 0 the operating system chooses a port
+ * @param portFile the file to write the port to
  * @param models the models loaded at the start
  * @param adapters the adapters loaded at the start
  * @param role the role at the start
  * @param answerTokens the tokens of an answer, unless the call allows fewer
- * @param tick the time between two looks at the model
- * @param batch how fast the engine is and how much it holds
- * @param reports how late and how complete its reports are
- * @param orders how it carries out orders
- * @param executions how it records what it ran
- * @param log how to log
+ * @param tick the interval at which the model is advanced
+ * @param batch the speed and the limits of the engine
+ * @param reports the delay and the gaps of its reports
+ * @param orders how orders are applied
+ * @param executions how runs are recorded
+ * @param log the settings of the log
  */
 @ProgramName("engine")
 public record EngineSettings(
@@ -48,11 +48,12 @@
         implements StandinSettings {
 
     /**
-     * How late and how complete reports are.
+     * The delay and the gaps of reports.
      *
-     * @param loadLag how old a load report is
-     * @param cacheEventLag how late a cache event is published
-     * @param cacheEventGapEvery each such cache event is lost; 0 for none
+     * @param loadLag the age of the load report that a read returns
+     * @param cacheEventLag the delay before a cache event is published
+     * @param cacheEventGapEvery a cache event whose sequence number is a multiple of this is
+     *     dropped; 0 for none
      */
     public record Reports(
             @Default("0s") @Range(max = "1h") Duration loadLag,
@@ -60,16 +61,16 @@
             @Default("0") @Range(min = "0") int cacheEventGapEvery) {}
 
     /**
-     * How orders are carried out.
+     * How orders are applied.
      *
-     * @param checkFence whether an order with an old fencing number is refused
-     * @param loadTime how long a model or adapter takes to load
+     * @param checkFence whether an order with a stale fencing token is rejected
+     * @param loadTime the time that a model or adapter takes to load
      */
     public record Orders(
             @Default("true") boolean checkFence,
             @Default("0s") @Range(max = "1h") Duration loadTime) {}
 
-    /** Returns a builder of the settings that a file with one model would give. */
+    /** Returns a builder with one model and the defaults of the settings file. */
     public static EngineSettingsBuilder builder() {
         return new EngineSettingsBuilder();
     }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineSettingsBuilder.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineSettingsBuilder.java
@@ -9,7 +9,7 @@
 import org.laurelweir.standin.engine.EngineSettings.Orders;
 import org.laurelweir.standin.engine.EngineSettings.Reports;
 
-/** Makes an engine's settings without a file; what is left out takes the file's defaults. */
+/** Builds an engine's settings without a file. Values that are not set take the file's defaults. */
 public final class EngineSettingsBuilder {
     private String mName = "engine";
     private List<String> mModels = List.of("standin");
@@ -20,37 +20,37 @@
 
     EngineSettingsBuilder() {}
 
-    /** Sets what the ids of the requests begin with. */
+    /** Sets the prefix of the ids of requests. */
     public EngineSettingsBuilder name(String name) {
         mName = name;
         return this;
     }
 
-    /** Sets the models loaded at the start; one named {@code standin} if left out. */
+    /** Sets the models loaded at the start; by default one named {@code standin}. */
     public EngineSettingsBuilder models(List<String> models) {
         mModels = List.copyOf(models);
         return this;
     }
 
-    /** Sets the tokens of an answer. */
+    /** Sets the tokens of an answer, unless the call allows fewer. */
     public EngineSettingsBuilder answerTokens(int tokens) {
         mAnswerTokens = tokens;
         return this;
     }
 
-    /** Sets the time between two looks at the model. */
+    /** Sets the interval at which the model is advanced. */
     public EngineSettingsBuilder tick(Duration tick) {
         mTick = tick;
         return this;
     }
 
-    /** Sets how fast the engine is and how much it holds. */
+    /** Sets the speed and the limits of the engine. */
     public EngineSettingsBuilder batch(BatchSettings batch) {
         mBatch = batch;
         return this;
     }
 
-    /** Sets how orders are carried out. */
+    /** Sets how orders are applied. */
     public EngineSettingsBuilder orders(Orders orders) {
         mOrders = orders;
         return this;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineState.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/EngineState.java
@@ -9,15 +9,15 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.lib.ResultCode;
 
-/** What the engine has loaded and which role it plays, as orders change them. */
-final class OrderBook {
+/** The models and adapters that the engine has loaded, and its role. Orders change them. */
+final class EngineState {
     /**
-     * The state that orders lead to.
+     * The JSON form of the state.
      *
-     * @param fence the highest fencing number met
-     * @param orders the orders that were carried out, oldest first
+     * @param fence the highest fencing token received
+     * @param orders the orders that were applied, oldest first
      */
-    record Loaded(
+    record StateAnswer(
             String role,
             List<String> models,
             List<String> adapters,
@@ -33,12 +33,12 @@
     private long mFence;
 
     /**
-     * Creates the state at the start.
+     * Creates the initial state.
      *
-     * @param settings what is loaded at the start, and how orders are carried out
+     * @param settings what is loaded at the start, and how orders are applied
      * @param now the time of the start
      */
-    OrderBook(EngineSettings settings, Instant now) {
+    EngineState(EngineSettings settings, Instant now) {
         mCheckFence = settings.orders().checkFence();
         mLoadTime = settings.orders().loadTime();
         mRole = settings.role();
@@ -47,15 +47,16 @@
     }
 
     /**
-     * Carries out an order.
+     * Applies an order.
      *
-     * @throws LaurelweirException with {@code STALE_FENCE} if a higher fencing number was met
-     *     before and this engine checks them; with {@code BAD_REQUEST} if the order lacks its kind
-     *     or name
+     * @throws LaurelweirException with {@code STALE_FENCE} if a higher fencing token was received
+     *     before and this engine checks them; with {@code BAD_REQUEST} if the kind or the name is
+     *     missing
      */
     void apply(Instant now, EngineOrder order) {
         if (order.kind() == null || order.name() == null) {
-            throw new LaurelweirException(ResultCode.BAD_REQUEST, "not an order: " + order);
+            throw new LaurelweirException(
+                    ResultCode.BAD_REQUEST, "an order needs a kind and a name: " + order);
         }
         if (mCheckFence && order.fence() < mFence) {
             throw new LaurelweirException(
@@ -74,18 +75,24 @@
         mOrders.add(order);
     }
 
-    /** Returns whether a model or adapter is ready. */
+    /** Returns whether a model or adapter has finished loading. */
     boolean isReady(Instant now, String name) {
-        return ready(now, mModels).contains(name) || ready(now, mAdapters).contains(name);
+        return readyNames(now, mModels).contains(name) || readyNames(now, mAdapters).contains(name);
     }
 
-    /** Returns the state of now. */
-    Loaded read(Instant now) {
-        return new Loaded(
-                mRole, ready(now, mModels), ready(now, mAdapters), mFence, List.copyOf(mOrders));
+    /**
+     * Returns the state at a time; it lists only models and adapters that have finished loading.
+     */
+    StateAnswer read(Instant now) {
+        return new StateAnswer(
+                mRole,
+                readyNames(now, mModels),
+                readyNames(now, mAdapters),
+                mFence,
+                List.copyOf(mOrders));
     }
 
-    private static List<String> ready(Instant now, Map<String, Instant> since) {
+    private static List<String> readyNames(Instant now, Map<String, Instant> since) {
         return since.entrySet().stream()
                 .filter(e -> !e.getValue().isAfter(now))
                 .map(Map.Entry::getKey)
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/LoadReport.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/LoadReport.java
@@ -8,7 +8,7 @@
  * @param waiting requests that wait for the batch
  * @param runningTokens prompt and output tokens of the requests in the batch
  * @param cacheBlocks blocks in the prefix cache
- * @param cacheCapacity the most blocks it holds
+ * @param cacheCapacity the capacity of the prefix cache, in blocks
  */
 public record LoadReport(
         long measuredAt,
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/LoadReports.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/LoadReports.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Holds back load reports, so that a reader sees the load of a set time ago. */
+/** Delays load reports, so that a reader sees the load of a set time ago. */
 final class LoadReports {
     private final Duration mLag;
     private final Deque<LoadReport> mReports = new ArrayDeque<>();
@@ -15,20 +15,22 @@
         mReports.add(first);
     }
 
-    /** Takes the load of now. */
+    /** Adds the present load. */
     void add(LoadReport report) {
         mReports.add(report);
-        dropBefore(report.measuredAt() - mLag.toMillis());
+        dropOutdated(report.measuredAt() - mLag.toMillis());
     }
 
-    /** Returns the newest report that is at least the lag old; the oldest if there is none. */
+    /**
+     * Returns the newest report that is at least the lag old; the oldest report if there is none.
+     */
     LoadReport read(Instant now) {
-        dropBefore(now.toEpochMilli() - mLag.toMillis());
+        dropOutdated(now.toEpochMilli() - mLag.toMillis());
         return mReports.getFirst();
     }
 
-    /** Drops what is older than the newest report of this time or before. */
-    private void dropBefore(long millis) {
+    /** Drops the reports before the newest one that was measured at a time or earlier. */
+    private void dropOutdated(long millis) {
         LoadReport last = mReports.pollFirst();
         while (!mReports.isEmpty() && mReports.getFirst().measuredAt() <= millis) {
             last = mReports.pollFirst();
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ModelList.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/ModelList.java
@@ -6,11 +6,11 @@
 
 /** The answer to {@code GET /v1/models}. */
 record ModelList(String object, List<Model> data) {
-    /** One model or adapter that calls may name. */
+    /** One loaded model or adapter, which calls may name. */
     record Model(
             String id, String object, long created, @JsonProperty("owned_by") String ownedBy) {}
 
-    static ModelList of(OrderBook.Loaded loaded) {
+    static ModelList of(EngineState.StateAnswer loaded) {
         return new ModelList(
                 "list",
                 Stream.concat(loaded.models().stream(), loaded.adapters().stream())
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/PromptBlocks.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/PromptBlocks.java
@@ -6,14 +6,14 @@
 
 /**
  * The token blocks of a prompt and its answer. Each block's hash covers all blocks before it, so
- * equal hashes mean equal prefixes.
+ * equal hashes mean equal prefixes. A token is 4 bytes of text.
  *
  * @param promptTokens the tokens of the prompt alone
- * @param promptBlocks how many of the hashes are whole blocks of the prompt alone
- * @param hashes one for each whole block of the prompt with its answer
+ * @param promptBlocks the number of hashes that are full blocks of the prompt alone
+ * @param hashes a hash for each full block of the prompt with its answer
  */
 public record PromptBlocks(int promptTokens, int promptBlocks, long[] hashes) {
-    /** The tokens in a block. */
+    /** The number of tokens in a block. */
     public static final int BLOCK_TOKENS = 16;
 
     private static final int TOKEN_BYTES = 4;
@@ -22,7 +22,7 @@
     /**
      * Returns the blocks of a prompt.
      *
-     * @param model the model or adapter; other models share no blocks
+     * @param model the model or adapter; different models share no blocks
      * @param answer the text that will follow the prompt
      */
     public static PromptBlocks of(String model, Prompt prompt, String answer) {
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/Sequence.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/engine/Sequence.java
@@ -34,34 +34,37 @@
         return mProduced == mRequest.outputTokens();
     }
 
-    /** Returns whether the run stops here although the answer goes on. */
+    /** Returns whether the run is cut here, before the end of its answer. */
     boolean isCut() {
         return mProduced >= mCutAfter && mCutAfter < mRequest.outputTokens();
     }
 
-    void cutAfter(int tokens) {
+    void setCutAfter(int tokens) {
         mCutAfter = tokens;
     }
 
-    /** Returns whether the prompt is worked through, so that output tokens come. */
+    /** Returns whether the prompt is processed, so that output tokens are produced. */
     boolean isDecoding() {
         return mPrefillLeft <= 0;
     }
 
-    /** Enters the batch with so many tokens of the prompt cached. */
-    void enter(int cachedTokens) {
+    /** Starts to process the prompt, of which {@code cachedTokens} tokens are cached. */
+    void startPrefill(int cachedTokens) {
         mCachedTokens = cachedTokens;
         mPrefillLeft = mRequest.blocks().promptTokens() + mProduced - cachedTokens;
     }
 
-    /** Works through prompt tokens; returns what is left of the budget. */
+    /** Processes prompt tokens within a budget and returns the rest of the budget. */
     double prefill(double budget) {
         double used = Math.min(budget, Math.max(0, mPrefillLeft));
         mPrefillLeft -= used;
         return budget - used;
     }
 
-    /** Makes output tokens; returns how many whole ones there are now. */
+    /**
+     * Adds a number of output tokens, which may have a fraction; returns the number of whole tokens
+     * produced so far.
+     */
     int decode(double tokens) {
         int limit = Math.min(mRequest.outputTokens(), mCutAfter);
         mProgress = Math.min(limit, mProgress + tokens);
@@ -69,7 +72,7 @@
         return mProduced;
     }
 
-    /** Returns the tokens whose KV state this request takes. */
+    /** Returns the number of tokens whose KV state this request occupies. */
     int tokens() {
         return mRequest.blocks().promptTokens() + mProduced;
     }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpConnection.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpConnection.java
@@ -8,7 +8,9 @@
 import java.util.ArrayDeque;
 import java.util.Queue;
 
-/** One connection: hands over one call at a time, so that pipelined answers keep their order. */
+/**
+ * Handles the calls of one connection one at a time, so that pipelined answers keep their order.
+ */
 final class HttpConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int MAX_PIPELINED = 16;
@@ -27,9 +29,9 @@
             ctx.close();
             return;
         }
-        mPending.add(new HttpExchange(ctx.channel(), request, this::next));
+        mPending.add(new HttpExchange(ctx.channel(), request, this::handleNext));
         if (mCurrent == null) {
-            next();
+            handleNext();
         }
     }
 
@@ -37,7 +39,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         mPending.clear();
         if (mCurrent != null) {
-            mCurrent.closed();
+            mCurrent.handleClose();
         }
     }
 
@@ -49,7 +51,7 @@
         ctx.close();
     }
 
-    private void next() {
+    private void handleNext() {
         mCurrent = mPending.poll();
         if (mCurrent != null) {
             mHandler.handle(mCurrent);
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpExchange.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpExchange.java
@@ -20,12 +20,12 @@
 import java.util.Optional;
 import org.laurelweir.standin.Json;
 
-/** One HTTP call and its answer. Used on the server's event loop thread only. */
+/** One HTTP call and its answer. Confined to the server's event loop thread. */
 public final class HttpExchange {
     private static final String JSON = "application/json";
 
     private final Channel mChannel;
-    private final Runnable mDone;
+    private final Runnable mOnEnd;
     private final String mMethod;
     private final QueryStringDecoder mUri;
     private final HttpHeaders mHeaders;
@@ -33,12 +33,12 @@
     private final boolean mKeepAlive;
     private final HttpHeaders mAnswerHeaders;
     private Runnable mOnClose = () -> {};
-    private boolean mStarted;
+    private boolean mHeadSent;
     private boolean mEnded;
 
     HttpExchange(Channel channel, FullHttpRequest request, Runnable done) {
         mChannel = channel;
-        mDone = done;
+        mOnEnd = done;
         mMethod = request.method().name();
         mUri = new QueryStringDecoder(request.uri());
         mHeaders = request.headers();
@@ -48,7 +48,7 @@
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK).headers();
     }
 
-    /** Returns the HTTP method, in capitals. */
+    /** Returns the HTTP method, in upper case. */
     public String method() {
         return mMethod;
     }
@@ -74,19 +74,17 @@
         return values.stream().findFirst();
     }
 
-    /**
-     * Returns whether the answer can still be sent: it has not ended and the connection is open.
-     */
+    /** Returns whether the answer has not ended and the connection is open. */
     public boolean isOpen() {
         return !mEnded;
     }
 
-    /** Sets a header of the answer; only before the answer begins. */
+    /** Sets a header of the answer; has an effect only before the answer begins. */
     public void setHeader(String name, String value) {
         mAnswerHeaders.set(name, value);
     }
 
-    /** Sets what is run if the connection closes before the answer has ended. */
+    /** Sets the action to run if the caller closes the connection before the answer has ended. */
     public void onClose(Runnable action) {
         mOnClose = action;
     }
@@ -96,50 +94,56 @@
         respond(status, JSON, Json.write(value).getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Answers with a body. Does nothing if the answer has begun or the connection is closed. */
+    /**
+     * Answers with a body of known length. Does nothing if the answer has begun or the connection
+     * is closed.
+     */
     public void respond(int status, String contentType, byte[] body) {
-        if (mStarted || mEnded) {
+        if (mHeadSent || mEnded) {
             return;
         }
-        mStarted = true;
-        DefaultFullHttpResponse r =
+        mHeadSent = true;
+        DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1,
                         HttpResponseStatus.valueOf(status),
                         Unpooled.wrappedBuffer(body));
-        r.headers().set(mAnswerHeaders).set(HttpHeaderNames.CONTENT_TYPE, contentType);
-        HttpUtil.setContentLength(r, body.length);
-        HttpUtil.setKeepAlive(r, mKeepAlive);
-        mChannel.writeAndFlush(r);
+        response.headers().set(mAnswerHeaders).set(HttpHeaderNames.CONTENT_TYPE, contentType);
+        HttpUtil.setContentLength(response, body.length);
+        HttpUtil.setKeepAlive(response, mKeepAlive);
+        mChannel.writeAndFlush(response);
         end();
     }
 
-    /** Begins an answer of unknown length with status 200. */
+    /**
+     * Sends the head of a chunked answer with status 200. Does nothing if the answer has begun or
+     * the connection is closed.
+     */
     public void begin(String contentType) {
-        if (mStarted || mEnded) {
+        if (mHeadSent || mEnded) {
             return;
         }
-        mStarted = true;
-        DefaultHttpResponse r =
+        mHeadSent = true;
+        DefaultHttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        r.headers()
+        response.headers()
                 .set(mAnswerHeaders)
                 .set(HttpHeaderNames.CONTENT_TYPE, contentType)
                 .set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        HttpUtil.setKeepAlive(r, mKeepAlive);
-        mChannel.writeAndFlush(r);
+        HttpUtil.setKeepAlive(response, mKeepAlive);
+        mChannel.writeAndFlush(response);
     }
 
-    /** Sends a part of an answer that has begun. */
+    /** Sends a chunk of an answer that has begun. Does nothing once the answer has ended. */
     public void send(String part) {
         if (mEnded) {
             return;
         }
-        ByteBuf b = Unpooled.copiedBuffer(part, StandardCharsets.UTF_8);
-        mChannel.writeAndFlush(new DefaultHttpContent(b));
+        ByteBuf content = Unpooled.copiedBuffer(part, StandardCharsets.UTF_8);
+        mChannel.writeAndFlush(new DefaultHttpContent(content));
     }
 
-    /** Ends an answer that has begun. */
+    /** Ends a chunked answer. */
     public void finish() {
         if (mEnded) {
             return;
@@ -149,25 +153,29 @@
     }
 
     /**
-     * Sends the head and a part of a body of known length, then closes the connection, so that the
-     * caller sees a cut answer.
+     * Sends the head and the first bytes of a body of known length, then closes the connection, so
+     * that the caller receives a truncated answer.
+     *
+     * @param after the number of body bytes to send; at least the last byte is always left out
      */
     public void cut(int status, String contentType, byte[] body, int after) {
-        if (mStarted || mEnded) {
+        if (mHeadSent || mEnded) {
             return;
         }
-        mStarted = true;
-        DefaultHttpResponse r =
+        mHeadSent = true;
+        DefaultHttpResponse response =
                 new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
-        r.headers().set(mAnswerHeaders).set(HttpHeaderNames.CONTENT_TYPE, contentType);
-        HttpUtil.setContentLength(r, body.length);
-        mChannel.write(r);
+        response.headers().set(mAnswerHeaders).set(HttpHeaderNames.CONTENT_TYPE, contentType);
+        HttpUtil.setContentLength(response, body.length);
+        mChannel.write(response);
         int n = Math.min(after, Math.max(0, body.length - 1));
         mChannel.writeAndFlush(new DefaultHttpContent(Unpooled.copiedBuffer(body, 0, n)));
         abort();
     }
 
-    /** Closes the connection, after what was sent and without ending the answer. */
+    /**
+     * Closes the connection without ending the answer. Data that was sent before is still written.
+     */
     public void abort() {
         if (mEnded) {
             return;
@@ -176,8 +184,8 @@
         mChannel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> mChannel.close());
     }
 
-    /** Tells that the connection closed. */
-    void closed() {
+    /** Runs the close action if the connection closed before the answer ended. */
+    void handleClose() {
         if (mEnded) {
             return;
         }
@@ -190,12 +198,12 @@
         if (!mKeepAlive) {
             mChannel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> mChannel.close());
         }
-        mDone.run();
+        mOnEnd.run();
     }
 
     private static byte[] bytes(ByteBuf content) {
-        byte[] b = new byte[content.readableBytes()];
-        content.getBytes(content.readerIndex(), b);
-        return b;
+        byte[] copy = new byte[content.readableBytes()];
+        content.getBytes(content.readerIndex(), copy);
+        return copy;
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpHandler.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpHandler.java
@@ -2,13 +2,14 @@
 
 import org.laurelweir.errors.LaurelweirException;
 
-/** Answers HTTP calls; always called on the server's event loop thread. */
+/** Answers HTTP calls. Always invoked on the server's event loop thread. */
 @FunctionalInterface
 public interface HttpHandler {
     /**
-     * Takes one call and answers it now or later.
+     * Answers one call, at once or later.
      *
-     * @throws LaurelweirException to have the server answer with the code's status and the message
+     * @throws LaurelweirException if the server should answer with the code's HTTP status and the
+     *     message
      */
     void handle(HttpExchange exchange);
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpServer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/HttpServer.java
@@ -23,7 +23,7 @@
 import org.laurelweir.runtime.config.Endpoint;
 
 /**
- * An HTTP/1.1 server with one thread: every call and every scheduled action runs on its event loop,
+ * An HTTP/1.1 server with one thread. Every call and every scheduled action runs on its event loop,
  * so a handler needs no locks.
  */
 public final class HttpServer implements Service {
@@ -37,7 +37,7 @@
     private final ChannelGroup mConnections;
     private Channel mChannel;
 
-    /** Creates a server that hands its calls to a handler. */
+    /** Creates a server that passes its calls to a handler. */
     public HttpServer(Endpoint listen, HttpHandler handler) {
         mListen = listen;
         mHandler = new SafeHandler(handler);
@@ -49,26 +49,26 @@
     /**
      * Binds the address.
      *
-     * @throws LaurelweirException with {@code CANNOT_LISTEN}
+     * @throws LaurelweirException with {@code CANNOT_LISTEN} if the address cannot be bound
      */
     @Override
     public void start() {
-        ServerBootstrap b =
+        ServerBootstrap bootstrap =
                 new ServerBootstrap()
                         .group(mGroup)
                         .channel(NioServerSocketChannel.class)
-                        .childHandler(new Connections());
-        ChannelFuture f = b.bind(mListen.toSocketAddress()).awaitUninterruptibly();
-        if (!f.isSuccess()) {
+                        .childHandler(new ConnectionInitializer());
+        ChannelFuture bound = bootstrap.bind(mListen.toSocketAddress()).awaitUninterruptibly();
+        if (!bound.isSuccess()) {
             throw new LaurelweirException(
-                    ResultCode.CANNOT_LISTEN, mListen + ": " + f.cause(), f.cause());
+                    ResultCode.CANNOT_LISTEN, mListen + ": " + bound.cause(), bound.cause());
         }
-        mChannel = f.channel();
+        mChannel = bound.channel();
     }
 
     /**
-     * Closes all connections and ends the event loop, which does not always close what is still
-     * open when it ends.
+     * Closes the listening socket and all connections, then shuts down the event loop. The channels
+     * are closed first, because the event loop may shut down without closing them.
      */
     @Override
     public void stop() {
@@ -79,22 +79,22 @@
         mGroup.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
-    /** Returns the bound address; only after the start. */
+    /** Returns the bound address; valid only after {@link #start}. */
     public InetSocketAddress address() {
         return (InetSocketAddress) mChannel.localAddress();
     }
 
-    /** Hands a call to the handler again after a while. */
-    public void handleLater(HttpExchange call, Duration wait) {
-        mLoop.schedule(() -> mHandler.handle(call), wait.toNanos(), TimeUnit.NANOSECONDS);
+    /** Passes a call to the handler again after a delay. */
+    public void handleLater(HttpExchange call, Duration delay) {
+        mLoop.schedule(() -> mHandler.handle(call), delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    /** Returns the event loop on which handlers run, for actions of later. */
+    /** Returns the event loop on which handlers run, to schedule actions. */
     public EventLoop loop() {
         return mLoop;
     }
 
-    private final class Connections extends ChannelInitializer<SocketChannel> {
+    private final class ConnectionInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
             mConnections.add(channel);
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/SafeHandler.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/SafeHandler.java
@@ -5,7 +5,7 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.standin.ErrorBody;
 
-/** Turns what a handler throws into an error answer. */
+/** Wraps a handler and answers its exceptions with an error body. */
 final class SafeHandler implements HttpHandler {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int UNAVAILABLE = 503;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/package-info.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/http/package-info.java
@@ -1,2 +1,2 @@
-/** A small HTTP/1.1 server on Netty's codec, with every exchange on one event loop thread. */
+/** A small HTTP/1.1 server on Netty's codec; every exchange runs on one event loop thread. */
 package org.laurelweir.standin.http;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/AnswerLines.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/AnswerLines.java
@@ -9,10 +9,10 @@
 import org.laurelweir.standin.chat.ChatAnswer;
 import org.laurelweir.standin.chat.ChatAnswer.Choice;
 
-/** Takes the lines of an answer as they come and notes when the first token was there. */
+/** Collects the lines of an answer as they arrive, and records when the first token arrived. */
 final class AnswerLines implements Flow.Subscriber<String> {
-    private static final String DATA = "data: ";
-    private static final String DONE = "[DONE]";
+    private static final String EVENT_PREFIX = "data: ";
+    private static final String END_OF_STREAM = "[DONE]";
 
     private final List<String> mLines = new ArrayList<>();
     private long mFirstTokenNanos;
@@ -36,40 +36,43 @@
     @Override
     public void onComplete() {}
 
-    /** Returns when the first token came, by the system's nanosecond counter; 0 if none came. */
+    /** Returns when the first token arrived, by {@link System#nanoTime}; 0 if none did. */
     long firstTokenNanos() {
         return mFirstTokenNanos;
     }
 
-    /** Returns all lines as one text. */
+    /** Returns all lines, joined by line feeds. */
     String body() {
         return String.join("\n", mLines);
     }
 
-    /** Returns whether the last event, and no other, says that the stream is done. */
+    /** Returns whether the stream ends with its only {@code [DONE]} event. */
     boolean isDone() {
         List<String> events = events();
-        return events.indexOf(DONE) == events.size() - 1 && !events.isEmpty();
+        return events.indexOf(END_OF_STREAM) == events.size() - 1 && !events.isEmpty();
     }
 
     /** Returns the chunks of a streamed answer. */
     List<ChatAnswer> chunks() {
-        return events().stream().filter(e -> !e.equals(DONE)).map(AnswerLines::chunk).toList();
+        return events().stream()
+                .filter(e -> !e.equals(END_OF_STREAM))
+                .map(AnswerLines::chunk)
+                .toList();
     }
 
     private List<String> events() {
         return mLines.stream()
-                .filter(l -> l.startsWith(DATA))
-                .map(l -> l.substring(DATA.length()))
+                .filter(l -> l.startsWith(EVENT_PREFIX))
+                .map(l -> l.substring(EVENT_PREFIX.length()))
                 .toList();
     }
 
     private static boolean hasText(String line) {
-        if (!line.startsWith(DATA) || line.endsWith(DONE)) {
+        if (!line.startsWith(EVENT_PREFIX) || line.endsWith(END_OF_STREAM)) {
             return false;
         }
         try {
-            return chunk(line.substring(DATA.length())).choices().stream()
+            return chunk(line.substring(EVENT_PREFIX.length())).choices().stream()
                     .map(Choice::delta)
                     .anyMatch(d -> d != null && d.content() != null && !d.content().isEmpty());
         } catch (LaurelweirException e) {
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/ChatPlayer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/ChatPlayer.java
@@ -23,13 +23,13 @@
     private final RouterCaller mCaller;
     private final Results mResults;
 
-    /** The text of an answer and the tokens it took. */
-    private record Heard(String text, Usage usage) {}
+    /** The text of an answer and the tokens that it used. */
+    private record ReceivedAnswer(String text, Usage usage) {}
 
     /**
      * Creates the player of a chat.
      *
-     * @param header the header that names the chat; null to send none
+     * @param header the header to send the chat's name in; null to send none
      */
     ChatPlayer(ChatScript script, String header, RouterCaller caller, Results results) {
         mScript = script;
@@ -38,37 +38,37 @@
         mResults = results;
     }
 
-    /** Plays the next turn; returns whether the chat goes on. */
-    boolean play() throws InterruptedException {
-        ChatRequest request = mScript.ask();
-        mResults.sent();
+    /** Plays the next turn; returns whether the chat has another one. */
+    boolean playTurn() throws InterruptedException {
+        ChatRequest request = mScript.nextRequest();
+        mResults.countSent();
         Reply reply = mCaller.call(call(request));
         if (!reply.isOk()) {
-            mResults.failed(reply.errorCode());
+            mResults.countFailed(reply.errorCode());
             return false;
         }
-        Optional<Heard> heard = read(request, reply);
-        if (heard.isEmpty()) {
-            mResults.failed(NOT_WHOLE);
+        Optional<ReceivedAnswer> answer = read(request, reply);
+        if (answer.isEmpty()) {
+            mResults.countFailed(NOT_WHOLE);
             return false;
         }
-        return check(reply, heard.get());
+        return check(reply, answer.get());
     }
 
-    private boolean check(Reply reply, Heard heard) {
-        Optional<String> fault = Answer.findFault(mScript.prompt(), heard.text());
+    private boolean check(Reply reply, ReceivedAnswer answer) {
+        Optional<String> fault = Answer.findFault(mScript.prompt(), answer.text());
         if (fault.isPresent()) {
-            mResults.failed(fault.get().replace(' ', '_'));
+            mResults.countFailed(fault.get().replace(' ', '_'));
             return false;
         }
-        mResults.answered(reply);
-        if (mScript.turn() > 1 && heard.usage() != null) {
-            mResults.returned(
-                    heard.usage().promptTokens(),
-                    heard.usage().promptTokensDetails().cachedTokens());
+        mResults.countAnswered(reply);
+        if (mScript.turn() > 1 && answer.usage() != null) {
+            mResults.countReturningPrompt(
+                    answer.usage().promptTokens(),
+                    answer.usage().promptTokensDetails().cachedTokens());
         }
-        mScript.hear(heard.text());
-        return mScript.hasMore();
+        mScript.addAnswer(answer.text());
+        return mScript.hasMoreTurns();
     }
 
     private RouterCaller.Call call(ChatRequest request) {
@@ -81,7 +81,7 @@
         return new RouterCaller.Call("POST", PATH, Json.write(request), headers);
     }
 
-    private static Optional<Heard> read(ChatRequest request, Reply reply) {
+    private static Optional<ReceivedAnswer> read(ChatRequest request, Reply reply) {
         try {
             return request.isStreamed() ? stream(reply.lines()) : whole(reply.lines());
         } catch (LaurelweirException e) {
@@ -89,16 +89,16 @@
         }
     }
 
-    private static Optional<Heard> whole(AnswerLines lines) {
+    private static Optional<ReceivedAnswer> whole(AnswerLines lines) {
         byte[] body = lines.body().getBytes(StandardCharsets.UTF_8);
         ChatAnswer a = Json.read(body, ChatAnswer.class);
         if (a.choices() == null || a.choices().isEmpty() || a.choices().get(0).message() == null) {
             return Optional.empty();
         }
-        return Optional.of(new Heard(a.choices().get(0).message().content(), a.usage()));
+        return Optional.of(new ReceivedAnswer(a.choices().get(0).message().content(), a.usage()));
     }
 
-    private static Optional<Heard> stream(AnswerLines lines) {
+    private static Optional<ReceivedAnswer> stream(AnswerLines lines) {
         if (!lines.isDone()) {
             return Optional.empty();
         }
@@ -112,6 +112,6 @@
                     .filter(Objects::nonNull)
                     .forEach(text::append);
         }
-        return Optional.of(new Heard(text.toString(), usage));
+        return Optional.of(new ReceivedAnswer(text.toString(), usage));
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/ChatScript.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/ChatScript.java
@@ -8,7 +8,7 @@
 import org.laurelweir.standin.chat.ChatRequest.StreamOptions;
 import org.laurelweir.standin.chat.Prompt;
 
-/** What one chat says: all of it follows from the run's seed and the chat's number. */
+/** The messages of one chat, all derived from the run's seed and the chat's number. */
 final class ChatScript {
     private static final long SEED_STEP = 0x9E3779B97F4A7C15L;
     private static final int QUESTION_WORDS = 24;
@@ -49,7 +49,7 @@
     private final List<ChatMessage> mMessages = new ArrayList<>();
     private int mTurn;
 
-    /** Creates the script of a chat that has not begun. */
+    /** Creates the script of a chat at its start. */
     ChatScript(LoadPlan plan, int number) {
         mPlan = plan.chats();
         mRandom = new Random(plan.seed() + number * SEED_STEP);
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Returns the chat's name, unique in the run. */
+    /** Returns the chat's name, which is unique within the run. */
     String name() {
         return mName;
     }
@@ -71,17 +71,17 @@
         return mKey;
     }
 
-    /** Returns the number of the turn that was asked last, from 1; 0 before the first. */
+    /** Returns the number of the latest turn, from 1; 0 before the first. */
     int turn() {
         return mTurn;
     }
 
-    boolean hasMore() {
+    boolean hasMoreTurns() {
         return mTurn < mPlan.turns();
     }
 
-    /** Returns the call of the next turn. */
-    ChatRequest ask() {
+    /** Starts the next turn and returns its request. */
+    ChatRequest nextRequest() {
         mTurn++;
         String marker = " [[" + mName + "-" + mTurn + "]]";
         mMessages.add(ChatMessage.of("user", words(QUESTION_WORDS) + marker));
@@ -96,13 +96,13 @@
                 null);
     }
 
-    /** Returns the prompt of the call that was made last. */
+    /** Returns the prompt of the latest request. */
     Prompt prompt() {
         return Prompt.of(mMessages);
     }
 
-    /** Adds the answer to the history. */
-    void hear(String answer) {
+    /** Adds an answer to the history. */
+    void addAnswer(String answer) {
         mMessages.add(ChatMessage.of("assistant", answer));
     }
 
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/LoadPlan.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/LoadPlan.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * What a run of the load generator plays. All content follows from the seed.
+ * The parameters of a run of the load generator. All content is derived from the seed.
  *
- * @param routers the base addresses of the routers, which take turns
+ * @param routers the base addresses of the routers, which are used in turn
  * @param accounts the client accounts and their shares of the chats
  * @param chats the shape of the chats
  * @param plain the calls to plain services
- * @param concurrency the most requests that are on at a time
+ * @param concurrency the maximum number of requests at a time
  * @param seed the seed of all content
- * @param retries how often a request that was refused is sent again
- * @param timeout how long an attempt may take as a whole
+ * @param retries how often a refused request is retried
+ * @param timeout the time limit of an attempt, including its answer
  */
 public record LoadPlan(
         List<URI> routers,
@@ -30,14 +30,15 @@
      * The shape of the chats.
      *
      * @param model the model that every call names
-     * @param count how many chats there are
-     * @param turns how many calls each chat makes, with its history growing
-     * @param pause from an answer to the chat's return
+     * @param count the number of chats
+     * @param turns the number of calls of each chat, with a growing history
+     * @param pause the time from an answer to the chat's next call
      * @param streamShare the share of calls that ask for a stream, from 0 to 1
-     * @param dossierShare the share of chats that begin with a dossier, from 0 to 1
+     * @param dossierShare the share of chats that begin with a dossier, a long first message, from
+     *     0 to 1
      * @param dossierBytes the size of a dossier
-     * @param maxTokens the most tokens of an answer
-     * @param header a header that names the chat, sent by every other chat; null for none
+     * @param maxTokens the maximum number of tokens of an answer
+     * @param header a header that carries the chat's name, sent by every second chat; null for none
      */
     public record Chats(
             String model,
@@ -51,14 +52,14 @@
             String header) {}
 
     /**
-     * The calls to plain services, of which every other is a POST.
+     * The calls to plain services; every second one for each path is a POST.
      *
-     * @param paths the paths under which the services are reached, which take turns
-     * @param count how many calls there are
+     * @param paths the paths of the services, which are used in turn
+     * @param count the number of calls
      */
     public record Plain(List<String> paths, int count) {}
 
-    /** Returns how many requests the run makes if none fails. */
+    /** Returns the number of requests of the run if none fails. */
     public int requests() {
         return chats.count() * chats.turns() + plain.count();
     }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/LoadRun.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/LoadRun.java
@@ -6,46 +6,46 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays a plan. A chat that returns goes to the end of the queue, so that others come between its
- * turns.
+ * Plays a plan. A chat with another turn goes to the end of the queue, so that turns of other chats
+ * run in between.
  */
 final class LoadRun {
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final LoadPlan mPlan;
     private final Results mResults = new Results();
     private final RouterCaller mCaller;
     private final ScheduledExecutorService mWorkers;
-    private final CountDownLatch mLeft;
+    private final CountDownLatch mUnfinished;
 
-    /** One step of a worker. */
+    /** One step of a chat or plain call. */
     @FunctionalInterface
     private interface Step {
-        /** Returns whether there is another step. */
-        boolean play() throws InterruptedException;
+        /** Runs the step; returns whether another one follows. */
+        boolean run() throws InterruptedException;
     }
 
     LoadRun(LoadPlan plan) {
         mPlan = plan;
         mCaller = new RouterCaller(plan, mResults);
         mWorkers = Executors.newScheduledThreadPool(plan.concurrency());
-        mLeft = new CountDownLatch(plan.chats().count() + plan.plain().count());
+        mUnfinished = new CountDownLatch(plan.chats().count() + plan.plain().count());
     }
 
-    /** Plays the plan to its end and returns what it came to. */
-    Report run(Observed observed) throws InterruptedException {
+    /** Plays the plan to its end and returns its report. */
+    Report run(RunObserver observed) throws InterruptedException {
         long start = System.nanoTime();
-        int most = Math.max(mPlan.chats().count(), mPlan.plain().count());
-        for (int i = 0; i < most; i++) {
+        int count = Math.max(mPlan.chats().count(), mPlan.plain().count());
+        for (int i = 0; i < count; i++) {
             startChat(i);
             startPlain(i);
         }
-        mLeft.await();
+        mUnfinished.await();
         mWorkers.shutdown();
-        return report(observed, (System.nanoTime() - start) / NANOS);
+        return report(observed, (System.nanoTime() - start) / NANOS_PER_SECOND);
     }
 
-    private Report report(Observed observed, double seconds) {
+    private Report report(RunObserver observed, double seconds) {
         return new Report(
                 mPlan.seed(),
                 seconds,
@@ -54,7 +54,7 @@
                 mResults.firstToken(),
                 mResults.wholeAnswer(),
                 observed.skew(),
-                observed.control(seconds),
+                observed.controlTraffic(seconds),
                 observed.repeatedRuns(),
                 observed.unreachable());
     }
@@ -65,7 +65,7 @@
         }
         String header = number % 2 == 0 ? mPlan.chats().header() : null;
         ChatPlayer p = new ChatPlayer(new ChatScript(mPlan, number), header, mCaller, mResults);
-        mWorkers.execute(() -> work(p::play));
+        mWorkers.execute(() -> runSteps(p::playTurn));
     }
 
     private void startPlain(int number) {
@@ -75,31 +75,34 @@
         PlainPlayer p = new PlainPlayer(mPlan, mCaller, mResults);
         mWorkers.execute(
                 () ->
-                        work(
+                        runSteps(
                                 () -> {
                                     p.play(number);
                                     return false;
                                 }));
     }
 
-    private void work(Step step) {
-        if (playSafely(step)) {
+    private void runSteps(Step step) {
+        if (runStep(step)) {
             long pause = mPlan.chats().pause().toMillis();
-            mWorkers.schedule(() -> work(step), pause, TimeUnit.MILLISECONDS);
+            mWorkers.schedule(() -> runSteps(step), pause, TimeUnit.MILLISECONDS);
             return;
         }
-        mLeft.countDown();
+        mUnfinished.countDown();
     }
 
-    /** An error of the generator itself must not leave the run waiting for this step. */
-    private boolean playSafely(Step step) {
+    /**
+     * Runs a step. An error of the generator counts as a failed request, so that the run does not
+     * wait forever for this step.
+     */
+    private boolean runStep(Step step) {
         try {
-            return step.play();
+            return step.run();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         } catch (RuntimeException e) {
-            mResults.failed(e.toString());
+            mResults.countFailed(e.toString());
             return false;
         }
     }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Main.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Main.java
@@ -15,7 +15,7 @@
 import org.laurelweir.runtime.process.Program;
 import org.laurelweir.standin.Json;
 
-/** Plays load against routers and prints what it came to. */
+/** Sends load to routers and prints a report. */
 @Command(
         name = Main.NAME,
         description = "Plays returning chats and plain calls and checks each answer")
@@ -123,8 +123,8 @@
     @AirlineModule private HelpOption<Main> mHelp;
 
     /**
-     * Plays the load. Exits with 0 only if every request got its whole own answer, 1 if one did
-     * not, and with the exit code of the failure if the run could not be made.
+     * Runs the load. Exits with 0 if every request got its own complete answer and no plain call
+     * ran twice, 1 if not, and with the exit code of the failure if the run could not start.
      */
     public static void main(String[] args) throws InterruptedException {
         try {
@@ -143,9 +143,9 @@
             return 0;
         }
         LoadPlan plan = plan();
-        Observed.Targets targets =
-                new Observed.Targets(uris(mEngines), uris(mPlainServices), uris(mMetrics));
-        Report report = new LoadRun(plan).run(new Observed(targets));
+        RunObserver.Targets targets =
+                new RunObserver.Targets(uris(mEngines), uris(mPlainServices), uris(mMetrics));
+        Report report = new LoadRun(plan).run(new RunObserver(targets));
         if (!mJson) {
             System.out.print(report.table());
         }
@@ -157,9 +157,9 @@
         require(!mRouters.isEmpty(), "--router is needed");
         require(!mKeys.isEmpty(), "--key is needed");
         require(mPlainCalls == 0 || !mPlainPaths.isEmpty(), "--plain-calls needs --plain-path");
-        require(mChats >= 0 && mTurns > 0 && mPlainCalls >= 0, "a count is below its least");
-        require(mConcurrency > 0 && mMaxTokens > 0, "a count is below its least");
-        require(mPauseMillis >= 0 && mTimeoutSeconds > 0, "a time is below its least");
+        require(mChats >= 0 && mTurns > 0 && mPlainCalls >= 0, "a count is below its minimum");
+        require(mConcurrency > 0 && mMaxTokens > 0, "a count is below its minimum");
+        require(mPauseMillis >= 0 && mTimeoutSeconds > 0, "a time is below its minimum");
         return new LoadPlan(
                 uris(mRouters),
                 new Accounts(mKeys, mUnevenness),
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/PlainPlayer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/PlainPlayer.java
@@ -8,7 +8,10 @@
 import org.laurelweir.standin.chat.Prompt;
 import org.laurelweir.standin.plain.PlainAnswer;
 
-/** Makes calls to plain services, every other a POST with its own key, and checks the answers. */
+/**
+ * Sends calls to plain services and checks the answers. Every second call for each path is a POST
+ * with its own idempotency key.
+ */
 final class PlainPlayer {
     private final LoadPlan mPlan;
     private final RouterCaller mCaller;
@@ -23,17 +26,17 @@
         mResults = results;
     }
 
-    /** Makes the call of a number and waits for its answer. */
+    /** Sends the call with a number and waits for its answer. */
     void play(int number) throws InterruptedException {
         RouterCaller.Call call = call(number);
-        mResults.sent();
+        mResults.countSent();
         Reply reply = mCaller.call(call);
         if (!reply.isOk()) {
-            mResults.failed(reply.errorCode());
+            mResults.countFailed(reply.errorCode());
         } else if (isOwn(call, reply)) {
-            mResults.answered(reply);
+            mResults.countAnswered(reply);
         } else {
-            mResults.failed("plain_answer_not_own");
+            mResults.countFailed("plain_answer_not_own");
         }
     }
 
@@ -59,7 +62,10 @@
         return new RouterCaller.Call("POST", path, body, withKey);
     }
 
-    /** A router may take the service's own part off the front of the path. */
+    /**
+     * Returns whether the answer describes this call. A router may strip the service's prefix from
+     * the path, so the answer's path may be shorter.
+     */
     private static boolean isOwn(RouterCaller.Call call, Reply reply) {
         try {
             byte[] json = reply.lines().body().getBytes(StandardCharsets.UTF_8);
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Reply.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Reply.java
@@ -9,12 +9,12 @@
 /**
  * The outcome of one attempt at a request.
  *
- * @param status the HTTP status; 0 if none came
+ * @param status the HTTP status; 0 if there is no answer
  * @param lines the body
- * @param startNanos when the attempt was sent, by the system's nanosecond counter
- * @param endNanos when the answer was whole, by the same counter
+ * @param startNanos when the attempt was sent, by {@link System#nanoTime}
+ * @param endNanos when the answer was complete, by the same counter
  * @param failure why there is no answer, as a short code; null if there is one
- * @param retryAfterSeconds when to come back, if the request was refused with a time
+ * @param retryAfterSeconds the value of Retry-After if the request was refused with one
  */
 record Reply(
         int status,
@@ -23,17 +23,20 @@
         long endNanos,
         String failure,
         OptionalLong retryAfterSeconds) {
-    private static final int FIRST_FAILED_STATUS = 300;
+    private static final int MIN_FAILED_STATUS = 300;
 
     static Reply failed(AnswerLines lines, long startNanos, String failure) {
         return new Reply(0, lines, startNanos, System.nanoTime(), failure, OptionalLong.empty());
     }
 
     boolean isOk() {
-        return failure == null && status < FIRST_FAILED_STATUS;
+        return failure == null && status < MIN_FAILED_STATUS;
     }
 
-    /** Returns the code of a failure: of the error body if there is one, else of the status. */
+    /**
+     * Returns the code of a failure: that of the error body if there is one, otherwise one from the
+     * HTTP status.
+     */
     String errorCode() {
         if (failure != null) {
             return failure;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Report.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Report.java
@@ -7,18 +7,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What a run came to.
+ * The results of a run.
  *
  * @param seed the seed of the run
  * @param seconds how long the run took
- * @param requests what became of the requests
+ * @param requests the counts of requests by outcome
  * @param cacheReuse the share of returning chats' prompt tokens that was cached
- * @param firstToken from the call to the first token, of streamed answers
- * @param wholeAnswer from the call to the end of the answer
- * @param skew how uneven the engines' work was; null if no engine was asked
- * @param control what each router spent on control; empty if no router was asked
+ * @param firstToken the time from the call to the first token, of streamed answers
+ * @param wholeAnswer the time from the call to the end of the answer
+ * @param skew how uneven the engines' work was; null if no engine was read
+ * @param control each router's traffic with control; empty if no router was read
  * @param repeatedRuns idempotency keys that plain services ran more than once
- * @param unreachable engines, services and routers whose figures are missing above
+ * @param unreachable engines, services and routers whose data is missing above
  */
 public record Report(
         long seed,
@@ -33,13 +33,13 @@
         List<String> unreachable) {
 
     /**
-     * What became of the requests.
+     * The counts of requests by outcome.
      *
-     * @param planned how many there were to be
-     * @param sent how many were sent; fewer than planned if a chat ended early
-     * @param answered how many got their whole own answer
-     * @param errors how many did not, by code
-     * @param refusals attempts that were refused and made again, by code
+     * @param planned the number of planned requests
+     * @param sent the number of sent requests; fewer than planned if a chat ended early
+     * @param answered the number of requests that got their own complete answer
+     * @param errors the number of requests that did not, by code
+     * @param refusals the number of attempts that were refused and retried, by code
      */
     public record Requests(
             int planned,
@@ -63,23 +63,23 @@
     }
 
     /**
-     * The busiest engine over the mean of all.
+     * The work of the busiest engine divided by the mean of all engines.
      *
-     * @param byRequests counting requests
-     * @param byTokens counting prompt tokens that were not cached and output tokens
+     * @param byRequests with work as the number of requests
+     * @param byTokens with work as the number of uncached prompt tokens and output tokens
      */
     public record Skew(double byRequests, double byTokens) {}
 
-    /** What one router spent on control over the run. */
+    /** The bytes that one router exchanged with control during the run. */
     public record Control(String router, long bytes, double bytesPerSecond) {}
 
-    /** Returns whether every request got its whole own answer and none was run twice. */
+    /** Returns whether every request got its own complete answer and no plain call ran twice. */
     @JsonIgnore
     public boolean isWhole() {
         return requests.answered() == requests.planned() && repeatedRuns.isEmpty();
     }
 
-    /** Returns the report as a table for a reader. */
+    /** Returns the report as a table of names and values, a row per line. */
     public String table() {
         StringBuilder t = new StringBuilder();
         row(t, "requests planned / sent", requests.planned() + " / " + requests.sent());
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Results.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Results.java
@@ -4,14 +4,14 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** Collects what the requests of a run came to. Safe for use by several threads. */
+/** Counts the outcomes of the requests of a run. Thread-safe. */
 final class Results {
-    private static final long HIGHEST_MICROS = 3_600_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_MICROS = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1000;
 
-    private final Histogram mFirstToken = new Histogram(HIGHEST_MICROS, DIGITS);
-    private final Histogram mWhole = new Histogram(HIGHEST_MICROS, DIGITS);
+    private final Histogram mFirstToken = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    private final Histogram mWhole = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
     private final Map<String, Integer> mErrors = new TreeMap<>();
     private final Map<String, Integer> mRefusals = new TreeMap<>();
     private int mSent;
@@ -19,23 +19,23 @@
     private long mReturningPromptTokens;
     private long mReturningCachedTokens;
 
-    /** Counts a request that is sent for the first time. */
-    synchronized void sent() {
+    /** Counts a request at its first attempt. */
+    synchronized void countSent() {
         mSent++;
     }
 
-    /** Counts an attempt that was refused and will be made again. */
-    synchronized void refused(String code) {
+    /** Counts an attempt that was refused and will be retried. */
+    synchronized void countRefused(String code) {
         mRefusals.merge(code, 1, Integer::sum);
     }
 
-    /** Counts a request that got no whole own answer. */
-    synchronized void failed(String code) {
+    /** Counts a request that did not get its own complete answer. */
+    synchronized void countFailed(String code) {
         mErrors.merge(code, 1, Integer::sum);
     }
 
-    /** Counts a whole own answer. */
-    synchronized void answered(Reply reply) {
+    /** Counts a request that got its own complete answer, and records its latency. */
+    synchronized void countAnswered(Reply reply) {
         mAnswered++;
         record(mWhole, reply.endNanos() - reply.startNanos());
         long first = reply.lines().firstTokenNanos();
@@ -44,8 +44,8 @@
         }
     }
 
-    /** Counts the prompt of a chat that returned. */
-    synchronized void returned(int promptTokens, int cachedTokens) {
+    /** Counts the prompt tokens of a call after a chat's first one. */
+    synchronized void countReturningPrompt(int promptTokens, int cachedTokens) {
         mReturningPromptTokens += promptTokens;
         mReturningCachedTokens += cachedTokens;
     }
@@ -72,6 +72,6 @@
     }
 
     private static void record(Histogram histogram, long nanos) {
-        histogram.recordValue(Math.min(HIGHEST_MICROS, nanos / NANOS_PER_MICRO));
+        histogram.recordValue(Math.min(MAX_MICROS, nanos / NANOS_PER_MICRO));
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/RouterCaller.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/RouterCaller.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Sends requests to the routers in turn, as a balancer would. A request that was refused with a
- * time to come back is sent again after that time, to the next router; any other failure is final.
+ * Sends requests to the routers in turn, as a load balancer does. A request that is refused with a
+ * Retry-After header is retried after that time, at the next router. Any other failure is final.
  */
 final class RouterCaller {
     private static final int TOO_MANY_REQUESTS = 429;
@@ -26,9 +26,13 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final LoadPlan mPlan;
     private final Results mResults;
-    private final AtomicInteger mNext = new AtomicInteger();
+    private final AtomicInteger mNextRouter = new AtomicInteger();
 
-    /** One request; headers are names and values in turn. */
+    /**
+     * One request.
+     *
+     * @param headers names and values, alternating
+     */
     record Call(String method, String path, String body, List<String> headers) {}
 
     RouterCaller(LoadPlan plan, Results results) {
@@ -36,13 +40,13 @@
         mResults = results;
     }
 
-    /** Sends a request and waits for its answer. */
+    /** Sends a request, with retries, and waits for its answer. */
     Reply call(Call call) throws InterruptedException {
         Reply r = attempt(call);
         int retries = mPlan.retries();
         while (retries > 0 && r.retryAfterSeconds().isPresent()) {
             retries--;
-            mResults.refused(r.errorCode());
+            mResults.countRefused(r.errorCode());
             TimeUnit.SECONDS.sleep(r.retryAfterSeconds().getAsLong());
             r = attempt(call);
         }
@@ -66,7 +70,7 @@
     }
 
     private HttpRequest request(Call call) {
-        int turn = Math.floorMod(mNext.getAndIncrement(), mPlan.routers().size());
+        int turn = Math.floorMod(mNextRouter.getAndIncrement(), mPlan.routers().size());
         String base = mPlan.routers().get(turn).toString();
         HttpRequest.Builder b =
                 HttpRequest.newBuilder(URI.create(base + call.path()))
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/RunObserver.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/RunObserver.java
@@ -12,8 +12,11 @@
 import org.laurelweir.standin.AdminEndpoints;
 import org.laurelweir.standin.Execution;
 
-/** Watches stand-ins and routers over one run: what they did before it does not count. */
-final class Observed {
+/**
+ * Compares the counts of stand-ins and routers before and after one run, so that earlier activity
+ * does not count.
+ */
+final class RunObserver {
     private static final String ENGINE = "/engine";
     private static final String PLAIN = "/plain";
 
@@ -25,7 +28,7 @@
     private final List<Long> mControlBefore;
 
     /**
-     * What is asked before and after the run; each list may be empty.
+     * The programs that are read before and after the run; each list may be empty.
      *
      * @param engines base addresses of engines
      * @param plainServices base addresses of plain services
@@ -33,40 +36,40 @@
      */
     record Targets(List<URI> engines, List<URI> plainServices, List<URI> metrics) {}
 
-    /** Notes where the counts stand before the run. */
-    Observed(Targets targets) {
+    /** Reads the counts before the run. */
+    RunObserver(Targets targets) {
         mTargets = targets;
-        mRunsBefore = counts(targets.engines(), ENGINE);
-        mPlainRunsBefore = counts(targets.plainServices(), PLAIN);
+        mRunsBefore = startedCounts(targets.engines(), ENGINE);
+        mPlainRunsBefore = startedCounts(targets.plainServices(), PLAIN);
         mControlBefore = targets.metrics().stream().map(mScraper::controlBytes).toList();
     }
 
-    /** Returns how uneven the engines' work was since; null without engines. */
+    /** Returns how uneven the engines' work was during the run; null without engines. */
     Report.Skew skew() {
         List<Double> requests = new ArrayList<>();
         List<Double> tokens = new ArrayList<>();
         for (int i = 0; i < mTargets.engines().size(); i++) {
-            List<Execution> runs = since(mTargets.engines().get(i), ENGINE, mRunsBefore.get(i));
+            List<Execution> runs = runsSince(mTargets.engines().get(i), ENGINE, mRunsBefore.get(i));
             requests.add((double) runs.size());
-            tokens.add(runs.stream().mapToDouble(Observed::tokens).sum());
+            tokens.add(runs.stream().mapToDouble(RunObserver::tokens).sum());
         }
         return requests.isEmpty()
                 ? null
                 : new Report.Skew(busiestOverMean(requests), busiestOverMean(tokens));
     }
 
-    /** Returns what each router spent on control since. */
-    List<Report.Control> control(double seconds) {
+    /** Returns the bytes that each router exchanged with control during the run. */
+    List<Report.Control> controlTraffic(double seconds) {
         List<Report.Control> all = new ArrayList<>();
         for (int i = 0; i < mTargets.metrics().size(); i++) {
             URI page = mTargets.metrics().get(i);
-            controlSince(page, mControlBefore.get(i))
+            controlBytesSince(page, mControlBefore.get(i))
                     .ifPresent(b -> all.add(new Report.Control(page.toString(), b, b / seconds)));
         }
         return all;
     }
 
-    private OptionalLong controlSince(URI page, long before) {
+    private OptionalLong controlBytesSince(URI page, long before) {
         try {
             return OptionalLong.of(mScraper.controlBytes(page) - before);
         } catch (LaurelweirException e) {
@@ -75,13 +78,13 @@
         }
     }
 
-    /** Returns the idempotency keys that were run more than once since, over all services. */
+    /** Returns the idempotency keys that ran more than once during the run, over all services. */
     List<String> repeatedRuns() {
         Set<String> seen = new HashSet<>();
         Set<String> repeated = new TreeSet<>();
         for (int i = 0; i < mTargets.plainServices().size(); i++) {
             URI service = mTargets.plainServices().get(i);
-            since(service, PLAIN, mPlainRunsBefore.get(i)).stream()
+            runsSince(service, PLAIN, mPlainRunsBefore.get(i)).stream()
                     .map(Execution::idempotencyKey)
                     .filter(Objects::nonNull)
                     .filter(k -> !seen.add(k))
@@ -91,25 +94,26 @@
     }
 
     /**
-     * Returns the addresses that could not be read, or not in full, after the run, so that its
-     * figures lack them.
+     * Returns the addresses that could not be read completely after the run; the figures lack their
+     * data.
      */
     List<String> unreachable() {
         return List.copyOf(mUnreachable);
     }
 
-    private List<Long> counts(List<URI> standins, String prefix) {
+    private List<Long> startedCounts(List<URI> standins, String prefix) {
         return standins.stream().map(s -> mScraper.executions(s, prefix).started()).toList();
     }
 
     /**
-     * Returns what a stand-in has run since; one that was restarted begins with an empty record.
+     * Returns the runs of a stand-in after the first {@code before} ones. A stand-in that was
+     * restarted has an empty log at its start, so all of its runs count.
      */
-    private List<Execution> since(URI standin, String prefix, long before) {
+    private List<Execution> runsSince(URI standin, String prefix, long before) {
         try {
             AdminEndpoints.Executions e = mScraper.executions(standin, prefix);
             long first = e.started() < before ? 0 : before;
-            if (e.isCutAfter(first)) {
+            if (e.lacksRunsAfter(first)) {
                 mUnreachable.add(standin + " (it holds only its newest runs)");
             }
             return e.executions().stream().skip(Math.max(0, first - e.dropped())).toList();
@@ -121,8 +125,8 @@
 
     static double busiestOverMean(List<Double> work) {
         double sum = work.stream().mapToDouble(Double::doubleValue).sum();
-        double most = work.stream().mapToDouble(Double::doubleValue).max().orElse(0);
-        return sum == 0 ? 0 : most * work.size() / sum;
+        double max = work.stream().mapToDouble(Double::doubleValue).max().orElse(0);
+        return sum == 0 ? 0 : max * work.size() / sum;
     }
 
     private static double tokens(Execution e) {
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Scraper.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/Scraper.java
@@ -13,7 +13,7 @@
 import org.laurelweir.standin.AdminEndpoints;
 import org.laurelweir.standin.Json;
 
-/** Reads the records of stand-ins and the metrics pages of routers. */
+/** Reads the execution logs of stand-ins and the metrics pages of routers. */
 final class Scraper {
     static final String CONTROL_BYTES = "laurelweir_control_bytes_total";
 
@@ -24,7 +24,7 @@
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     /**
-     * Returns what a stand-in has run and still holds.
+     * Returns the runs that a stand-in holds.
      *
      * @param prefix {@code /engine} or {@code /plain}
      */
@@ -33,12 +33,12 @@
         return Json.read(body.getBytes(StandardCharsets.UTF_8), AdminEndpoints.Executions.class);
     }
 
-    /** Returns the control bytes that a router has counted. */
+    /** Returns the control bytes that a router has counted since its start. */
     long controlBytes(URI metrics) {
         return controlBytes(get(metrics.toString()));
     }
 
-    /** Returns the sum of the counter over all its labels. */
+    /** Returns the sum of the control bytes counter on a metrics page over all its labels. */
     static long controlBytes(String page) {
         return (long)
                 page.lines().filter(Scraper::isControlBytes).mapToDouble(Scraper::value).sum();
@@ -48,7 +48,10 @@
         return line.startsWith(CONTROL_BYTES + " ") || line.startsWith(CONTROL_BYTES + "{");
     }
 
-    /** A line is the name, the labels in braces, the value and perhaps a time. */
+    /**
+     * Returns the value on a line, which has a name, labels in braces, the value and an optional
+     * timestamp.
+     */
     private static double value(String line) {
         String rest = line.substring(Math.max(line.lastIndexOf('}') + 1, CONTROL_BYTES.length()));
         return Double.parseDouble(rest.strip().split("\\s+")[0]);
@@ -56,8 +59,8 @@
 
     private String get(String url) {
         try {
-            HttpRequest q = HttpRequest.newBuilder(URI.create(url)).timeout(TIMEOUT).build();
-            HttpResponse<String> r = mClient.send(q, BodyHandlers.ofString());
+            HttpRequest request = HttpRequest.newBuilder(URI.create(url)).timeout(TIMEOUT).build();
+            HttpResponse<String> r = mClient.send(request, BodyHandlers.ofString());
             if (r.statusCode() != OK) {
                 throw new LaurelweirException(
                         ResultCode.UNREACHABLE, url + ": status " + r.statusCode());
@@ -67,7 +70,8 @@
             throw new LaurelweirException(ResultCode.UNREACHABLE, url + ": " + e, e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new LaurelweirException(ResultCode.UNREACHABLE, url + ": interrupted", e);
+            throw new LaurelweirException(
+                    ResultCode.UNREACHABLE, url + ": interrupted while waiting for the answer", e);
         }
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/package-info.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/load/package-info.java
@@ -1,2 +1,5 @@
-/** A load generator: plays returning chats and plain calls, and checks and measures the answers. */
+/**
+ * A load generator: plays chats of several turns and plain calls, checks the answers and measures
+ * their latency.
+ */
 package org.laurelweir.standin.load;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/package-info.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/package-info.java
@@ -1,2 +1,5 @@
-/** What the stand-ins share: settings, the record of executions, faults and the main loop. */
+/**
+ * The code that all stand-ins share: settings, the log of executions, injected faults and the main
+ * program.
+ */
 package org.laurelweir.standin;
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/Main.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/Main.java
@@ -21,7 +21,7 @@
 
     @AirlineModule private HelpOption<Main> mHelp;
 
-    /** Runs until the process is told to end. */
+    /** Runs until the process receives SIGTERM. */
     public static void main(String[] args) {
         try {
             SingleCommand.singleCommand(Main.class).parse(args).run();
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/PlainServer.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/PlainServer.java
@@ -21,10 +21,10 @@
 import org.laurelweir.standin.http.HttpServer;
 
 /**
- * Runs any call under any path and answers what it ran. A call is run when it is taken, whether or
- * not its caller stays, so a call that is sent twice shows twice in the record.
+ * Runs any call to any path and answers with a description of the call. A call runs as soon as it
+ * arrives, even if its caller disconnects, so a call that is sent twice is recorded twice.
  */
-public final class PlainServer implements Service, StandinProgram.Listening {
+public final class PlainServer implements Service, StandinProgram.HttpService {
     private static final int OK = 200;
     private static final int CREATED = 201;
     private static final String POST = "POST";
@@ -39,7 +39,7 @@
     private final String mIdPrefix;
     private long mCount;
 
-    /** Creates a service. */
+    /** Creates a service that is not started. */
     public PlainServer(PlainSettings settings, InstantSource clock) {
         mSettings = settings;
         mClock = clock;
@@ -74,30 +74,32 @@
             mServer.handleLater(call, Duration.between(now, held));
             return;
         }
-        take(now, call);
+        process(now, call);
     }
 
-    private void take(Instant now, HttpExchange call) {
+    private void process(Instant now, HttpExchange call) {
         Optional<Fault> fault = mFaults.take(now);
         Duration work = mSettings.workTime();
         if (fault.isEmpty()) {
-            PlainAnswer a = execute(now, call);
-            later(work, () -> finish(call, a));
+            PlainAnswer answer = execute(now, call);
+            schedule(work, () -> finish(call, answer));
             return;
         }
-        Fault f = fault.get();
-        switch (f.kind()) {
+        Fault appliedFault = fault.get();
+        switch (appliedFault.kind()) {
             case FREEZE -> execute(now, call);
-            case REFUSE -> throw new LaurelweirException(ResultCode.OVERLOADED, "told to refuse");
+            case REFUSE ->
+                    throw new LaurelweirException(
+                            ResultCode.OVERLOADED, "refused by an injected fault");
             case LATE -> {
-                PlainAnswer a = execute(now, call);
-                later(work.plus(f.delay()), () -> finish(call, a));
+                PlainAnswer answer = execute(now, call);
+                schedule(work.plus(appliedFault.delay()), () -> finish(call, answer));
             }
             case CUT -> {
-                PlainAnswer a = execute(now, call);
-                later(work, () -> cut(call, a, f.after()));
+                PlainAnswer answer = execute(now, call);
+                schedule(work, () -> cut(call, answer, appliedFault.after()));
             }
-            default -> throw new IllegalStateException(f.toString());
+            default -> throw new IllegalStateException(appliedFault.toString());
         }
     }
 
@@ -106,8 +108,8 @@
         String id = mIdPrefix + mCount;
         String digest = Prompt.digest(call.body());
         mLog.start(now, id, call, digest);
-        boolean makes = call.method().equals(POST);
-        String resource = makes ? call.path() + "/" + mCount : call.path();
+        boolean creates = call.method().equals(POST);
+        String resource = creates ? call.path() + "/" + mCount : call.path();
         return new PlainAnswer(mSettings.name(), id, call.method(), call.path(), digest, resource);
     }
 
@@ -126,11 +128,11 @@
         return answer.method().equals(POST) ? CREATED : OK;
     }
 
-    private void later(Duration wait, Runnable action) {
-        if (wait.isZero()) {
+    private void schedule(Duration delay, Runnable action) {
+        if (delay.isZero()) {
             action.run();
             return;
         }
-        mServer.loop().schedule(action, wait.toNanos(), TimeUnit.NANOSECONDS);
+        mServer.loop().schedule(action, delay.toNanos(), TimeUnit.NANOSECONDS);
     }
 }
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/PlainSettings.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/PlainSettings.java
@@ -14,12 +14,12 @@
 /**
  * The settings file of a plain service.
  *
- * @param name the service's name, which each answer gives
- * @param listen where callers reach it; with port 0 the operating system chooses
- * @param portFile where to write the port
+ * @param name the service's name, which is part of each answer
+ * @param listen the address to listen on; with port 0 the operating system chooses a port
+ * @param portFile the file to write the port to
  * @param workTime the time from a call to its answer
- * @param executions how it records what it ran
- * @param log how to log
+ * @param executions how runs are recorded
+ * @param log the settings of the log
  */
 @ProgramName("plain")
 public record PlainSettings(
@@ -32,7 +32,8 @@
         implements StandinSettings {
 
     /**
-     * Returns the settings of a service on any port of the loopback address, otherwise defaults.
+     * Returns the settings of a service on any port of the loopback address, with the file's
+     * defaults otherwise.
      */
     public static PlainSettings named(String name) {
         return new PlainSettings(
--- a/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/package-info.java
+++ b/org.laurelweir.standin/src/main/java/org/laurelweir/standin/plain/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A small plain service, whose record shows each call that was executed. It answers any method
- * under any path; {@code /plain/executions} and {@code /plain/faults} are as the engine's.
+ * A small plain service that records each call it runs. It answers any method under any path.
+ * {@code /plain/executions} and {@code /plain/faults} work as those of the engine.
  */
 package org.laurelweir.standin.plain;
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/ExecutionLogTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/ExecutionLogTest.java
@@ -18,41 +18,41 @@
 import org.laurelweir.standin.plain.PlainServer;
 import org.laurelweir.standin.plain.PlainSettings;
 
-/** A record that holds fewer runs than there were. */
+/** Checks an execution log that holds fewer runs than there were. */
 @Timeout(120)
 class ExecutionLogTest {
-    private static final int KEEP = 3;
+    private static final int MAX_KEPT = 3;
 
     @TempDir private Path mFolder;
 
     /**
-     * The first call is told to be late, so it still runs when three newer ones have taken its
-     * place in memory. Its caller sees the whole answer; the answer to a read says that a run is
-     * missing, and the file has its start and its end.
+     * A fault delays the first call, so it still runs when three newer runs have evicted it from
+     * memory. Its caller still gets the complete answer, a read reports one dropped run, and the
+     * file has the run's start and end.
      */
     @Test
-    void theNewestRunsAreHeldAndTheFileHasAll() throws IOException {
+    void memoryHoldsNewestRunsAndFileHoldsAll() throws IOException {
         Path file = mFolder.resolve("executions");
-        PlainServer plain = new PlainServer(settings(file), InstantSource.system());
-        plain.start();
-        try (plain) {
-            HttpCalls calls = new HttpCalls(plain.server().address());
+        PlainServer server = new PlainServer(settings(file), InstantSource.system());
+        server.start();
+        try (server) {
+            HttpCalls calls = new HttpCalls(server.server().address());
             calls.call("POST", "/plain/faults", "{\"kind\":\"late\",\"delayMillis\":1500}");
             CompletableFuture<HttpResponse<String>> late = calls.send("POST", "/first", "{}");
             while (calls.executions("/plain").started() == 0) {
                 Thread.onSpinWait();
             }
-            for (int i = 0; i < KEEP; i++) {
+            for (int i = 0; i < MAX_KEPT; i++) {
                 calls.call("POST", "/next", "{}");
             }
             assertThat(HttpCalls.await(late).statusCode()).isEqualTo(201);
 
             AdminEndpoints.Executions held = calls.executions("/plain");
             assertThat(held.executions()).extracting(Execution::path).containsOnly("/next");
-            assertThat(held.executions()).hasSize(KEEP);
+            assertThat(held.executions()).hasSize(MAX_KEPT);
             assertThat(held.dropped()).isEqualTo(1);
-            assertThat(held.isCutAfter(0)).isTrue();
-            assertThat(held.isCutAfter(1)).isFalse();
+            assertThat(held.lacksRunsAfter(0)).isTrue();
+            assertThat(held.lacksRunsAfter(1)).isFalse();
         }
         assertThat(Files.readAllLines(file)).filteredOn(l -> l.contains("/first")).hasSize(2);
     }
@@ -63,7 +63,7 @@
                 new Endpoint("127.0.0.1", 0),
                 Optional.empty(),
                 Duration.ZERO,
-                new ExecutionSettings(KEEP, Optional.of(file)),
+                new ExecutionSettings(MAX_KEPT, Optional.of(file)),
                 LogSettings.defaults());
     }
 }
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/HttpCalls.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/HttpCalls.java
@@ -13,20 +13,20 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** HTTP calls to a stand-in under test. */
+/** Sends HTTP calls to a stand-in under test. */
 public final class HttpCalls {
-    private static final int LIMIT_SECONDS = 60;
+    private static final int TIMEOUT_SECONDS = 60;
 
     private final HttpClient mClient =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final String mBase;
 
-    /** Creates a caller of one server. */
+    /** Creates a client of one server. */
     public HttpCalls(InetSocketAddress server) {
         mBase = "http://" + server.getHostString() + ":" + server.getPort();
     }
 
-    /** Sends a call; headers are names and values in turn. */
+    /** Sends a call and returns its future answer; headers are names and values, alternating. */
     public CompletableFuture<HttpResponse<String>> send(
             String method, String path, String body, String... headers) {
         HttpRequest.Builder b =
@@ -43,16 +43,20 @@
         return await(send(method, path, body, headers));
     }
 
-    /** Waits for a result; a failure or a very long wait fails the test. */
+    /** Waits for a result and returns it; a failure, or no result after 60 s, fails the test. */
     public static <T> T await(CompletableFuture<T> result) {
         try {
-            return result.get(LIMIT_SECONDS, TimeUnit.SECONDS);
+            return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** Returns the executions that a stand-in has recorded. */
+    /**
+     * Returns the executions that a stand-in holds.
+     *
+     * @param prefix {@code /engine} or {@code /plain}
+     */
     public AdminEndpoints.Executions executions(String prefix) {
         String body = call("GET", prefix + "/executions", "").body();
         return Json.read(body.getBytes(StandardCharsets.UTF_8), AdminEndpoints.Executions.class);
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/StandinSettingsTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/StandinSettingsTest.java
@@ -14,12 +14,12 @@
 import org.laurelweir.standin.engine.EngineSettings;
 import org.laurelweir.standin.plain.PlainSettings;
 
-/** The stand-ins' settings files. */
+/** Checks how the stand-ins' settings files are read. */
 class StandinSettingsTest {
     @TempDir private Path mFolder;
 
     @Test
-    void whatIsLeftOutTakesTheDefaultsOfTheBuilder() throws IOException {
+    void missingKeysTakeBuilderDefaults() throws IOException {
         Path engine = write("program: engine\nmodels: [standin]\n");
         assertThat(SettingsFile.read(EngineSettings.class, engine))
                 .isEqualTo(EngineSettings.builder().build());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void everyFaultIsToldAtOnceWithItsLine() throws IOException {
+    void everyFaultIsReportedWithItsLine() throws IOException {
         Path file =
                 write("program: engine\nanswerTokens: 5\nbatch: {max-running: 0}\ntick: soon\n");
         List<SettingsFault> faults = SettingsFile.check(EngineSettings.class, file);
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/chat/AnswerTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/chat/AnswerTest.java
@@ -8,12 +8,12 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A checker tells a whole own answer from any other text. */
+/** Checks that only the complete answer to a prompt is accepted. */
 class AnswerTest {
     private static final Prompt PROMPT = prompt("Which berth? [[m-1]]");
 
     @Property(seed = "42", tries = 100)
-    void onlyTheWholeTextPasses(@ForAll @IntRange(min = 3, max = 50) int tokens) {
+    void onlyWholeTextPasses(@ForAll @IntRange(min = 3, max = 50) int tokens) {
         Answer answer = Answer.of(PROMPT, tokens);
 
         assertThat(Answer.findFault(PROMPT, answer.text())).isEmpty();
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void anAnswerToAnotherPromptIsTold() {
+    void answerToAnotherPromptIsDetected() {
         Prompt other = prompt("Which quay? [[m-1]]");
         assertThat(Answer.findFault(PROMPT, Answer.of(other, 5).text()))
                 .contains("the answer to another prompt");
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineModelTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineModelTest.java
@@ -18,12 +18,19 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Properties of the engine model over sequences of events. */
+/** Checks properties of the engine model over random sequences of events. */
 class EngineModelTest {
     private static final Instant START = Instant.parse("2026-12-02T00:00:00Z");
     private static final BatchSettings SMALL = new BatchSettings(100, 4, 1000, 3, 4, 24, 8);
 
-    /** What a caller does, so many milliseconds after the last one. */
+    /**
+     * An action of a caller.
+     *
+     * @param pause milliseconds since the action before
+     * @param kind 0 submits, 1 cancels, 2 resumes; 3 only lets time pass
+     * @param request the number of the request
+     * @param size the blocks of the prompt and the tokens of the answer of a submitted request
+     */
     record Action(int pause, int kind, int request, int size) {}
 
     @Provide
@@ -39,35 +46,35 @@
     }
 
     @Property(seed = "42", tries = 300)
-    void everyRunEndsOnceAndTheCacheKeepsItsSize(@ForAll("actions") List<Action> actions) {
-        Run run = new Run();
-        actions.forEach(run::play);
-        run.drain();
+    void everyRunEndsOnceAndCacheStaysWithinCapacity(@ForAll("actions") List<Action> actions) {
+        ModelDriver driver = new ModelDriver();
+        actions.forEach(driver::play);
+        driver.drain();
 
-        assertThat(run.mOn).isEmpty();
-        assertThat(run.mModel.isBusy()).isFalse();
+        assertThat(driver.mActive).isEmpty();
+        assertThat(driver.mModel.isBusy()).isFalse();
     }
 
     @Property(seed = "42", tries = 100)
-    void aResumedAnswerGoesOnWhereTheOffsetIs(
+    void resumedAnswerContinuesAtOffset(
             @ForAll @IntRange(min = 0, max = 400) int cancelAfter,
-            @ForAll @IntRange(min = 0, max = 20) int back) {
-        Run run = new Run();
-        run.take(new EngineEvent.Submit(request("r", 4, 40), EngineEvent.NO_CUT));
-        run.mNow = run.mNow.plusMillis(cancelAfter);
-        run.take(new EngineEvent.Cancel("r"));
-        int had = run.mProduced.getOrDefault("r", 0);
-        int offset = Math.max(0, had - back);
-
-        run.mProduced.put("r", offset);
-        run.take(new EngineEvent.Resume("r", offset, EngineEvent.NO_CUT));
-        run.drain();
-
-        assertThat(run.mProduced).containsEntry("r", 40);
+            @ForAll @IntRange(min = 0, max = 20) int overlap) {
+        ModelDriver driver = new ModelDriver();
+        driver.step(new EngineEvent.Submit(request("r", 4, 40), EngineEvent.NO_CUT));
+        driver.mNow = driver.mNow.plusMillis(cancelAfter);
+        driver.step(new EngineEvent.Cancel("r"));
+        int produced = driver.mProduced.getOrDefault("r", 0);
+        int offset = Math.max(0, produced - overlap);
+
+        driver.mProduced.put("r", offset);
+        driver.step(new EngineEvent.Resume("r", offset, EngineEvent.NO_CUT));
+        driver.drain();
+
+        assertThat(driver.mProduced).containsEntry("r", 40);
     }
 
     @Test
-    void theRateOfAStreamFallsWithTheBatch() {
+    void streamRateFallsWithBatchSize() {
         int alone = tokensOfFirstAfterOneSecond(1);
         int three = tokensOfFirstAfterOneSecond(3);
 
@@ -76,53 +83,53 @@
     }
 
     @Test
-    void aCachedPromptNeedsNoPrefill() {
-        Run run = new Run();
-        run.take(new EngineEvent.Submit(request("cold", 20, 4), EngineEvent.NO_CUT));
-        run.drain();
-        run.take(new EngineEvent.Submit(request("warm", 20, 4), EngineEvent.NO_CUT));
+    void cachedPromptNeedsNoPrefill() {
+        ModelDriver driver = new ModelDriver();
+        driver.step(new EngineEvent.Submit(request("cold", 20, 4), EngineEvent.NO_CUT));
+        driver.drain();
+        driver.step(new EngineEvent.Submit(request("warm", 20, 4), EngineEvent.NO_CUT));
 
-        assertThat(run.mCached).containsEntry("cold", 0).containsEntry("warm", 320);
+        assertThat(driver.mCached).containsEntry("cold", 0).containsEntry("warm", 320);
     }
 
     @Test
-    void aHigherPriorityEntersTheBatchFirst() {
-        Run run = new Run();
+    void higherPriorityEntersBatchFirst() {
+        ModelDriver driver = new ModelDriver();
         for (int i = 0; i < SMALL.maxRunning(); i++) {
-            run.take(new EngineEvent.Submit(request("running" + i, 1, 20), EngineEvent.NO_CUT));
+            driver.step(new EngineEvent.Submit(request("running" + i, 1, 20), EngineEvent.NO_CUT));
         }
         PromptBlocks blocks = request("", 1, 1).blocks();
-        run.take(
+        driver.step(
                 new EngineEvent.Submit(new EngineRequest("low", blocks, 5, 0), EngineEvent.NO_CUT));
-        run.take(
+        driver.step(
                 new EngineEvent.Submit(
                         new EngineRequest("high", blocks, 5, 7), EngineEvent.NO_CUT));
-        run.drain();
+        driver.drain();
 
-        assertThat(run.mStarts.indexOf("high")).isLessThan(run.mStarts.indexOf("low"));
+        assertThat(driver.mStarts.indexOf("high")).isLessThan(driver.mStarts.indexOf("low"));
     }
 
     @Test
-    void aFrozenEngineMakesNoTokens() {
-        Run run = new Run();
-        run.take(new EngineEvent.Submit(request("r", 1, 50), EngineEvent.NO_CUT));
-        run.take(new EngineEvent.Freeze(run.mNow.plusSeconds(10)));
-        run.mNow = run.mNow.plusSeconds(10);
-        run.take(new EngineEvent.Tick());
-        assertThat(run.mProduced).doesNotContainKey("r");
-
-        run.drain();
-        assertThat(run.mProduced).containsEntry("r", 50);
+    void frozenEngineProducesNoTokens() {
+        ModelDriver driver = new ModelDriver();
+        driver.step(new EngineEvent.Submit(request("r", 1, 50), EngineEvent.NO_CUT));
+        driver.step(new EngineEvent.Freeze(driver.mNow.plusSeconds(10)));
+        driver.mNow = driver.mNow.plusSeconds(10);
+        driver.step(new EngineEvent.Tick());
+        assertThat(driver.mProduced).doesNotContainKey("r");
+
+        driver.drain();
+        assertThat(driver.mProduced).containsEntry("r", 50);
     }
 
     private static int tokensOfFirstAfterOneSecond(int streams) {
-        Run run = new Run();
+        ModelDriver driver = new ModelDriver();
         for (int i = 0; i < streams; i++) {
-            run.take(new EngineEvent.Submit(request("r" + i, 1, 1000), EngineEvent.NO_CUT));
+            driver.step(new EngineEvent.Submit(request("r" + i, 1, 1000), EngineEvent.NO_CUT));
         }
-        run.mNow = run.mNow.plusSeconds(1);
-        run.take(new EngineEvent.Tick());
-        return run.mProduced.get("r0");
+        driver.mNow = driver.mNow.plusSeconds(1);
+        driver.step(new EngineEvent.Tick());
+        return driver.mProduced.get("r0");
     }
 
     private static EngineRequest request(String id, int blocks, int output) {
@@ -134,14 +141,14 @@
         return new EngineRequest(id, new PromptBlocks(tokens, blocks, hashes), output, 0);
     }
 
-    /** Drives a model and checks each effect as it comes. */
-    private static final class Run {
+    /** Drives a model and checks each effect as it occurs. */
+    private static final class ModelDriver {
         private final EngineModel mModel = new EngineModel(SMALL, START, c -> {});
         private final Map<String, Integer> mProduced = new HashMap<>();
         private final Map<String, Integer> mCached = new HashMap<>();
         private final List<String> mStarts = new ArrayList<>();
         private final Set<String> mKnown = new HashSet<>();
-        private final Set<String> mOn = new HashSet<>();
+        private final Set<String> mActive = new HashSet<>();
         private Instant mNow = START;
 
         void play(Action a) {
@@ -149,23 +156,23 @@
             String id = "r" + a.request();
             switch (a.kind()) {
                 case 0 -> submit(id, a.size());
-                case 1 -> take(new EngineEvent.Cancel(id));
+                case 1 -> step(new EngineEvent.Cancel(id));
                 case 2 -> resume(id);
-                default -> take(new EngineEvent.Tick());
+                default -> step(new EngineEvent.Tick());
             }
         }
 
         void drain() {
             mNow = mNow.plusSeconds(60);
-            take(new EngineEvent.Tick());
+            step(new EngineEvent.Tick());
         }
 
-        void take(EngineEvent event) {
+        void step(EngineEvent event) {
             if (event instanceof EngineEvent.Submit s) {
                 mKnown.add(s.request().id());
-                mOn.add(s.request().id());
+                mActive.add(s.request().id());
             } else if (event instanceof EngineEvent.Resume r) {
-                mOn.add(r.id());
+                mActive.add(r.id());
             }
             mModel.step(mNow, event, this::check);
             LoadReport load = mModel.load();
@@ -176,14 +183,14 @@
 
         private void submit(String id, int size) {
             if (mKnown.add(id)) {
-                take(new EngineEvent.Submit(request(id, size, size), EngineEvent.NO_CUT));
+                step(new EngineEvent.Submit(request(id, size, size), EngineEvent.NO_CUT));
             }
         }
 
         private void resume(String id) {
-            take(new EngineEvent.Tick());
+            step(new EngineEvent.Tick());
             if (mKnown.contains(id)) {
-                take(new EngineEvent.Resume(id, mProduced.getOrDefault(id, 0), EngineEvent.NO_CUT));
+                step(new EngineEvent.Resume(id, mProduced.getOrDefault(id, 0), EngineEvent.NO_CUT));
             }
         }
 
@@ -196,10 +203,10 @@
                 mStarts.add(id);
                 mCached.put(id, e.cachedTokens());
             } else if (effect instanceof EngineEffect.Ended e) {
-                assertThat(mOn.remove(id)).as("ends once: %s", id).isTrue();
+                assertThat(mActive.remove(id)).as("ends once: %s", id).isTrue();
                 assertThat(e.outputTokens()).isEqualTo(mProduced.getOrDefault(id, 0));
             } else if (!(effect instanceof EngineEffect.Forgotten)) {
-                assertThat(mOn.remove(id)).as("refused once: %s", id).isTrue();
+                assertThat(mActive.remove(id)).as("refused once: %s", id).isTrue();
             }
         }
     }
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineReportsTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineReportsTest.java
@@ -9,23 +9,26 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.errors.LaurelweirException;
 
-/** What the engine tells others: late, with gaps, and with or without a check of orders. */
+/**
+ * Checks the reports of an engine, with their delay and gaps, and its orders, with and without a
+ * check of the fencing token.
+ */
 class EngineReportsTest {
     private static final Instant START = Instant.parse("2026-12-02T00:00:00Z");
     private static final Duration LAG = Duration.ofMillis(300);
 
     @Test
-    void aLoadReportIsTheNewestThatIsAsOldAsTheLag() {
+    void loadReportIsNewestThatIsAtLeastLagOld() {
         LoadReports reports = new LoadReports(LAG, load(0));
-        for (int at = 100; at <= 1000; at += 100) {
-            reports.add(load(at));
+        for (int millis = 100; millis <= 1000; millis += 100) {
+            reports.add(load(millis));
         }
         assertThat(reports.read(START.plusMillis(1050)).running()).isEqualTo(700);
         assertThat(reports.read(START.plusMillis(1300)).running()).isEqualTo(1000);
     }
 
     @Test
-    void cacheEventsComeLateAndWithGaps() {
+    void cacheEventsAreDelayedAndHaveGaps() {
         CacheEvents events = new CacheEvents(LAG, 3);
         for (int i = 1; i <= 6; i++) {
             events.add(START.plusMillis(i * 100), new PrefixCache.Change(i % 2 == 0, i));
@@ -39,16 +42,16 @@
     }
 
     /**
-     * Two control instances give orders; the older one does not know of the newer. An engine that
-     * checks refuses the old number and keeps its role. One that does not check obeys, which is why
-     * the sidecar has to be the gate there.
+     * Two control instances send orders, and the older one does not know of the newer. An engine
+     * that checks the fencing token rejects the older token and keeps its role. An engine that does
+     * not check it applies the order, so there the sidecar has to check the token.
      */
     @Test
-    void anOldOrderIsRefusedOnlyByAnEngineThatChecks() {
+    void staleOrderIsRejectedOnlyIfFenceIsChecked() {
         EngineOrder current = new EngineOrder(EngineOrder.Kind.SET_ROLE, "prefill", 5);
         EngineOrder old = new EngineOrder(EngineOrder.Kind.SET_ROLE, "decode", 4);
-        OrderBook checks = new OrderBook(settings(true, 0), START);
-        OrderBook ignores = new OrderBook(settings(false, 0), START);
+        EngineState checks = new EngineState(settings(true, 0), START);
+        EngineState ignores = new EngineState(settings(false, 0), START);
         checks.apply(START, current);
         ignores.apply(START, current);
 
@@ -61,16 +64,16 @@
     }
 
     @Test
-    void aModelIsReadyOnceItsLoadTimeIsOver() {
-        OrderBook orders = new OrderBook(settings(true, 2000), START);
+    void modelIsReadyAfterLoadTime() {
+        EngineState orders = new EngineState(settings(true, 2000), START);
         orders.apply(START, new EngineOrder(EngineOrder.Kind.LOAD_MODEL, "big", 1));
 
         assertThat(orders.isReady(START.plusMillis(1999), "big")).isFalse();
         assertThat(orders.isReady(START.plusMillis(2000), "big")).isTrue();
     }
 
-    private static LoadReport load(int at) {
-        return new LoadReport(START.plusMillis(at).toEpochMilli(), at, 0, 0, 0, 1);
+    private static LoadReport load(int millis) {
+        return new LoadReport(START.plusMillis(millis).toEpochMilli(), millis, 0, 0, 0, 1);
     }
 
     private static EngineSettings settings(boolean checkFence, int loadMillis) {
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineServerTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/EngineServerTest.java
@@ -27,7 +27,7 @@
 import org.laurelweir.standin.chat.ChatRequest.StreamOptions;
 import org.laurelweir.standin.chat.Prompt;
 
-/** Whole HTTP calls to an engine. */
+/** Checks HTTP calls to an engine. */
 @Timeout(120)
 class EngineServerTest {
     private static final String CHAT = "/v1/chat/completions";
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aPlainAnswerIsWholeAndTheSecondCallFindsItsPromptCached() {
+    void secondCallReusesCachedPrompt() {
         ChatAnswer first = answer(mCalls.call("POST", CHAT, body(false)));
         ChatAnswer second = answer(mCalls.call("POST", CHAT, body(false)));
 
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aStreamedAnswerEndsWithUsageAndDone() {
+    void streamedAnswerEndsWithUsageAndDone() {
         HttpResponse<String> r = mCalls.call("POST", CHAT, body(true), "X-Request-Id", "q-1");
 
         assertThat(r.headers().firstValue("content-type")).contains("text/event-stream");
@@ -80,12 +80,12 @@
     }
 
     /**
-     * The caller sees the connection close after some tokens, without the end of the answer. It
-     * comes back with the engine's id and the number of tokens it has. The engine goes on there, so
-     * that both parts together are the answer that an uncut call gets.
+     * The connection closes after some tokens, before the end of the answer. The caller resumes
+     * with the engine's id and the number of tokens that it has. Both parts together must be the
+     * answer that an uninterrupted call gets.
      */
     @Test
-    void aCutStreamIsResumedWithTheSameBytes() throws IOException {
+    void cutStreamResumesWithSameBytes() throws IOException {
         mCalls.call("POST", "/engine/faults", "{\"kind\":\"cut\",\"afterTokens\":9}");
         assertThatThrownBy(() -> mCalls.call("POST", CHAT, body(true)))
                 .hasRootCauseInstanceOf(IOException.class);
@@ -94,19 +94,20 @@
         HttpResponse<String> rest =
                 mCalls.call("POST", CHAT, "", "X-Engine-Request", id, "X-Resume-Offset", "9");
 
-        String before = Answer.of(PROMPT, 40).text(0, 9);
-        assertThat(before + streamedText(rest.body())).isEqualTo(Answer.of(PROMPT, 40).text());
+        String firstPart = Answer.of(PROMPT, 40).text(0, 9);
+        assertThat(firstPart + streamedText(rest.body())).isEqualTo(Answer.of(PROMPT, 40).text());
         assertThat(mCalls.executions("/engine").executions())
                 .extracting(e -> e.outcome())
                 .containsExactly(Outcome.CUT, Outcome.FINISHED);
     }
 
     /**
-     * The caller hangs up in the middle of a slow answer. The engine sees the connection close,
-     * takes the request out of its batch and records it as cancelled, with fewer tokens than asked.
+     * The caller closes its connection in the middle of a slow answer. The engine removes the
+     * request from its batch and records it as cancelled, with fewer tokens than the call asked
+     * for.
      */
     @Test
-    void aCallerThatHangsUpIsCancelledAndRecorded() throws IOException {
+    void closedConnectionCancelsAndRecordsRun() throws IOException {
         EngineServer slow = new EngineServer(settings(2), InstantSource.system());
         slow.start();
         try (slow) {
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void anOrderWithAnOldFencingNumberIsRefused() {
+    void orderWithOldFencingTokenIsRejected() {
         String load = "{\"kind\":\"load_model\",\"name\":\"big\",\"fence\":5}";
         String old = "{\"kind\":\"unload_model\",\"name\":\"big\",\"fence\":4}";
 
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void aWrongCallGetsAnErrorBody() {
+    void invalidCallGetsErrorBody() {
         assertThat(mCalls.call("POST", CHAT, "{").statusCode()).isEqualTo(400);
         assertThat(mCalls.call("POST", CHAT, body(false), "X-Priority", "high").statusCode())
                 .isEqualTo(400);
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/PrefixCacheTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/engine/PrefixCacheTest.java
@@ -10,13 +10,16 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The prefix cache keeps its size and only prefixes that can be reached. */
+/**
+ * Checks that the prefix cache stays within its capacity and holds no block whose predecessor was
+ * evicted.
+ */
 class PrefixCacheTest {
     private static final int CAPACITY = 10;
     private static final int LENGTH = 8;
 
     @Property(seed = "42", tries = 300)
-    void holdsNoMoreThanItsSizeAndNoBlockWithoutTheOneBefore(
+    void staysWithinCapacityAndHoldsOnlyReachableBlocks(
             @ForAll @Size(max = 40) List<@IntRange(min = 0, max = 40) Integer> uses) {
         Set<Long> held = new HashSet<>();
         PrefixCache cache =
@@ -32,17 +35,17 @@
         for (int use : uses) {
             long[] hashes = chat(use % 6);
             int n = 1 + use % LENGTH;
-            int had = cache.match(hashes, n);
+            int matched = cache.match(hashes, n);
             cache.store(hashes, n);
 
-            assertThat(had).isLessThanOrEqualTo(n);
+            assertThat(matched).isLessThanOrEqualTo(n);
             assertThat(cache.match(hashes, LENGTH)).isGreaterThanOrEqualTo(n);
             assertThat(held).hasSize(cache.size()).hasSizeLessThanOrEqualTo(CAPACITY);
-            assertThat(held).allMatch(b -> b % 100 == 0 || held.contains(before(b)));
+            assertThat(held).allMatch(b -> b % 100 == 0 || held.contains(predecessor(b)));
         }
     }
 
-    /** Each pair of chats shares its first three blocks. */
+    /** Returns the block hashes of a chat. Each pair of chats shares its first three blocks. */
     private static long[] chat(int number) {
         long[] hashes = new long[LENGTH];
         for (int i = 0; i < LENGTH; i++) {
@@ -51,7 +54,7 @@
         return hashes;
     }
 
-    private static long before(long block) {
+    private static long predecessor(long block) {
         long i = block % 100;
         boolean branch = block >= 100_000 && i == 3;
         long number = block / 100_000 - 1;
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/http/HttpServerTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/http/HttpServerTest.java
@@ -9,16 +9,17 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.runtime.config.Endpoint;
 
-/** What a stand-in's server leaves behind when it stops. */
+/** Checks that a stand-in's HTTP server closes its sockets when it stops. */
 class HttpServerTest {
-    private static final int STOPS = 2_000;
-    private static final int CONNECT_MILLIS = 5_000;
+    private static final int STOP_COUNT = 2_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 5_000;
 
-    // A stopped server went on listening, and whoever called it waited for an answer until the
-    // deadline in place of being refused.
+    // A stopped server that still listens makes its callers wait until their deadline, because
+    // their connections are not refused. Stopping the server once does not show the fault reliably,
+    // so the test repeats it.
     @Test
-    void aStoppedServerRefusesConnections() {
-        for (int i = 0; i < STOPS; i++) {
+    void stoppedServerRefusesConnections() {
+        for (int i = 0; i < STOP_COUNT; i++) {
             HttpServer server = new HttpServer(Endpoint.parse("127.0.0.1:0"), call -> {});
             server.start();
             InetSocketAddress address = server.address();
@@ -31,7 +32,7 @@
 
     private static void connect(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(address, CONNECT_MILLIS);
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
         }
     }
 }
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/load/LoadRunTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/load/LoadRunTest.java
@@ -21,7 +21,7 @@
 import org.laurelweir.standin.plain.PlainServer;
 import org.laurelweir.standin.plain.PlainSettings;
 
-/** Whole runs of the load generator, with stand-ins in the place of routers. */
+/** Checks complete runs of the load generator against stand-ins, without routers. */
 @Timeout(120)
 class LoadRunTest {
     private static final long SEED = 42;
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void returningChatsGetTheirWholeOwnAnswersFromTheCache() throws InterruptedException {
+    void returningChatsReuseTheCache() throws InterruptedException {
         Report report = run(plan(mEngine.server(), 6, 0));
 
         assertThat(report.isWhole()).as(report.table()).isTrue();
@@ -63,11 +63,11 @@
     }
 
     /**
-     * One answer is cut in the middle. Its chat ends there, the others go on, and the run is not
-     * whole.
+     * One answer is cut in the middle. Its chat ends there, the other chats continue, and the
+     * report says that the run is not complete.
      */
     @Test
-    void aCutAnswerShowsInTheReport() throws InterruptedException {
+    void truncatedAnswerIsReported() throws InterruptedException {
         new HttpCalls(mEngine.server().address())
                 .call("POST", "/engine/faults", "{\"kind\":\"cut\",\"after\":4}");
         Report report = run(plan(mEngine.server(), 6, 0));
@@ -77,9 +77,12 @@
         assertThat(report.requests().answered()).isBetween(15, 17);
     }
 
-    /** The first call is refused with a time to come back; the caller returns and is answered. */
+    /**
+     * The first call is refused with a Retry-After header. The load generator retries it and gets
+     * an answer.
+     */
     @Test
-    void aRefusedCallComesBack() throws InterruptedException {
+    void refusedCallIsRetried() throws InterruptedException {
         new HttpCalls(mPlain.server().address())
                 .call("POST", "/plain/faults", "{\"kind\":\"refuse\"}");
         Report report = run(plan(mPlain.server(), 0, 10));
@@ -90,30 +93,40 @@
     }
 
     /**
-     * A router in between sends each call twice. Every caller gets an answer, so only the services'
-     * own records show that the POSTs were run twice.
+     * A faulty router sends each call twice. Every caller gets an answer, so only the services'
+     * execution logs show that the POSTs ran twice.
      */
     @Test
-    void aPostThatIsRunTwiceShowsInTheReport() throws InterruptedException {
-        HttpCalls behind = new HttpCalls(mPlain.server().address());
-        HttpServer twice =
+    void repeatedPostIsReported() throws InterruptedException {
+        HttpCalls service = new HttpCalls(mPlain.server().address());
+        HttpServer duplicatingRouter =
                 new HttpServer(
                         new Endpoint("127.0.0.1", 0),
-                        x -> {
-                            String body = new String(x.body(), StandardCharsets.UTF_8);
-                            String key = x.header("Idempotency-Key").orElse("none");
-                            behind.call(x.method(), x.path(), body, "Idempotency-Key", key);
+                        exchange -> {
+                            String body = new String(exchange.body(), StandardCharsets.UTF_8);
+                            String key = exchange.header("Idempotency-Key").orElse("none");
+                            service.call(
+                                    exchange.method(),
+                                    exchange.path(),
+                                    body,
+                                    "Idempotency-Key",
+                                    key);
                             String answer =
-                                    behind.call(x.method(), x.path(), body, "Idempotency-Key", key)
+                                    service.call(
+                                                    exchange.method(),
+                                                    exchange.path(),
+                                                    body,
+                                                    "Idempotency-Key",
+                                                    key)
                                             .body();
-                            x.respond(
+                            exchange.respond(
                                     200,
                                     "application/json",
                                     answer.getBytes(StandardCharsets.UTF_8));
                         });
-        twice.start();
-        try (twice) {
-            Report report = run(plan(twice, 0, 4));
+        duplicatingRouter.start();
+        try (duplicatingRouter) {
+            Report report = run(plan(duplicatingRouter, 0, 4));
             assertThat(report.requests().answered()).isEqualTo(4);
             assertThat(report.repeatedRuns()).hasSizeGreaterThanOrEqualTo(2);
             assertThat(report.isWhole()).isFalse();
@@ -121,7 +134,7 @@
     }
 
     @Test
-    void controlBytesAreSummedOverTheirLabels() {
+    void controlBytesAreSummedOverLabels() {
         String page =
                 "# TYPE laurelweir_control_bytes_total counter\n"
                         + "laurelweir_control_bytes_total{peer=\"a b\",way=\"in\"} 12\n"
@@ -132,10 +145,10 @@
     }
 
     private Report run(LoadPlan plan) throws InterruptedException {
-        Observed.Targets targets =
-                new Observed.Targets(
+        RunObserver.Targets targets =
+                new RunObserver.Targets(
                         List.of(uri(mEngine.server())), List.of(uri(mPlain.server())), List.of());
-        return new LoadRun(plan).run(new Observed(targets));
+        return new LoadRun(plan).run(new RunObserver(targets));
     }
 
     private static LoadPlan plan(HttpServer router, int chats, int plainCalls) {
@@ -152,7 +165,7 @@
     }
 
     private static URI uri(HttpServer server) {
-        InetSocketAddress at = server.address();
-        return URI.create("http://" + at.getHostString() + ":" + at.getPort());
+        InetSocketAddress address = server.address();
+        return URI.create("http://" + address.getHostString() + ":" + address.getPort());
     }
 }
--- a/org.laurelweir.standin/src/test/java/org/laurelweir/standin/plain/PlainServerTest.java
+++ b/org.laurelweir.standin/src/test/java/org/laurelweir/standin/plain/PlainServerTest.java
@@ -15,7 +15,7 @@
 import org.laurelweir.standin.Execution.Outcome;
 import org.laurelweir.standin.HttpCalls;
 
-/** Whole HTTP calls to a plain service. */
+/** Checks HTTP calls to a plain service. */
 @Timeout(120)
 class PlainServerTest {
     private PlainServer mPlain;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aCallThatIsSentTwiceShowsTwice() {
+    void callSentTwiceIsRecordedTwice() {
         mCalls.call("POST", "/bookings", "{}", "Idempotency-Key", "k-1");
         mCalls.call("POST", "/bookings", "{}", "Idempotency-Key", "k-1");
 
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anyMethodIsAnsweredUnderItsPath() {
+    void anyMethodAndPathIsAnswered() {
         HttpResponse<String> r = mCalls.call("GET", "/bookings/1", "");
 
         assertThat(r.statusCode()).isEqualTo(200);
@@ -54,11 +54,11 @@
     }
 
     /**
-     * The caller sees 503 and may send again, as nothing was run. The next call is cut in the
-     * middle of its answer: the caller can't tell whether it ran, but the record shows that it did.
+     * A refused call gets 503 and is not run, so the caller may retry it. A call that is cut in the
+     * middle of its answer has run; its caller cannot tell, but the execution log shows it.
      */
     @Test
-    void aRefusedCallIsNotRunAndACutOneIs() {
+    void refusedCallIsNotRunAndCutCallIs() {
         mCalls.call("POST", "/plain/faults", "{\"kind\":\"refuse\"}");
         mCalls.call("POST", "/plain/faults", "{\"kind\":\"cut\",\"after\":5}");
 
@@ -71,13 +71,13 @@
     }
 
     /**
-     * The caller sees silence: the call is accepted and run, but no answer comes. Another
-     * connection works meanwhile, so the record can be read.
+     * A frozen call is accepted and run, but never answered. Other connections still work, so the
+     * execution log can be read.
      */
     @Test
-    void aFrozenCallIsRecordedAsRunning() {
+    void frozenCallIsRecordedAsRunning() {
         mCalls.call("POST", "/plain/faults", "{\"kind\":\"freeze\"}");
-        CompletableFuture<HttpResponse<String>> silent = mCalls.send("POST", "/bookings", "{}");
+        CompletableFuture<HttpResponse<String>> unanswered = mCalls.send("POST", "/bookings", "{}");
         while (mCalls.executions("/plain").executions().isEmpty()) {
             Thread.onSpinWait();
         }
@@ -85,6 +85,6 @@
         assertThat(mCalls.executions("/plain").executions())
                 .extracting(Execution::outcome)
                 .containsExactly(Outcome.RUNNING);
-        assertThat(silent).isNotDone();
+        assertThat(unanswered).isNotDone();
     }
 }
