--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Bounds.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Bounds.java
@@ -3,11 +3,11 @@
 import java.lang.reflect.RecordComponent;
 import java.util.List;
 
-/** What {@link Range} and {@link OneOf} ask of a value. */
+/** Checks values against the {@link Range} and {@link OneOf} of their record components. */
 final class Bounds {
     private Bounds() {}
 
-    static boolean hold(RecordComponent component, ScalarType type, Object value) {
+    static boolean accept(RecordComponent component, ScalarType type, Object value) {
         OneOf oneOf = component.getAnnotation(OneOf.class);
         if (oneOf != null && !List.of(oneOf.value()).contains(value.toString())) {
             return false;
@@ -20,7 +20,7 @@
                 && (range.max().isEmpty() || compare(value, type.parser().apply(range.max())) <= 0);
     }
 
-    /** Returns what may stand for the component, for the reader of a fault. */
+    /** Returns a description of the allowed values, for a fault message. */
     static String allowed(RecordComponent component, ScalarType type) {
         OneOf oneOf = component.getAnnotation(OneOf.class);
         if (oneOf != null) {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Default.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Default.java
@@ -5,10 +5,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The value of a key that the file leaves out, written as the file would write it. */
+/** The value that is used if the file omits the key. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Default {
-    /** The value as text. */
+    /** The default value, in the notation of the file. */
     String value();
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Defines.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Defines.java
@@ -6,11 +6,12 @@
 import java.lang.annotation.Target;
 
 /**
- * The text names something to which a key marked {@link RefersTo} may refer; a name stands once.
+ * Marks a key whose text defines a name to which keys marked {@link RefersTo} may refer. Each name
+ * of a kind is unique in a file.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Defines {
-    /** The kind of thing that is named. */
+    /** The kind of the named thing; the same text as in the {@link RefersTo} of its references. */
     String value();
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Endpoint.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Endpoint.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 
 /**
- * Where a process listens or connects, written {@code host:port}.
+ * The address on which a process listens or to which it connects, written {@code host:port}.
  *
- * @param host an IP number or a host name, without brackets
- * @param port 0 to 65535; 0 lets the operating system choose when listening
+ * @param host an IP address or a host name, without brackets
+ * @param port 0 to 65535; when listening, 0 lets the operating system choose
  */
 public record Endpoint(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
-    /** Refuses an empty host and a port out of range. */
+    /** Rejects an empty host and a port out of range with an IllegalArgumentException. */
     public Endpoint {
         if (host.isEmpty() || port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("not an endpoint: " + host + ":" + port);
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Reads an endpoint.
+     * Parses an endpoint.
      *
-     * @param text {@code host:port}, an IPv6 number in brackets
+     * @param text {@code host:port}, with an IPv6 address in brackets
      * @return the endpoint
      * @throws IllegalArgumentException if the text has another form
      */
@@ -40,7 +40,7 @@
             return host.substring(1, host.length() - 1);
         }
         if (host.indexOf(':') >= 0) {
-            throw new IllegalArgumentException("an IPv6 number stands in brackets: " + host);
+            throw new IllegalArgumentException("an IPv6 address must be in brackets: " + host);
         }
         return host;
     }
@@ -50,7 +50,10 @@
         return new InetSocketAddress(host, port);
     }
 
-    /** Returns the same host with another port, such as the one the operating system chose. */
+    /**
+     * Returns an endpoint with the same host and another port, such as one that the operating
+     * system chose.
+     */
     public Endpoint withPort(int newPort) {
         return new Endpoint(host, newPort);
     }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/FaultList.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/FaultList.java
@@ -24,18 +24,23 @@
         return mFaults.size();
     }
 
-    /** Throws BAD_SETTINGS_FILE with every fault, one a line, if there is any. */
+    /**
+     * Throws a LaurelweirException with code BAD_SETTINGS_FILE and one line per fault, if there are
+     * faults.
+     */
     void throwIfAny() {
         if (mFaults.isEmpty()) {
             return;
         }
         String lines =
-                inOrder().stream().map(SettingsFault::toString).collect(Collectors.joining("\n"));
+                inFileOrder().stream()
+                        .map(SettingsFault::toString)
+                        .collect(Collectors.joining("\n"));
         throw new LaurelweirException(ResultCode.BAD_SETTINGS_FILE, lines);
     }
 
-    /** Returns the faults in the order of the file. */
-    List<SettingsFault> inOrder() {
+    /** Returns the faults in the order of their lines. */
+    List<SettingsFault> inFileOrder() {
         return mFaults.stream().sorted(Comparator.comparingInt(SettingsFault::line)).toList();
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/NameTable.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/NameTable.java
@@ -6,29 +6,32 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The names a file defines and the references to them, resolved once all of it has been read. */
+/**
+ * Collects the names that a file defines and the references to them. References are resolved after
+ * the whole file has been read.
+ */
 final class NameTable {
-    private final Map<String, Map<String, Integer>> mLinesByName = new HashMap<>();
+    private final Map<String, Map<String, Integer>> mLinesByKind = new HashMap<>();
     private final List<Reference> mReferences = new ArrayList<>();
 
     private record Reference(String kind, String name, int line, String key) {}
 
-    void define(String kind, String name, int line, String key, FaultList faults) {
-        Integer earlier =
-                mLinesByName.computeIfAbsent(kind, k -> new TreeMap<>()).putIfAbsent(name, line);
-        if (earlier != null) {
-            String problem = "the name \"" + name + "\" already stands on line " + earlier;
+    void addDefinition(String kind, String name, int line, String key, FaultList faults) {
+        Integer earlierLine =
+                mLinesByKind.computeIfAbsent(kind, k -> new TreeMap<>()).putIfAbsent(name, line);
+        if (earlierLine != null) {
+            String problem = "the name \"" + name + "\" already stands on line " + earlierLine;
             faults.add(line, key, problem, "each name of a " + kind + " once");
         }
     }
 
-    void refer(String kind, String name, int line, String key) {
+    void addReference(String kind, String name, int line, String key) {
         mReferences.add(new Reference(kind, name, line, key));
     }
 
-    void resolve(FaultList faults) {
+    void resolveReferences(FaultList faults) {
         for (Reference r : mReferences) {
-            Map<String, Integer> names = mLinesByName.getOrDefault(r.kind, Map.of());
+            Map<String, Integer> names = mLinesByKind.getOrDefault(r.kind, Map.of());
             if (!names.containsKey(r.name)) {
                 String problem = "no " + r.kind + " is named \"" + r.name + "\"";
                 String known =
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/OneOf.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/OneOf.java
@@ -5,10 +5,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The values that a text may take. */
+/** Restricts a text to a set of values. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface OneOf {
-    /** The values allowed. */
+    /** The allowed values, in the notation of the file. */
     String[] value();
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ProgramName.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ProgramName.java
@@ -5,7 +5,10 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The program to which a settings file belongs: its first key must read {@code program: VALUE}. */
+/**
+ * Names the program to which a settings file belongs. The file must begin with {@code program:
+ * VALUE}.
+ */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
 public @interface ProgramName {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Range.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Range.java
@@ -6,15 +6,15 @@
 import java.lang.annotation.Target;
 
 /**
- * The least and greatest value of a number, duration or size, both allowed. On a list it holds for
+ * The minimum and maximum of a number, duration or size, both inclusive. On a list, it applies to
  * each element.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Range {
-    /** The least value, written as the file would write it; empty for no limit. */
+    /** The minimum, in the notation of the file; empty for no minimum. */
     String min() default "";
 
-    /** The greatest value, written as the file would write it; empty for no limit. */
+    /** The maximum, in the notation of the file; empty for no maximum. */
     String max() default "";
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/RecordBinder.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/RecordBinder.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Binds a mapping to a record; each component is the key of the same name in kebab case. */
+/**
+ * Binds a YAML mapping to a record. Each component takes the value of the key with the same name in
+ * kebab case.
+ */
 final class RecordBinder {
     private static final String PROGRAM_KEY = "program";
 
@@ -27,13 +30,13 @@
      *
      * @param type the record's class
      * @param mapping the keys and values of the file
-     * @param path the keys above, for faults
-     * @return the record, or null if a fault keeps it from being built
+     * @param path path of the mapping in the file, for fault messages
+     * @return the record, or null if its values have faults
      */
     <T> T bind(Class<T> type, YamlNode.Mapping mapping, String path) {
         int faultsBefore = mFaults.size();
         Map<String, RecordComponent> components = componentsOf(type);
-        checkUnknown(type, mapping, path, components);
+        checkUnknownKeys(type, mapping, path, components);
         Map<String, Object> values = new HashMap<>();
         components.forEach(
                 (key, c) -> values.put(key, mValues.bind(c, mapping, key, join(path, key))));
@@ -55,7 +58,7 @@
         return name.replaceAll("([A-Z])", "-$1").toLowerCase(Locale.ROOT);
     }
 
-    private void checkUnknown(
+    private void checkUnknownKeys(
             Class<?> type,
             YamlNode.Mapping mapping,
             String path,
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/RefersTo.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/RefersTo.java
@@ -6,12 +6,12 @@
 import java.lang.annotation.Target;
 
 /**
- * The text must be a name that a key marked {@link Defines} gives somewhere in the file. On a list
- * it holds for each element.
+ * Marks a key whose text must be a name that a key marked {@link Defines} defines in the same file.
+ * On a list, it applies to each element.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface RefersTo {
-    /** The kind of thing that is referred to. */
+    /** The kind of the named thing; the same text as in its {@link Defines}. */
     String value();
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Required.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/Required.java
@@ -5,7 +5,7 @@
 import java.lang.annotation.RetentionPolicy;
 import java.lang.annotation.Target;
 
-/** The key must stand in the file; a list must have an element. */
+/** Marks a key that the file must contain. A required list must have at least one element. */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.RECORD_COMPONENT)
 public @interface Required {}
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ScalarType.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ScalarType.java
@@ -12,10 +12,11 @@
 import org.laurelweir.settings.Durations;
 
 /**
- * A type of which a value is written as one word.
+ * A type whose values are written as YAML scalars.
  *
- * @param allowed what a value looks like, for the reader of a fault
- * @param parser reads a value; throws IllegalArgumentException for a text that has none
+ * @param allowed description of the allowed values, for fault messages
+ * @param parser parses a value; throws IllegalArgumentException if the text is not a value of the
+ *     type
  */
 record ScalarType(String allowed, Function<String, Object> parser) {
     private static final Map<Class<?>, ScalarType> TYPES =
@@ -39,7 +40,7 @@
                     Path.class,
                     new ScalarType("a path", Path::of));
 
-    /** Returns the scalar type for a Java type, or nothing if it isn't one. */
+    /** Returns the scalar type for a Java type, or empty if the Java type is not scalar. */
     static Optional<ScalarType> of(Class<?> type) {
         if (type.isEnum()) {
             return Optional.of(ofEnum(type.getEnumConstants()));
@@ -49,17 +50,19 @@
 
     private static ScalarType ofEnum(Object[] constants) {
         String allowed =
-                Arrays.stream(constants).map(ScalarType::word).collect(Collectors.joining(", "));
+                Arrays.stream(constants)
+                        .map(ScalarType::enumText)
+                        .collect(Collectors.joining(", "));
         return new ScalarType(
                 allowed,
                 s ->
                         Arrays.stream(constants)
-                                .filter(c -> word(c).equals(s))
+                                .filter(c -> enumText(c).equals(s))
                                 .findFirst()
                                 .orElseThrow(() -> new IllegalArgumentException(s)));
     }
 
-    private static String word(Object constant) {
+    private static String enumText(Object constant) {
         return ((Enum<?>) constant).name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/SettingsFault.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/SettingsFault.java
@@ -1,16 +1,20 @@
 package org.laurelweir.runtime.config;
 
 /**
- * One thing wrong in a settings file.
+ * A fault in a settings file.
  *
- * @param file the file as it was named
- * @param line counted from 1
- * @param key the key with the keys above it, such as {@code peers[0].endpoint}; empty for the file
- * @param problem what is wrong
- * @param allowed what may stand there
+ * @param file path of the file, as the caller gave it
+ * @param line line number, counted from 1
+ * @param key path of the key, such as {@code peers[0].endpoint}; empty for a fault of the whole
+ *     file
+ * @param problem description of the fault
+ * @param allowed description of the allowed values
  */
 public record SettingsFault(String file, int line, String key, String problem, String allowed) {
-    /** Returns the fault in one line, place first, as compilers do. */
+    /**
+     * Returns the fault as one line that begins with the file and line number, as compiler messages
+     * do.
+     */
     @Override
     public String toString() {
         String where = file + ":" + line + ": ";
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/SettingsFile.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/SettingsFile.java
@@ -16,11 +16,11 @@
  * <p>The file's specification is a record class annotated with {@link ProgramName}. A component
  * named {@code dataCentre} is the key {@code data-centre}. Its type is a String, int, long, double,
  * boolean, enum, {@link java.time.Duration}, {@link org.laurelweir.settings.ByteSize}, {@link
- * Endpoint} or Path; a record of such; or a List, a Map from names, or an Optional of these. A
- * component has {@link Required}, {@link Default} or is an Optional; a list, map or record that is
- * left out is empty or takes its own defaults. {@link Range}, {@link OneOf}, {@link Defines} and
- * {@link RefersTo} narrow a value. A record's constructor may refuse values that do not agree with
- * each other by throwing IllegalArgumentException.
+ * Endpoint} or Path; a record of these; or a List, a Map with String keys, or an Optional of these.
+ * A component is annotated with {@link Required} or {@link Default}, or is an Optional. An omitted
+ * list or map is empty; an omitted record takes its own defaults. {@link Range}, {@link OneOf},
+ * {@link Defines} and {@link RefersTo} restrict a value. A record's constructor may reject
+ * inconsistent values by throwing IllegalArgumentException.
  */
 public final class SettingsFile {
     private static final String PROGRAM_KEY = "program";
@@ -33,7 +33,7 @@
      * @param spec the record class that specifies the file
      * @param path the file
      * @return the settings
-     * @throws LaurelweirException BAD_SETTINGS_FILE with every fault, one a line
+     * @throws LaurelweirException BAD_SETTINGS_FILE with one line per fault
      */
     public static <T extends Record> T read(Class<T> spec, Path path) {
         FaultList faults = new FaultList(path.toString());
@@ -43,41 +43,41 @@
     }
 
     /**
-     * Checks a file without using it.
+     * Checks a file and returns its faults.
      *
      * @param spec the record class that specifies the file
      * @param path the file
-     * @return every fault in the order of the file; empty if there is none
+     * @return the faults in the order of the file; empty if there are none
      */
     public static List<SettingsFault> check(Class<? extends Record> spec, Path path) {
         FaultList faults = new FaultList(path.toString());
         bind(spec, path, faults);
-        return faults.inOrder();
+        return faults.inFileOrder();
     }
 
     /**
-     * Checks a file of whichever program its first key names, or of the settings tree if that key
-     * is a node's path.
+     * Checks a file against the specification of the program that its first key names. If the first
+     * key is the path of a settings node, checks the file as a settings tree.
      *
      * @param specs the record classes that specify the programs' files
      * @param path the file
-     * @return every fault in the order of the file; empty if there is none
+     * @return the faults in the order of the file; empty if there are none
      */
     public static List<SettingsFault> check(List<Class<? extends Record>> specs, Path path) {
         FaultList faults = new FaultList(path.toString());
         YamlNode.Mapping top = parse(path, faults);
         if (top == null) {
-            return faults.inOrder();
+            return faults.inFileOrder();
         }
         if (top.entries().keySet().stream().findFirst().orElse("").startsWith("/")) {
             return TreeFile.check(path);
         }
         Map<String, Class<? extends Record>> byProgram = new TreeMap<>();
         specs.forEach(s -> byProgram.put(programOf(s), s));
-        Class<? extends Record> spec = byProgram.get(firstProgram(top).orElse(""));
+        Class<? extends Record> spec = byProgram.get(programInFirstKey(top).orElse(""));
         if (spec == null) {
             addProgramFault(top, String.join(", ", byProgram.keySet()), faults);
-            return faults.inOrder();
+            return faults.inFileOrder();
         }
         return check(spec, path);
     }
@@ -88,12 +88,12 @@
             return null;
         }
         String program = programOf(spec);
-        if (!firstProgram(top).equals(Optional.of(program))) {
+        if (!programInFirstKey(top).equals(Optional.of(program))) {
             addProgramFault(top, program, faults);
         }
         NameTable names = new NameTable();
         T settings = new RecordBinder(faults, names).bind(spec, top, "");
-        names.resolve(faults);
+        names.resolveReferences(faults);
         return settings;
     }
 
@@ -114,7 +114,7 @@
         return program.value();
     }
 
-    private static Optional<String> firstProgram(YamlNode.Mapping top) {
+    private static Optional<String> programInFirstKey(YamlNode.Mapping top) {
         Iterator<Map.Entry<String, YamlNode.Entry>> entries = top.entries().entrySet().iterator();
         if (!entries.hasNext()) {
             return Optional.empty();
@@ -133,7 +133,7 @@
             faults.add(top.line(), PROGRAM_KEY, "missing as the first key", allowed);
             return;
         }
-        String problem = "is " + entry.value().kind() + " or not the first key";
+        String problem = "is " + entry.value().description() + " or not the first key";
         faults.add(entry.line(), PROGRAM_KEY, problem, allowed);
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/TreeFile.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/TreeFile.java
@@ -12,13 +12,14 @@
 import org.laurelweir.settings.SettingsCheck;
 
 /**
- * Reads nodes of the settings tree from a YAML file: each top key is a node's path, below it stand
- * the node's keys. A list may be written as a YAML list or with commas.
+ * Reads nodes of the settings tree from a YAML file. Each top-level key is a node's path; its value
+ * maps the node's keys to their values. A list may be written as a YAML list or as a text with
+ * commas.
  */
 public final class TreeFile {
     private final FaultList mFaults;
 
-    /** The line of each node by its path and of each value by path, a space and key. */
+    /** Line numbers: of a node by its path, of a value by path, a space and the value's key. */
     private final Map<String, Integer> mLines = new LinkedHashMap<>();
 
     private final Map<String, Map<String, String>> mNodes = new LinkedHashMap<>();
@@ -28,16 +29,16 @@
     }
 
     /**
-     * Reads a file. References to nodes outside the file are left to control.
+     * Reads a file. Does not check references to nodes outside the file; control checks those.
      *
      * @param path the file
-     * @return the values of each node, as control takes them, by the node's path
-     * @throws LaurelweirException BAD_SETTINGS_FILE with every fault, one a line
+     * @return the values of each node by the node's path, in the form that control accepts
+     * @throws LaurelweirException BAD_SETTINGS_FILE with one line per fault
      */
     public static Map<String, Map<String, String>> read(Path path) {
         TreeFile file = new TreeFile(new FaultList(path.toString()));
         file.parse(SettingsFile.parse(path, file.mFaults));
-        file.report(SettingsCheck.nodeFaults(file.changes()));
+        file.addFaults(SettingsCheck.nodeFaults(file.changes()));
         file.mFaults.throwIfAny();
         return file.mNodes;
     }
@@ -46,13 +47,13 @@
      * Checks a file that holds a whole tree.
      *
      * @param path the file
-     * @return every fault in the order of the file, unresolvable references included
+     * @return the faults in the order of the file, including unresolvable references
      */
     public static List<SettingsFault> check(Path path) {
         TreeFile file = new TreeFile(new FaultList(path.toString()));
         file.parse(SettingsFile.parse(path, file.mFaults));
-        file.report(SettingsCheck.treeFaults(file.changes()));
-        return file.mFaults.inOrder();
+        file.addFaults(SettingsCheck.treeFaults(file.changes()));
+        return file.mFaults.inFileOrder();
     }
 
     private void parse(YamlNode.Mapping top) {
@@ -72,7 +73,8 @@
         if (node.value() instanceof YamlNode.Mapping m) {
             m.entries().forEach((key, e) -> putValue(path, key, e, values));
         } else {
-            mFaults.add(node.line(), path, "is " + node.value().kind(), "keys, or {} for none");
+            mFaults.add(
+                    node.line(), path, "is " + node.value().description(), "keys, or {} for none");
         }
         return values;
     }
@@ -83,7 +85,8 @@
         String text = textOf(entry.value());
         if (text == null) {
             String allowed = "a text, number or list of such";
-            mFaults.add(entry.line(), path + " " + key, "is " + entry.value().kind(), allowed);
+            mFaults.add(
+                    entry.line(), path + " " + key, "is " + entry.value().description(), allowed);
             return;
         }
         values.put(key, text);
@@ -114,7 +117,7 @@
         return changes;
     }
 
-    private void report(List<NodeFault> faults) {
+    private void addFaults(List<NodeFault> faults) {
         for (NodeFault f : faults) {
             String place = f.key().isEmpty() ? f.path() : f.path() + " " + f.key();
             int nodeLine = mLines.getOrDefault(f.path(), 1);
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ValueBinder.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/ValueBinder.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Binds the value of one key by its component's type and annotations. */
+/**
+ * Converts the value of a key to the type of its record component and checks it against the
+ * component's annotations.
+ */
 final class ValueBinder {
     private final RecordBinder mRecords;
     private final FaultList mFaults;
@@ -22,12 +25,12 @@
     }
 
     /**
-     * Binds one component.
+     * Binds one record component.
      *
      * @param component the component
-     * @param parent the mapping in which its key may stand
-     * @param key its key
-     * @param path its key with the keys above, for faults
+     * @param parent the mapping that may contain the component's key
+     * @param key the component's key
+     * @param path path of the key in the file, for fault messages
      * @return the value; null or an empty list or Optional if the key is absent or faulty
      */
     Object bind(RecordComponent component, YamlNode.Mapping parent, String key, String path) {
@@ -40,15 +43,16 @@
             mFaults.add(parent.line(), path, "missing", allowed);
             return null;
         }
-        Default d = component.getAnnotation(Default.class);
-        if (d != null) {
-            YamlNode written = new YamlNode.Scalar(parent.line(), d.value());
-            return bindNode(component, component.getGenericType(), written, path);
+        Default defaultValue = component.getAnnotation(Default.class);
+        if (defaultValue != null) {
+            YamlNode defaultNode = new YamlNode.Scalar(parent.line(), defaultValue.value());
+            return bindNode(component, component.getGenericType(), defaultNode, path);
         }
-        return absent(component, parent, path);
+        return valueOfAbsentKey(component, parent, path);
     }
 
-    private Object absent(RecordComponent component, YamlNode.Mapping parent, String path) {
+    private Object valueOfAbsentKey(
+            RecordComponent component, YamlNode.Mapping parent, String path) {
         Class<?> type = component.getType();
         if (type == Optional.class) {
             return Optional.empty();
@@ -77,7 +81,7 @@
         if (node instanceof YamlNode.Mapping m) {
             return mRecords.bind(raw, m, path);
         }
-        mFaults.add(node.line(), path, "is " + node.kind(), "a mapping of keys to values");
+        mFaults.add(node.line(), path, "is " + node.description(), "a mapping of keys to values");
         return null;
     }
 
@@ -95,7 +99,7 @@
 
     private Object bindList(RecordComponent component, Type element, YamlNode node, String path) {
         if (!(node instanceof YamlNode.Sequence sequence)) {
-            mFaults.add(node.line(), path, "is " + node.kind(), "a list");
+            mFaults.add(node.line(), path, "is " + node.description(), "a list");
             return List.of();
         }
         if (sequence.items().isEmpty() && component.isAnnotationPresent(Required.class)) {
@@ -111,7 +115,8 @@
 
     private Object bindMap(RecordComponent component, Type element, YamlNode node, String path) {
         if (!(node instanceof YamlNode.Mapping mapping)) {
-            mFaults.add(node.line(), path, "is " + node.kind(), "a mapping of names to values");
+            mFaults.add(
+                    node.line(), path, "is " + node.description(), "a mapping of names to values");
             return Map.of();
         }
         Map<String, Object> values = new LinkedHashMap<>();
@@ -129,15 +134,15 @@
         Object value = parse(type, node);
         if (value == null) {
             String allowed = Bounds.allowed(component, type);
-            mFaults.add(node.line(), path, "is " + node.kind(), allowed);
+            mFaults.add(node.line(), path, "is " + node.description(), allowed);
             return null;
         }
-        if (!Bounds.hold(component, type, value)) {
+        if (!Bounds.accept(component, type, value)) {
             String problem = "is out of range: " + ((YamlNode.Scalar) node).text();
             mFaults.add(node.line(), path, problem, Bounds.allowed(component, type));
             return null;
         }
-        name(component, value, node.line(), path);
+        registerName(component, value, node.line(), path);
         return value;
     }
 
@@ -152,14 +157,14 @@
         }
     }
 
-    private void name(RecordComponent component, Object value, int line, String path) {
+    private void registerName(RecordComponent component, Object value, int line, String path) {
         Defines defines = component.getAnnotation(Defines.class);
         if (defines != null) {
-            mNames.define(defines.value(), value.toString(), line, path, mFaults);
+            mNames.addDefinition(defines.value(), value.toString(), line, path, mFaults);
         }
         RefersTo refersTo = component.getAnnotation(RefersTo.class);
         if (refersTo != null) {
-            mNames.refer(refersTo.value(), value.toString(), line, path);
+            mNames.addReference(refersTo.value(), value.toString(), line, path);
         }
     }
 
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/YamlNode.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/YamlNode.java
@@ -3,49 +3,49 @@
 import java.util.List;
 import java.util.Map;
 
-/** A YAML value that knows the line on which it begins. */
+/** A YAML value and the line on which it begins. */
 sealed interface YamlNode {
-    /** Returns the line, counted from 1. */
+    /** Returns the line number, counted from 1. */
     int line();
 
-    /** Returns what the node is, for a reader of a fault. */
-    String kind();
+    /** Returns a description of the value, for fault messages. */
+    String description();
 
     /**
-     * A text, number, truth value or nothing.
+     * A text, a number, a boolean or an empty value.
      *
      * @param line counted from 1
-     * @param text as written, without quotes; null where the value is empty
+     * @param text the value as written, without quotes; null if the value is empty
      */
     record Scalar(int line, String text) implements YamlNode {
         @Override
-        public String kind() {
+        public String description() {
             return text == null ? "nothing" : "\"" + text + "\"";
         }
     }
 
     /**
-     * Keys with values.
+     * A mapping of keys to values.
      *
      * @param line counted from 1
      * @param entries in the order of the file
      */
     record Mapping(int line, Map<String, Entry> entries) implements YamlNode {
         @Override
-        public String kind() {
+        public String description() {
             return "a mapping";
         }
     }
 
     /**
-     * A list.
+     * A YAML sequence.
      *
      * @param line counted from 1
      * @param items in the order of the file
      */
     record Sequence(int line, List<YamlNode> items) implements YamlNode {
         @Override
-        public String kind() {
+        public String description() {
             return "a list";
         }
     }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/YamlReader.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/config/YamlReader.java
@@ -10,10 +10,13 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns YAML text into nodes that know their lines, which a data binder would forget. */
+/**
+ * Parses YAML text into nodes that keep their line numbers. A data binder would discard the line
+ * numbers.
+ */
 final class YamlReader {
     private static final YAMLFactory FACTORY = new YAMLFactory();
-    private static final String ONE_MAPPING = "one mapping of keys to values";
+    private static final String EXPECTED_DOCUMENT = "one mapping of keys to values";
 
     private final YAMLParser mParser;
     private final FaultList mFaults;
@@ -27,8 +30,8 @@
      * Parses a whole file.
      *
      * @param text the file's text
-     * @param faults receives what is wrong with it
-     * @return the top mapping, or null if the text has none
+     * @param faults receives the faults of the text
+     * @return the top-level mapping, or null if the text has none
      */
     static YamlNode.Mapping read(String text, FaultList faults) {
         try (YAMLParser p = FACTORY.createParser(text)) {
@@ -49,12 +52,12 @@
 
     private YamlNode.Mapping readTop() throws IOException {
         if (mParser.nextToken() != JsonToken.START_OBJECT) {
-            mFaults.add(1, "", "the file holds no mapping", ONE_MAPPING);
+            mFaults.add(1, "", "the file holds no mapping", EXPECTED_DOCUMENT);
             return null;
         }
         YamlNode.Mapping top = readMapping("");
         if (mParser.nextToken() != null) {
-            mFaults.add(line(), "", "a second document follows", ONE_MAPPING);
+            mFaults.add(line(), "", "a second document follows", EXPECTED_DOCUMENT);
         }
         return top;
     }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/DecisionLog.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/DecisionLog.java
@@ -5,17 +5,20 @@
 import java.util.List;
 import org.laurelweir.lib.Decision;
 
-/** Writes one line for each routing or placement decision, its parts as fields of their own. */
+/**
+ * Writes one log line for each routing or placement decision, with each part of the decision as a
+ * separate field.
+ */
 public final class DecisionLog {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
-    private static final MetadataKey<String> REQUEST = text("request");
-    private static final MetadataKey<String> CHAT = text("chat");
-    private static final MetadataKey<String> ACCOUNT = text("account");
-    private static final MetadataKey<String> SERVICE = text("service");
-    private static final MetadataKey<String> CANDIDATES = text("candidates");
-    private static final MetadataKey<String> CHOICE = text("choice");
-    private static final MetadataKey<String> REASON = text("reason");
+    private static final MetadataKey<String> REQUEST = stringKey("request");
+    private static final MetadataKey<String> CHAT = stringKey("chat");
+    private static final MetadataKey<String> ACCOUNT = stringKey("account");
+    private static final MetadataKey<String> SERVICE = stringKey("service");
+    private static final MetadataKey<String> CANDIDATES = stringKey("candidates");
+    private static final MetadataKey<String> CHOICE = stringKey("choice");
+    private static final MetadataKey<String> REASON = stringKey("reason");
     private static final MetadataKey<Double> LOAD = MetadataKey.single("load", Double.class);
     private static final MetadataKey<Double> BOUND = MetadataKey.single("bound", Double.class);
     private static final MetadataKey<Double> LOAD_AGE =
@@ -23,47 +26,45 @@
 
     private DecisionLog() {}
 
-    private static MetadataKey<String> text(String label) {
+    private static MetadataKey<String> stringKey(String label) {
         return MetadataKey.single(label, String.class);
     }
 
-    /**
-     * Returns whether decisions are written at all, for callers that would assemble one in vain.
-     */
+    /** Returns whether decisions are logged. Callers check this before they build a decision. */
     public static boolean isEnabled() {
         return sLogger.atInfo().isEnabled();
     }
 
     /**
-     * Writes a decision. Left out are texts that are null or empty, numbers that are NaN, and chat
-     * 0.
+     * Writes a decision. Omits texts that are null or empty, numbers that are NaN, and a chat key
+     * of 0.
      *
-     * @param d the decision
+     * @param decision the decision
      */
-    public static void write(Decision d) {
+    public static void write(Decision decision) {
         sLogger.atInfo()
-                .with(REQUEST, present(d.request()))
-                .with(CHAT, d.chat() == 0 ? null : Long.toHexString(d.chat()))
-                .with(ACCOUNT, present(d.account()))
-                .with(SERVICE, present(d.service()))
-                .with(CANDIDATES, joined(d.candidates()))
-                .with(CHOICE, present(d.choice()))
-                .with(REASON, present(d.reason()))
-                .with(LOAD, number(d.load()))
-                .with(BOUND, number(d.bound()))
-                .with(LOAD_AGE, number(d.loadAgeMillis()))
-                .log("%s decision", d.program());
+                .with(REQUEST, nullIfEmpty(decision.request()))
+                .with(CHAT, decision.chat() == 0 ? null : Long.toHexString(decision.chat()))
+                .with(ACCOUNT, nullIfEmpty(decision.account()))
+                .with(SERVICE, nullIfEmpty(decision.service()))
+                .with(CANDIDATES, joinOrNull(decision.candidates()))
+                .with(CHOICE, nullIfEmpty(decision.choice()))
+                .with(REASON, nullIfEmpty(decision.reason()))
+                .with(LOAD, nullIfNaN(decision.load()))
+                .with(BOUND, nullIfNaN(decision.bound()))
+                .with(LOAD_AGE, nullIfNaN(decision.loadAgeMillis()))
+                .log("%s decision", decision.program());
     }
 
-    private static String present(String text) {
+    private static String nullIfEmpty(String text) {
         return text == null || text.isEmpty() ? null : text;
     }
 
-    private static String joined(List<String> names) {
+    private static String joinOrNull(List<String> names) {
         return names.isEmpty() ? null : String.join(" ", names);
     }
 
-    private static Double number(double value) {
+    private static Double nullIfNaN(double value) {
         return Double.isNaN(value) ? null : value;
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/DecisionRing.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/DecisionRing.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.laurelweir.lib.Decision;
 
-/** Keeps the newest decisions for operators who ask why. Thread-safe. */
+/**
+ * Keeps the newest decisions, for operators who ask why a request went where it did. Thread-safe.
+ */
 public final class DecisionRing {
     private final int mCapacity;
     private final Deque<Decision> mDecisions = new ArrayDeque<>();
@@ -15,13 +17,13 @@
     /**
      * Creates an empty ring.
      *
-     * @param capacity how many decisions it keeps
+     * @param capacity maximum number of decisions kept
      */
     public DecisionRing(int capacity) {
         mCapacity = capacity;
     }
 
-    /** Keeps a decision, in place of the oldest one if the ring is full. */
+    /** Adds a decision. Evicts the oldest one if the ring is full. */
     public synchronized void add(Decision decision) {
         if (mDecisions.size() == mCapacity) {
             mDecisions.removeFirst();
@@ -30,30 +32,30 @@
     }
 
     /**
-     * Returns decisions, the newest first.
+     * Returns the decisions about a subject, newest first.
      *
-     * @param subject a request's name, which stands for all of its attempts, one attempt's name, or
-     *     a chat's key in hexadecimal; empty for all
-     * @param limit most decisions to return
+     * @param subject a request's name (matches all of its attempts), an attempt's name, or a chat's
+     *     key in hexadecimal; empty matches every decision
+     * @param limit maximum number of decisions to return
      */
     public synchronized List<Decision> find(String subject, int limit) {
         List<Decision> found = new ArrayList<>();
         Iterator<Decision> newestFirst = mDecisions.descendingIterator();
         while (newestFirst.hasNext() && found.size() < limit) {
             Decision d = newestFirst.next();
-            if (subject.isEmpty() || isAbout(d, subject)) {
+            if (subject.isEmpty() || matches(d, subject)) {
                 found.add(d);
             }
         }
         return found;
     }
 
-    private static boolean isAbout(Decision d, String subject) {
-        return isRequest(d.request(), subject)
+    private static boolean matches(Decision d, String subject) {
+        return matchesRequest(d.request(), subject)
                 || (d.chat() != 0 && subject.equals(Long.toHexString(d.chat())));
     }
 
-    private static boolean isRequest(String decided, String subject) {
-        return decided.equals(subject) || decided.startsWith(subject + ".");
+    private static boolean matchesRequest(String requestName, String subject) {
+        return requestName.equals(subject) || requestName.startsWith(subject + ".");
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LineFormat.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LineFormat.java
@@ -20,13 +20,16 @@
 import java.util.logging.LogRecord;
 import java.util.logging.SimpleFormatter;
 
-/** Makes a line of a record: of Flogger with its fields, or of a library without. */
+/**
+ * Formats log records as lines. Records from Flogger carry structured fields; records that
+ * libraries log through java.util.logging carry none.
+ */
 final class LineFormat {
-    private static final DateTimeFormatter TIME =
+    private static final DateTimeFormatter TIME_FORMATTER =
             DateTimeFormatter.ofPattern("yyyy-MM-dd'T'HH:mm:ss.SSS'Z'").withZone(ZoneOffset.UTC);
-    private static final JsonFactory JSON = new JsonFactory();
-    private static final SimpleFormatter MESSAGES = new SimpleFormatter();
-    private static final String CAUSE = "cause";
+    private static final JsonFactory JSON_FACTORY = new JsonFactory();
+    private static final SimpleFormatter MESSAGE_FORMATTER = new SimpleFormatter();
+    private static final String CAUSE_LABEL = "cause";
 
     private final LogSettings.Format mFormat;
 
@@ -34,31 +37,33 @@
         mFormat = format;
     }
 
-    byte[] lineOf(LogRecord record) {
+    byte[] format(LogRecord record) {
         Map<String, Object> fields = fieldsOf(record);
-        return mFormat == LogSettings.Format.JSON ? json(record, fields) : plain(record, fields);
+        return mFormat == LogSettings.Format.JSON
+                ? formatJson(record, fields)
+                : formatPlain(record, fields);
     }
 
-    /** Returns the line that tells how many lines were dropped. */
-    byte[] droppedLine(long dropped) {
+    /** Returns a warning line with the number of dropped lines. */
+    byte[] formatDroppedCount(long dropped) {
         LogRecord record = new LogRecord(Level.WARNING, "log lines dropped: " + dropped);
         record.setLoggerName(LogQueue.class.getName());
-        return lineOf(record);
+        return format(record);
     }
 
-    private static byte[] json(LogRecord record, Map<String, Object> fields) {
+    private static byte[] formatJson(LogRecord record, Map<String, Object> fields) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        try (JsonGenerator json = JSON.createGenerator(out)) {
+        try (JsonGenerator json = JSON_FACTORY.createGenerator(out)) {
             json.writeStartObject();
-            json.writeStringField("time", TIME.format(record.getInstant()));
+            json.writeStringField("time", TIME_FORMATTER.format(record.getInstant()));
             json.writeStringField("level", levelOf(record));
             json.writeStringField("logger", String.valueOf(record.getLoggerName()));
             json.writeStringField("message", messageOf(record));
             for (Map.Entry<String, Object> f : fields.entrySet()) {
-                write(json, f.getKey(), f.getValue());
+                writeField(json, f.getKey(), f.getValue());
             }
             if (record.getThrown() != null) {
-                json.writeStringField("error", stackOf(record.getThrown()));
+                json.writeStringField("error", stackTraceOf(record.getThrown()));
             }
             json.writeEndObject();
         } catch (IOException e) {
@@ -68,7 +73,8 @@
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator json, String name, Object value) throws IOException {
+    private static void writeField(JsonGenerator json, String name, Object value)
+            throws IOException {
         if (value instanceof Double d) {
             json.writeNumberField(name, d);
         } else {
@@ -76,9 +82,9 @@
         }
     }
 
-    private static byte[] plain(LogRecord record, Map<String, Object> fields) {
+    private static byte[] formatPlain(LogRecord record, Map<String, Object> fields) {
         String logger = String.valueOf(record.getLoggerName());
-        StringBuilder line = new StringBuilder(TIME.format(record.getInstant()));
+        StringBuilder line = new StringBuilder(TIME_FORMATTER.format(record.getInstant()));
         line.append(String.format(" %-5s ", levelOf(record)));
         line.append(logger.substring(logger.lastIndexOf('.') + 1));
         line.append(": ").append(messageOf(record));
@@ -87,7 +93,7 @@
         }
         line.append('\n');
         if (record.getThrown() != null) {
-            line.append(stackOf(record.getThrown()));
+            line.append(stackTraceOf(record.getThrown()));
         }
         return line.toString().getBytes(StandardCharsets.UTF_8);
     }
@@ -98,7 +104,7 @@
             BaseMessageFormatter.appendFormattedMessage(r.getLogData(), message);
             return message.toString();
         }
-        return MESSAGES.formatMessage(record);
+        return MESSAGE_FORMATTER.formatMessage(record);
     }
 
     private static Map<String, Object> fieldsOf(LogRecord record) {
@@ -108,7 +114,7 @@
             Metadata metadata = data.getMetadata();
             for (int i = 0; i < metadata.size(); i++) {
                 String label = metadata.getKey(i).getLabel();
-                if (!label.equals(CAUSE)) {
+                if (!label.equals(CAUSE_LABEL)) {
                     fields.put(label, metadata.getValue(i));
                 }
             }
@@ -116,7 +122,7 @@
         return fields;
     }
 
-    private static String stackOf(Throwable thrown) {
+    private static String stackTraceOf(Throwable thrown) {
         StringWriter text = new StringWriter();
         thrown.printStackTrace(new PrintWriter(text, true));
         return text.toString();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LogQueue.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LogQueue.java
@@ -10,36 +10,36 @@
 import java.util.function.LongFunction;
 
 /**
- * Hands lines to a thread that writes them, so that whoever logs never waits for the reader of the
- * log. A reader that does not keep up costs lines and no time: ordinary lines are dropped first,
- * warnings and errors only when there is no room at all, and the log says how many.
+ * Passes log lines to a writer thread, so that a logging thread never waits for the reader of the
+ * log. If the reader is too slow, lines are dropped: ordinary lines first, warnings and errors only
+ * when the queue is full. A line in the log gives the number of dropped lines.
  */
 final class LogQueue {
-    /** A few seconds of a busy program's lines, a few MB. */
+    /** Holds a few seconds of a busy program's lines, a few MB. */
     private static final int CAPACITY = 8192;
 
-    /** The part that ordinary lines may fill. */
-    private static final int CAPACITY_OF_ORDINARY = CAPACITY * 3 / 4;
+    /** From this length on, the queue accepts only warnings and errors. */
+    private static final int ORDINARY_CAPACITY = CAPACITY * 3 / 4;
 
     private static final int LINES_PER_WRITE = 256;
-    private static final long STOP_MILLIS = 1_000;
-    private static final byte[] END = new byte[0];
+    private static final long STOP_TIMEOUT_MILLIS = 1_000;
+    private static final byte[] END_MARKER = new byte[0];
 
     private final OutputStream mOut;
-    private final LongFunction<byte[]> mDroppedLine;
+    private final LongFunction<byte[]> mDroppedCountFormat;
     private final BlockingQueue<byte[]> mLines = new ArrayBlockingQueue<>(CAPACITY);
-    private final AtomicLong mDropped = new AtomicLong();
+    private final AtomicLong mDroppedCount = new AtomicLong();
     private final Thread mWriter = new Thread(this::run, "log-writer");
 
     /**
-     * Creates a queue that has not started.
+     * Creates a queue. Lines are written once it is started.
      *
-     * @param out takes the lines
-     * @param droppedLine makes the line that tells how many were dropped
+     * @param out receives the lines
+     * @param droppedCountFormat formats the line that gives the number of dropped lines
      */
-    LogQueue(OutputStream out, LongFunction<byte[]> droppedLine) {
+    LogQueue(OutputStream out, LongFunction<byte[]> droppedCountFormat) {
         mOut = out;
-        mDroppedLine = droppedLine;
+        mDroppedCountFormat = droppedCountFormat;
         mWriter.setDaemon(true);
     }
 
@@ -48,23 +48,26 @@
     }
 
     /**
-     * Takes a line, or drops it.
+     * Adds a line, or drops it if there is no room.
      *
-     * @param line with its line end
-     * @param important whether it is kept before ordinary ones
+     * @param line the line, with its line end
+     * @param important whether the line may use the part of the queue that is closed to ordinary
+     *     lines
      */
     void put(byte[] line, boolean important) {
-        boolean hasRoom = important || mLines.size() < CAPACITY_OF_ORDINARY;
+        boolean hasRoom = important || mLines.size() < ORDINARY_CAPACITY;
         if (!hasRoom || !mLines.offer(line)) {
-            mDropped.incrementAndGet();
+            mDroppedCount.incrementAndGet();
         }
     }
 
-    /** Writes what has been put so far; gives up after a second. */
+    /**
+     * Writes the queued lines and ends the writer thread. Waits at most one second for that thread.
+     */
     void stop() {
         try {
-            mLines.put(END);
-            mWriter.join(STOP_MILLIS);
+            mLines.put(END_MARKER);
+            mWriter.join(STOP_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -76,29 +79,29 @@
             while (true) {
                 batch.add(mLines.take());
                 mLines.drainTo(batch, LINES_PER_WRITE);
-                if (write(batch)) {
+                if (writeBatch(batch)) {
                     return;
                 }
                 batch.clear();
             }
         } catch (IOException e) {
-            // The log itself has failed: there is nowhere left to say so.
-            mDropped.incrementAndGet();
+            // The log's output failed, so this failure cannot be logged.
+            mDroppedCount.incrementAndGet();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes lines; returns whether the end was among them. */
-    private boolean write(List<byte[]> batch) throws IOException {
+    /** Writes lines. Returns whether the batch contained the end marker. */
+    private boolean writeBatch(List<byte[]> batch) throws IOException {
         boolean ended = false;
         for (byte[] line : batch) {
-            ended |= line == END;
+            ended |= line == END_MARKER;
             mOut.write(line);
         }
-        long dropped = mDropped.getAndSet(0);
+        long dropped = mDroppedCount.getAndSet(0);
         if (dropped > 0) {
-            mOut.write(mDroppedLine.apply(dropped));
+            mOut.write(mDroppedCountFormat.apply(dropped));
         }
         mOut.flush();
         return ended;
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LogSettings.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/LogSettings.java
@@ -5,19 +5,19 @@
 import org.laurelweir.runtime.config.Default;
 
 /**
- * How a program logs; the key {@code log} of its settings file.
+ * The logging settings of a program: the key {@code log} of its settings file.
  *
- * @param format how a line looks
- * @param level the least level that is written
- * @param console the stream to write to where there is no file
- * @param file the file to append to
+ * @param format format of a line
+ * @param level lowest level that is written
+ * @param console stream to write to if no file is set
+ * @param file file to append to
  */
 public record LogSettings(
         @Default("plain") Format format,
         @Default("info") Level level,
         @Default("stderr") Console console,
         Optional<Path> file) {
-    /** Creates settings that write to standard error where there is no file. */
+    /** Creates settings that write to standard error if no file is set. */
     public LogSettings(Format format, Level level, Optional<Path> file) {
         this(format, level, Console.STDERR, file);
     }
@@ -28,15 +28,15 @@
         STDOUT
     }
 
-    /** How a line looks. */
+    /** The format of a line. */
     public enum Format {
-        /** One JSON object a line. */
+        /** One JSON object per line. */
         JSON,
-        /** Time, level, logger, message and fields, for people. */
+        /** Time, level, logger, message and fields as text for human readers. */
         PLAIN
     }
 
-    /** Levels from the least to the most urgent. */
+    /** The log levels, in ascending order of severity. */
     public enum Level {
         DEBUG,
         INFO,
@@ -44,7 +44,10 @@
         ERROR
     }
 
-    /** Returns the settings of a program whose file says nothing about its log. */
+    /**
+     * Returns the settings for a file without the key {@code log}: plain lines from level INFO on,
+     * to standard error.
+     */
     public static LogSettings defaults() {
         return new LogSettings(Format.PLAIN, Level.INFO, Optional.empty());
     }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/Logging.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/log/Logging.java
@@ -11,15 +11,18 @@
 import org.laurelweir.lib.Service;
 
 /**
- * The log of a program: Flogger for those who write, java.util.logging behind it, which gRPC and
- * Netty write to as well. A larger logging library behind Flogger took nearly half of the processor
- * time that a program needs from its start until it listens, and every restart pays for that.
+ * Configures a program's log. Program code logs through Flogger, which writes to java.util.logging;
+ * gRPC and Netty log there too. A larger logging library behind Flogger takes nearly half of the
+ * processor time between a program's start and its first listening socket, on every restart.
  */
 public final class Logging implements Service {
-    private static final Logger ROOT = Logger.getLogger("");
+    private static final Logger ROOT_LOGGER = Logger.getLogger("");
 
-    /** Netty and gRPC tell at FINE and INFO what only their developers need. */
-    private static final Logger LIBRARIES = Logger.getLogger("io");
+    /**
+     * The parent logger of Netty and gRPC, whose FINE and INFO lines help only their own
+     * developers.
+     */
+    private static final Logger LIBRARY_LOGGER = Logger.getLogger("io");
 
     private static volatile LogQueue sCurrent;
 
@@ -28,28 +31,28 @@
     private OutputStream mFile;
 
     /**
-     * Creates the log; nothing changes until it is started.
+     * Creates the log. The settings take effect once it is started.
      *
-     * @param settings how to log
+     * @param settings level, format and destination of the log
      */
     public Logging(LogSettings settings) {
         mSettings = settings;
     }
 
-    /** Puts the settings in force, also for loggers that exist already. */
+    /** Applies the settings, also to loggers that already exist. */
     @Override
     public void start() {
         LineFormat format = new LineFormat(mSettings.format());
-        mQueue = new LogQueue(output(), format::droppedLine);
+        mQueue = new LogQueue(openOutput(), format::formatDroppedCount);
         mQueue.start();
         sCurrent = mQueue;
         removeHandlers();
-        LIBRARIES.setLevel(Level.WARNING);
-        ROOT.setLevel(level());
-        ROOT.addHandler(new QueueHandler(mQueue, format));
+        LIBRARY_LOGGER.setLevel(Level.WARNING);
+        ROOT_LOGGER.setLevel(level());
+        ROOT_LOGGER.addHandler(new QueueHandler(mQueue, format));
     }
 
-    private OutputStream output() {
+    private OutputStream openOutput() {
         if (mSettings.file().isEmpty()) {
             return mSettings.console() == LogSettings.Console.STDOUT ? System.out : System.err;
         }
@@ -57,7 +60,7 @@
             mFile = new FileOutputStream(mSettings.file().get().toFile(), true);
             return mFile;
         } catch (IOException e) {
-            throw new UncheckedIOException("can't open the log", e);
+            throw new UncheckedIOException("cannot open the log file", e);
         }
     }
 
@@ -71,12 +74,12 @@
     }
 
     private static void removeHandlers() {
-        for (Handler h : ROOT.getHandlers()) {
-            ROOT.removeHandler(h);
+        for (Handler h : ROOT_LOGGER.getHandlers()) {
+            ROOT_LOGGER.removeHandler(h);
         }
     }
 
-    /** Writes what is still queued, for a process that is about to end without a stop. */
+    /** Writes the queued lines, for a process that halts without a call of {@link #stop}. */
     public static void flushBeforeHalt() {
         LogQueue current = sCurrent;
         if (current != null) {
@@ -84,7 +87,7 @@
         }
     }
 
-    /** Writes what is queued and closes the file; later lines are lost. */
+    /** Writes the queued lines and closes the file. Lines logged later are lost. */
     @Override
     public void stop() {
         removeHandlers();
@@ -96,35 +99,38 @@
             try {
                 mFile.close();
             } catch (IOException e) {
-                throw new UncheckedIOException("can't close the log", e);
+                throw new UncheckedIOException("cannot close the log file", e);
             }
         }
     }
 
-    /** Formats on the thread that logs, since fields may change later, and leaves the rest. */
+    /**
+     * Formats each record on the thread that logs it, because its fields may change later, and
+     * queues the line.
+     */
     private static final class QueueHandler extends Handler {
-        private final LogQueue mLines;
+        private final LogQueue mLineQueue;
         private final LineFormat mFormat;
 
         QueueHandler(LogQueue lines, LineFormat format) {
-            mLines = lines;
+            mLineQueue = lines;
             mFormat = format;
         }
 
         @Override
         public void publish(LogRecord record) {
             boolean important = record.getLevel().intValue() >= Level.WARNING.intValue();
-            mLines.put(mFormat.lineOf(record), important);
+            mLineQueue.put(mFormat.format(record), important);
         }
 
         @Override
         public void flush() {
-            // The writer flushes whenever it has written all that was there.
+            // The writer thread flushes after each batch.
         }
 
         @Override
         public void close() {
-            // Holds nothing.
+            // This handler holds no resources.
         }
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/Parker.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/Parker.java
@@ -2,9 +2,12 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** How an inbox's consumer sleeps and is woken. Waking it before it sleeps ends its next sleep. */
+/**
+ * Parks and unparks an inbox's consumer. If unpark is called before park, the next park returns at
+ * once.
+ */
 interface Parker {
-    /** The platform's own parking, which may also end early without cause. */
+    /** Uses LockSupport, whose park may also return spuriously. */
     Parker DEFAULT =
             new Parker() {
                 @Override
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/ReducerLoop.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/ReducerLoop.java
@@ -12,11 +12,11 @@
 import org.laurelweir.lib.Service;
 
 /**
- * Runs a reducer on a thread of its own: takes events from any thread, hands effects to the shell
- * on the loop's thread, and sends the reducer a tick at a fixed interval.
+ * Runs a reducer on its own thread. Accepts events from any thread, passes effects to the shell on
+ * the loop's thread, and sends the reducer a tick at a fixed interval.
  *
- * <p>An exception out of the reducer or the shell's effect handling ends the loop: the state may be
- * half changed then, and a process that restarts is safer than one that goes on with it.
+ * <p>An exception from the reducer or from the shell's effect handling ends the loop. The state may
+ * then be partly changed, so a restart of the process is safer than going on.
  *
  * @param <E> the reducer's events
  * @param <F> the reducer's effects
@@ -30,21 +30,21 @@
     private final Reducer<E, F> mReducer;
     private final InstantSource mClock;
     private final E mTick;
-    private final long mTickNanos;
+    private final long mTickIntervalNanos;
     private final Consumer<F> mEffects;
     private final Consumer<Throwable> mOnFailure;
     private final AgentRunner mRunner;
-    private long mNextTick;
+    private long mNextTickNanos;
 
     /**
-     * Creates a loop that does nothing before its start.
+     * Creates a loop. It processes events once started.
      *
-     * @param name of the thread
-     * @param reducer decides
-     * @param clock gives each event its time
-     * @param tick the event to send when time passes
-     * @param tickInterval how often to send it
-     * @param effects carries effects out; must not block
+     * @param name name of the thread
+     * @param reducer processes the events
+     * @param clock supplies the time of each event
+     * @param tick the event that is sent at each interval
+     * @param tickInterval time between two ticks
+     * @param effects executes effects on the loop's thread; must not block
      * @param onFailure called with the exception that ended the loop
      */
     public ReducerLoop(
@@ -58,16 +58,19 @@
         mReducer = reducer;
         mClock = clock;
         mTick = tick;
-        mTickNanos = tickInterval.toNanos();
+        mTickIntervalNanos = tickInterval.toNanos();
         mEffects = effects;
         mOnFailure = onFailure;
-        mRunner = new AgentRunner(new InboxIdle(), this::failed, null, new LoopAgent(name));
+        mRunner =
+                new AgentRunner(
+                        new InboxIdleStrategy(), this::handleFailure, null, new LoopAgent(name));
     }
 
     /**
-     * Hands an event to the reducer; from any thread.
+     * Queues an event for the reducer. Any thread may call this; a thread other than the loop's
+     * waits while the queue is full.
      *
-     * @param event what happened
+     * @param event the event
      */
     public void offer(E event) {
         mInbox.put(event);
@@ -83,13 +86,13 @@
         mRunner.close();
     }
 
-    private void failed(Throwable failure) {
-        sLogger.atSevere().withCause(failure).log("the decision loop ended");
+    private void handleFailure(Throwable failure) {
+        sLogger.atSevere().withCause(failure).log("the reducer loop ended after a failure");
         mOnFailure.accept(failure);
         throw new AgentTerminationException(failure);
     }
 
-    private int takeEvents() {
+    private int processEvents() {
         int taken = 0;
         E event = mInbox.poll();
         while (event != null) {
@@ -102,10 +105,10 @@
 
     private int tickIfDue() {
         long now = System.nanoTime();
-        if (now - mNextTick < 0) {
+        if (now - mNextTickNanos < 0) {
             return 0;
         }
-        mNextTick = now + mTickNanos;
+        mNextTickNanos = now + mTickIntervalNanos;
         mReducer.step(mClock.instant(), mTick, mEffects);
         return 1;
     }
@@ -120,12 +123,12 @@
         @Override
         public void onStart() {
             mInbox.bindConsumer();
-            mNextTick = System.nanoTime();
+            mNextTickNanos = System.nanoTime();
         }
 
         @Override
         public int doWork() {
-            return takeEvents() + tickIfDue();
+            return processEvents() + tickIfDue();
         }
 
         @Override
@@ -134,7 +137,7 @@
         }
     }
 
-    private final class InboxIdle implements IdleStrategy {
+    private final class InboxIdleStrategy implements IdleStrategy {
         @Override
         public void idle(int workCount) {
             if (workCount == 0) {
@@ -144,7 +147,7 @@
 
         @Override
         public void idle() {
-            mInbox.await(Math.max(0, mNextTick - System.nanoTime()));
+            mInbox.await(Math.max(0, mNextTickNanos - System.nanoTime()));
         }
 
         @Override
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/package-info.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/loop/package-info.java
@@ -1,2 +1,2 @@
-/** The single thread that feeds a program's reducer, and the queue in front of it. */
+/** Runs a program's reducer on a single thread, which takes events from a bounded queue. */
 package org.laurelweir.runtime.loop;
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricNames.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricNames.java
@@ -1,8 +1,9 @@
 package org.laurelweir.runtime.metrics;
 
 /**
- * Builds the names under which metrics are registered. Words are parted by dots. Labels follow in
- * braces as the exposition format writes them, as Dropwizard knows none.
+ * Builds the names under which metrics are registered. Dots separate the words of a name.
+ * Dropwizard has no labels, so the labels are part of the name, in braces as in the exposition
+ * format.
  */
 public final class MetricNames {
     private MetricNames() {}
@@ -10,8 +11,9 @@
     /**
      * Adds labels to a name.
      *
-     * @param name words parted by dots, such as {@code requests.answered}
-     * @param labels label names and values by turns; few values each, as each makes a metric
+     * @param name words separated by dots, such as {@code requests.answered}
+     * @param labels label names and values in turn; each distinct value creates a metric, so use
+     *     labels with few values
      * @return the name to register
      */
     public static String labelled(String name, String... labels) {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsHandler.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsHandler.java
@@ -16,10 +16,10 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
 
-/** Answers one connection's requests for metrics, health and readiness, then closes it. */
+/** Answers a request for metrics, health or readiness and closes the connection. */
 final class MetricsHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private static final String TEXT = "text/plain; charset=utf-8";
-    private static final String EXPOSITION = "text/plain; version=0.0.4; charset=utf-8";
+    private static final String PLAIN_TEXT_TYPE = "text/plain; charset=utf-8";
+    private static final String EXPOSITION_TYPE = "text/plain; version=0.0.4; charset=utf-8";
 
     private final MetricRegistry mRegistry;
     private final Readiness mReadiness;
@@ -36,20 +36,22 @@
 
     private FullHttpResponse answer(FullHttpRequest request) {
         if (request.decoderResult().isFailure()) {
-            return response(HttpResponseStatus.BAD_REQUEST, TEXT, "not an HTTP request\n");
+            return response(
+                    HttpResponseStatus.BAD_REQUEST, PLAIN_TEXT_TYPE, "not an HTTP request\n");
         }
         if (!request.method().equals(HttpMethod.GET)) {
-            return response(HttpResponseStatus.METHOD_NOT_ALLOWED, TEXT, "allowed: GET\n");
+            return response(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED, PLAIN_TEXT_TYPE, "allowed: GET\n");
         }
         return switch (new QueryStringDecoder(request.uri()).path()) {
             case "/metrics" ->
-                    response(HttpResponseStatus.OK, EXPOSITION, MetricsText.of(mRegistry));
-            case "/healthz" -> response(HttpResponseStatus.OK, TEXT, "alive\n");
+                    response(HttpResponseStatus.OK, EXPOSITION_TYPE, MetricsText.format(mRegistry));
+            case "/healthz" -> response(HttpResponseStatus.OK, PLAIN_TEXT_TYPE, "alive\n");
             case "/readyz" -> readiness();
             default ->
                     response(
                             HttpResponseStatus.NOT_FOUND,
-                            TEXT,
+                            PLAIN_TEXT_TYPE,
                             "known: /metrics, /healthz, /readyz\n");
         };
     }
@@ -57,8 +59,13 @@
     private FullHttpResponse readiness() {
         return mReadiness
                 .notReadyReason()
-                .map(r -> response(HttpResponseStatus.SERVICE_UNAVAILABLE, TEXT, r + "\n"))
-                .orElseGet(() -> response(HttpResponseStatus.OK, TEXT, "ready\n"));
+                .map(
+                        r ->
+                                response(
+                                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                                        PLAIN_TEXT_TYPE,
+                                        r + "\n"))
+                .orElseGet(() -> response(HttpResponseStatus.OK, PLAIN_TEXT_TYPE, "ready\n"));
     }
 
     private static FullHttpResponse response(HttpResponseStatus status, String type, String body) {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsServer.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsServer.java
@@ -22,9 +22,9 @@
 import org.laurelweir.runtime.config.Endpoint;
 
 /**
- * Serves {@code /metrics} for scrapers, {@code /healthz} (200 while the process answers at all) and
- * {@code /readyz} (200, or 503 with the reason). Has one thread of its own, so that a busy program
- * still answers.
+ * Serves {@code /metrics} for scrapers, {@code /healthz} (200 while the process runs) and {@code
+ * /readyz} (200, or 503 with the reason). Uses its own thread, so that it also answers while the
+ * program is busy.
  */
 public final class MetricsServer implements Service {
     private static final int MAX_BODY_BYTES = 1024;
@@ -39,9 +39,9 @@
     /**
      * Creates the server; it listens once started.
      *
-     * @param endpoint where to listen; with port 0 the operating system chooses
-     * @param registry what to show
-     * @param readiness asked for each {@code /readyz}
+     * @param endpoint address to listen on; with port 0 the operating system chooses the port
+     * @param registry the metrics to serve
+     * @param readiness queried for each request of {@code /readyz}
      */
     public MetricsServer(Endpoint endpoint, MetricRegistry registry, Readiness readiness) {
         mEndpoint = endpoint;
@@ -50,9 +50,10 @@
     }
 
     /**
-     * Listens.
+     * Starts to listen.
      *
-     * @throws LaurelweirException CANNOT_LISTEN if the endpoint is taken or not of this machine
+     * @throws LaurelweirException CANNOT_LISTEN if the address is in use or does not belong to this
+     *     machine
      */
     @Override
     public void start() {
@@ -74,13 +75,18 @@
         mChannel = bind.channel();
     }
 
-    /** Returns where the server listens, with the port that was chosen. Valid once started. */
+    /**
+     * Returns the address on which the server listens, with the actual port. Valid once started.
+     */
     public Endpoint endpoint() {
         InetSocketAddress address = (InetSocketAddress) mChannel.localAddress();
         return mEndpoint.withPort(address.getPort());
     }
 
-    /** The event loop does not always close what is still open when it ends. */
+    /**
+     * Closes the listening socket before the event loop ends, because an event loop does not always
+     * close its open channels.
+     */
     @Override
     public void stop() {
         if (mChannel != null) {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsText.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/MetricsText.java
@@ -12,9 +12,10 @@
 import java.util.TreeMap;
 
 /**
- * Writes a registry in the text exposition format, version 0.0.4. A meter is a counter ending in
- * {@code _total}, and so is a counter; a histogram is a summary; a timer is a summary in seconds,
- * ending in {@code _seconds}. A gauge that is no number is left out.
+ * Formats a registry in the text exposition format, version 0.0.4. Meters and counters become
+ * counters with the suffix {@code _total}, but a counter with a negative count becomes a gauge.
+ * Histograms become summaries. Timers become summaries in seconds with the suffix {@code _seconds}.
+ * Gauges that are not numbers are omitted.
  */
 final class MetricsText {
     private static final String PREFIX = "laurelweir_";
@@ -22,20 +23,20 @@
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final StringBuilder mText = new StringBuilder();
-    private String mFamily = "";
+    private String mCurrentFamily = "";
 
     private MetricsText() {}
 
-    static String of(MetricRegistry registry) {
+    static String format(MetricRegistry registry) {
         MetricsText text = new MetricsText();
-        // Sorted by family, so that all labels of a family stand under its one TYPE line.
+        // Sorted by family, so that all series of a family follow its single TYPE line.
         Map<String, Metric> sorted = new TreeMap<>();
-        registry.getMetrics().forEach((name, m) -> sorted.put(splittable(name), m));
+        registry.getMetrics().forEach((name, m) -> sorted.put(withBraces(name), m));
         sorted.forEach(text::append);
         return text.mText.toString();
     }
 
-    private static String splittable(String name) {
+    private static String withBraces(String name) {
         return name.indexOf('{') < 0 ? name + "{}" : name;
     }
 
@@ -46,9 +47,9 @@
         if (metric instanceof Gauge<?> g) {
             appendGauge(family, labels, g.getValue());
         } else if (metric instanceof Sampling s) {
-            boolean timer = metric instanceof Timer;
-            String suffix = timer ? "_seconds" : "";
-            double scale = timer ? 1 / NANOS_PER_SECOND : 1;
+            boolean isTimer = metric instanceof Timer;
+            String suffix = isTimer ? "_seconds" : "";
+            double scale = isTimer ? 1 / NANOS_PER_SECOND : 1;
             long count = ((Counting) metric).getCount();
             appendSummary(family + suffix, labels, s.getSnapshot(), count, scale);
         } else if (metric instanceof Counter c && c.getCount() < 0) {
@@ -69,18 +70,18 @@
     private void appendSummary(
             String family, String labels, Snapshot snapshot, long count, double scale) {
         appendType(family, "summary");
-        String before = labels.isEmpty() ? "" : labels + ",";
+        String labelPrefix = labels.isEmpty() ? "" : labels + ",";
         for (double q : QUANTILES) {
             String value = Double.toString(snapshot.getValue(q) * scale);
-            appendSample(family, before + "quantile=\"" + q + "\"", value);
+            appendSample(family, labelPrefix + "quantile=\"" + q + "\"", value);
         }
         appendSample(family + "_count", labels, Long.toString(count));
     }
 
     private void appendType(String family, String type) {
-        if (!family.equals(mFamily)) {
+        if (!family.equals(mCurrentFamily)) {
             mText.append("# TYPE ").append(family).append(' ').append(type).append('\n');
-            mFamily = family;
+            mCurrentFamily = family;
         }
     }
 
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/Readiness.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/metrics/Readiness.java
@@ -2,9 +2,12 @@
 
 import java.util.Optional;
 
-/** Tells whether a program can do its work now. Asked by the server's thread; must not block. */
+/**
+ * Reports whether a program is ready for work. Called on the metrics server's thread; must not
+ * block.
+ */
 @FunctionalInterface
 public interface Readiness {
-    /** Returns why the program is not ready, or nothing if it is. */
+    /** Returns the reason why the program is not ready, or empty if it is ready. */
     Optional<String> notReadyReason();
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/BackgroundExecutor.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/BackgroundExecutor.java
@@ -6,22 +6,22 @@
 import java.util.function.Consumer;
 
 /**
- * One thread for tasks that nobody waits for. The platform's own executors keep a task's failure in
- * a future that nobody reads: a task that schedules itself again would end without a line, and what
- * depends on it would stand still.
+ * Runs background tasks on one thread and reports their failures. The JDK's executors keep a
+ * failure in the task's future. If that future is never read, a task that reschedules itself ends
+ * without a log line, and the work that depends on the task stalls.
  */
 public final class BackgroundExecutor extends ScheduledThreadPoolExecutor {
-    private final Consumer<Throwable> mFailed;
+    private final Consumer<Throwable> mOnFailure;
 
     /**
      * Creates the executor.
      *
-     * @param name of its thread
-     * @param failed takes what a task threw, on that thread
+     * @param name name of the executor's thread
+     * @param onFailure receives the exception or error of a failed task, on the executor's thread
      */
-    public BackgroundExecutor(String name, Consumer<Throwable> failed) {
+    public BackgroundExecutor(String name, Consumer<Throwable> onFailure) {
         super(1, r -> new Thread(r, name));
-        mFailed = failed;
+        mOnFailure = onFailure;
     }
 
     @Override
@@ -29,7 +29,7 @@
         super.afterExecute(task, thrown);
         Throwable failure = thrown == null ? failureOf(task) : thrown;
         if (failure != null) {
-            mFailed.accept(failure);
+            mOnFailure.accept(failure);
         }
     }
 
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/ElapsedClock.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/ElapsedClock.java
@@ -3,24 +3,25 @@
 import java.time.Duration;
 
 /**
- * Measures time that has passed for everyone else, suspensions of this machine included.
+ * Measures elapsed time, including the time during which this machine is suspended.
  *
- * <p>The steady clock stands still while a machine is suspended, so that a permission measured by
- * it alone would outlive its end. The time of day goes on, but may be set back. The longer of the
- * two is taken: a permission may end early that way, and never late unless both happen at once.
+ * <p>The monotonic clock stops while a machine is suspended, so a permission measured by that clock
+ * alone would be used after its end. The time of day advances during a suspension, but may be set
+ * back. This clock takes the longer of the two durations: a permission may end early, but ends late
+ * only if both happen at once.
  */
 public final class ElapsedClock {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A moment to measure from. */
+    /** A start time to measure from, as read from both clocks. */
     public record Mark(long steadyNanos, long wallMillis) {}
 
-    /** Returns the present moment. */
+    /** Returns the current time of both clocks. */
     public Mark mark() {
         return new Mark(System.nanoTime(), System.currentTimeMillis());
     }
 
-    /** Returns how much time has passed since a moment. */
+    /** Returns the time that has elapsed since a mark. */
     public Duration since(Mark mark) {
         long steady = (System.nanoTime() - mark.steadyNanos()) / NANOS_PER_MILLI;
         long wall = System.currentTimeMillis() - mark.wallMillis();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/Program.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/Program.java
@@ -8,7 +8,7 @@
 import org.laurelweir.lib.Service;
 import org.laurelweir.runtime.log.Logging;
 
-/** Starts a program's service, stops it on SIGTERM or SIGINT, and gives the process's exit code. */
+/** Starts a program's service, stops it on SIGTERM or SIGINT, and sets the process's exit code. */
 public final class Program {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
     private static final int EXIT_DIVISOR = 1000;
@@ -16,13 +16,13 @@
     private Program() {}
 
     /**
-     * Runs a service until the process is told to stop, and exits.
+     * Runs a service until the process receives SIGTERM or SIGINT.
      *
      * @param name the program's name, for messages
-     * @param create makes the service; its failure ends the process
+     * @param create creates the service; an exception from it ends the process
      */
     public static void run(String name, Supplier<? extends Service> create) {
-        Thread.setDefaultUncaughtExceptionHandler(Program::uncaught);
+        Thread.setDefaultUncaughtExceptionHandler(Program::handleUncaught);
         try {
             Service service = create.get();
             service.start();
@@ -41,17 +41,18 @@
         }
     }
 
-    private static void uncaught(Thread thread, Throwable failure) {
+    private static void handleUncaught(Thread thread, Throwable failure) {
         endOnError("thread " + thread.getName() + " failed", failure);
         sLogger.atSevere().withCause(failure).log("thread %s ended", thread.getName());
     }
 
     /**
-     * Ends the process if a failure is an {@link Error}, such as a full heap: whoever catches all
-     * failures of a connection or a task would go on with a state that is half changed.
+     * Ends the process if a failure is an {@link Error}, such as an OutOfMemoryError. Code that
+     * catches every failure of a connection or a task would otherwise continue with partly changed
+     * state.
      *
-     * @param what what failed, for the log
-     * @param failure what was caught
+     * @param what the thing that failed, for the log
+     * @param failure the caught failure
      */
     public static void endOnError(String what, Throwable failure) {
         if (failure instanceof Error) {
@@ -60,43 +61,43 @@
     }
 
     /**
-     * Logs a failure and ends the process with the code of it.
+     * Logs a failure and ends the process with the exit code of that failure.
      *
-     * @param what what failed, for the log
-     * @param failure why
+     * @param what the thing that failed, for the log
+     * @param failure the cause
      */
     public static void fail(String what, Throwable failure) {
         try {
             sLogger.atSevere().withCause(failure).log("%s", what);
         } finally {
-            // A full heap may keep the line from being written, but not the end of the process.
-            halt(codeOf(failure));
+            // With a full heap, logging may fail. The process must end in any case.
+            halt(resultCodeOf(failure));
         }
     }
 
-    /** Returns the code under which a process ends after a failure. */
-    static ResultCode codeOf(Throwable failure) {
+    /** Returns the result code with which a process ends after a failure. */
+    static ResultCode resultCodeOf(Throwable failure) {
         if (failure instanceof LaurelweirException e) {
             return e.getCode();
         }
-        boolean isMemory = failure instanceof OutOfMemoryError;
-        return isMemory ? ResultCode.OUT_OF_MEMORY : ResultCode.INTERNAL;
+        boolean isOutOfMemory = failure instanceof OutOfMemoryError;
+        return isOutOfMemory ? ResultCode.OUT_OF_MEMORY : ResultCode.INTERNAL;
     }
 
     /**
-     * Ends the process after a failure that has been logged.
+     * Ends the process after a failure that is already logged.
      *
-     * @param failure why
+     * @param failure the cause
      */
     public static void halt(Throwable failure) {
-        halt(codeOf(failure));
+        halt(resultCodeOf(failure));
     }
 
     /**
-     * Ends the process after a failure that it can't go on with. Shutdown hooks are left out: they
-     * would wait for a loop that has ended.
+     * Ends the process after a fatal failure. Shutdown hooks don't run, because they would wait for
+     * a reducer loop that has ended.
      *
-     * @param code why
+     * @param code the cause
      */
     public static void halt(ResultCode code) {
         try {
@@ -110,7 +111,7 @@
      * Returns the exit code of a result code: its thousands digit times ten plus its last digit, so
      * that 6001 gives 61, as docs/CODES.md lists.
      *
-     * @param code what ended the process
+     * @param code the result code with which the process ends
      */
     public static int exitCode(ResultCode code) {
         int number = code.number();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/SteadyClock.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/SteadyClock.java
@@ -5,15 +5,15 @@
 import java.time.InstantSource;
 
 /**
- * A clock that starts at the time of day and then only runs: setting the machine's time moves no
- * deadline and ends no lease of those who use it.
+ * A clock that starts at the time of day and then advances monotonically. Setting the machine's
+ * time neither moves a deadline nor ends a lease that is measured by this clock.
  */
 public final class SteadyClock implements InstantSource {
-    private final Instant mStarted = Instant.now();
-    private final long mStartedNanos = System.nanoTime();
+    private final Instant mStartTime = Instant.now();
+    private final long mStartNanos = System.nanoTime();
 
     @Override
     public Instant instant() {
-        return mStarted.plus(Duration.ofNanos(System.nanoTime() - mStartedNanos));
+        return mStartTime.plus(Duration.ofNanos(System.nanoTime() - mStartNanos));
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/package-info.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/package-info.java
@@ -1,2 +1,5 @@
-/** A program's life from its command line to its exit. */
+/**
+ * Starts and ends a program's process. Also holds the clocks and the background executor that the
+ * programs share.
+ */
 package org.laurelweir.runtime.process;
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ByteCounter.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ByteCounter.java
@@ -7,7 +7,10 @@
 import io.netty.channel.ChannelPromise;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the bytes that pass between connections and their sockets, framing included. */
+/**
+ * Counts the bytes that connections write to and read from their sockets, including protocol
+ * framing.
+ */
 @Sharable
 final class ByteCounter extends ChannelDuplexHandler {
     private final LongAdder mSent = new LongAdder();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Channels.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Channels.java
@@ -18,33 +18,33 @@
 import org.laurelweir.lib.Service;
 
 /**
- * One connection for each address that is in use, shared by all callers in the process. Take the
- * channel anew for each call: one kept for long may have been retired. Thread-safe.
+ * A pool with one gRPC channel per address, shared by all users in the process. Get the channel
+ * from the pool for each call: a channel that is kept may have been shut down. Thread-safe.
  */
 public final class Channels implements Service {
     private final Builder mSettings;
     private final Map<String, Entry> mEntries = new ConcurrentHashMap<>();
-    private Future<?> mSweep;
+    private Future<?> mSweepTask;
 
     private Channels(Builder settings) {
         mSettings = settings;
     }
 
     /**
-     * Begins a pool.
+     * Returns a builder of a pool.
      *
-     * @param loops carry the connections; stopped after the pool
-     * @param traffic counts the bytes
+     * @param loops threads that serve the connections; stop them after the pool
+     * @param traffic counts the bytes on the wire
      */
     public static Builder builder(EventLoops loops, TrafficCounters traffic) {
         return new Builder(loops, traffic);
     }
 
-    /** Begins to drop channels that are out of use. */
+    /** Starts the periodic removal of unused channels. */
     @Override
     public void start() {
         long period = mSettings.mIdleClose.toMillis();
-        mSweep =
+        mSweepTask =
                 mSettings
                         .mLoops
                         .group()
@@ -53,57 +53,61 @@
     }
 
     /**
-     * Returns the channel to an address; it connects with its first call.
+     * Returns the channel to an address. It connects on its first call.
      *
-     * @param address host:port with an IP number
+     * @param address host:port, with an IP address as the host
      */
     public ManagedChannel get(String address) {
         Instant now = mSettings.mClock.instant();
-        return mEntries.compute(address, (a, e) -> e == null ? open(a, now) : e.usedAt(now))
+        return mEntries.compute(address, (a, e) -> e == null ? open(a, now) : e.withLastUsed(now))
                 .channel();
     }
 
     /**
-     * Returns a channel to an address other than the suspect one. Something between the two ends
-     * may have lost track of a connection: it stays silent for good while a new one works. Calls on
-     * the suspect one may go on until they end, as it may be merely slow. The first of many callers
-     * that suspect the same connection opens the new one for all.
+     * Returns a channel to an address other than the suspect one. A network device between the two
+     * ends may have lost the state of a connection; the connection then stays silent for good,
+     * while a new one works. Calls on the suspect channel may continue until they end, because the
+     * connection may only be slow. If several callers suspect the same channel, the first of them
+     * opens the new one for all.
      *
-     * @param address host:port with an IP number
-     * @param suspect the channel whose connection is suspect
+     * @param address host:port, with an IP address as the host
+     * @param suspect the channel whose connection does not respond
      */
     public ManagedChannel fresh(String address, ManagedChannel suspect) {
         Instant now = mSettings.mClock.instant();
         return mEntries.compute(
                         address,
                         (a, e) ->
-                                e == null || e.channel() == suspect ? open(a, now) : e.usedAt(now))
-                .channelAfter(suspect);
+                                e == null || e.channel() == suspect
+                                        ? open(a, now)
+                                        : e.withLastUsed(now))
+                .channelReplacing(suspect);
     }
 
     /**
-     * Returns a new channel to an address in place of the present one, which is retired.
+     * Returns a new channel to an address. The current one is shut down once its calls have ended.
      *
-     * @param address host:port with an IP number
+     * @param address host:port, with an IP address as the host
      */
     public ManagedChannel fresh(String address) {
-        Entry present = mEntries.get(address);
-        return present == null ? get(address) : fresh(address, present.channel());
+        Entry current = mEntries.get(address);
+        return current == null ? get(address) : fresh(address, current.channel());
     }
 
-    /** Drops the channels that were not asked for, and carried no call, for the idle time. */
+    /** Removes the channels that were not requested, and carried no call, during the idle time. */
     void dropUnused() {
-        Instant latest = mSettings.mClock.instant().minus(mSettings.mIdleClose);
+        Instant unusedSince = mSettings.mClock.instant().minus(mSettings.mIdleClose);
         for (String address : mEntries.keySet()) {
-            mEntries.computeIfPresent(address, (a, e) -> e.isUnusedSince(latest) ? e.retire() : e);
+            mEntries.computeIfPresent(
+                    address, (a, e) -> e.isUnusedSince(unusedSince) ? e.retire() : e);
         }
     }
 
-    /** Ends every connection; calls in flight fail. */
+    /** Closes all connections. Calls in flight fail. */
     @Override
     public void stop() {
-        if (mSweep != null) {
-            mSweep.cancel(false);
+        if (mSweepTask != null) {
+            mSweepTask.cancel(false);
         }
         List<Entry> entries = new ArrayList<>(mEntries.values());
         mEntries.clear();
@@ -114,18 +118,19 @@
         return new Entry(mSettings.newChannel(address), now);
     }
 
-    private record Entry(ManagedChannel channel, Instant used) {
-        Entry usedAt(Instant now) {
+    private record Entry(ManagedChannel channel, Instant lastUsed) {
+        Entry withLastUsed(Instant now) {
             return new Entry(channel, now);
         }
 
-        ManagedChannel channelAfter(ManagedChannel suspect) {
+        ManagedChannel channelReplacing(ManagedChannel suspect) {
             suspect.shutdown();
             return channel;
         }
 
-        boolean isUnusedSince(Instant latest) {
-            return used.isBefore(latest) && channel.getState(false) == ConnectivityState.IDLE;
+        boolean isUnusedSince(Instant unusedSince) {
+            return lastUsed.isBefore(unusedSince)
+                    && channel.getState(false) == ConnectivityState.IDLE;
         }
 
         Entry retire() {
@@ -152,18 +157,21 @@
             mTraffic = traffic;
         }
 
-        /** Sets the clock that tells which channels are out of use. */
+        /**
+         * Sets the clock that determines which channels are unused; the system clock by default.
+         */
         public Builder clock(InstantSource clock) {
             mClock = clock;
             return this;
         }
 
         /**
-         * Sets how a dead connection is found while calls are in flight; 20 s and 5 s where not
-         * called.
+         * Sets how a dead connection is detected while calls are in flight; 20 s and 5 s by
+         * default.
          *
-         * @param time of silence after which the other end is asked for a sign
-         * @param timeout for the sign, after which the connection and its calls fail
+         * @param time time without data from the other end after which a keep-alive ping is sent
+         * @param timeout time to wait for the acknowledgement, after which the connection and its
+         *     calls fail
          */
         public Builder keepAlive(Duration time, Duration timeout) {
             mKeepAliveTime = time;
@@ -171,25 +179,25 @@
             return this;
         }
 
-        /** Sets after how long without calls a connection is closed; 5 minutes where not called. */
+        /** Sets the time without calls after which a connection is closed; 5 minutes by default. */
         public Builder idleClose(Duration idleClose) {
             mIdleClose = idleClose;
             return this;
         }
 
-        /** Sets the largest message taken; 32 MiB where not called. */
+        /** Sets the maximum size of a received message; 32 MiB by default. */
         public Builder maxMessageBytes(int bytes) {
             mMaxMessageBytes = bytes;
             return this;
         }
 
-        /** Sets the transport's security; plaintext where not called. */
+        /** Sets the transport's credentials; plaintext by default. */
         public Builder credentials(ChannelCredentials credentials) {
             mCredentials = credentials;
             return this;
         }
 
-        /** Returns the pool, with no connection. */
+        /** Returns the pool. It has no connections yet. */
         public Channels build() {
             return new Channels(this);
         }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/EarlySocket.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/EarlySocket.java
@@ -7,22 +7,24 @@
 import org.laurelweir.runtime.config.Endpoint;
 
 /**
- * A socket that listens before its program is ready to take connections. After a restart most of
- * the time until a program serves goes into loading it; callers that come meanwhile would find
- * nobody listening and use up a retry, where now they wait as long as that takes.
+ * A socket that listens before its program is ready to accept connections. After a restart, a
+ * program spends most of the time until it serves on loading its classes. Connections that callers
+ * open during this time would be refused and cost a retry. With this socket, they wait until the
+ * program is ready.
  *
- * @param endpoint where it listens
- * @param channel the socket
+ * @param endpoint address on which it listens
+ * @param channel the listening socket
  */
 public record EarlySocket(Endpoint endpoint, ServerSocketChannel channel) {
-    /** Connections that may wait; more than come to one instance in the time of a start. */
+    /** Maximum number of waiting connections; more than arrive at one instance during a start. */
     private static final int BACKLOG = 1024;
 
     /**
-     * Listens.
+     * Opens a listening socket.
      *
-     * @param endpoint where
-     * @throws LaurelweirException CANNOT_LISTEN if the address is taken or not of this machine
+     * @param endpoint address to listen on
+     * @throws LaurelweirException CANNOT_LISTEN if the address is in use or does not belong to this
+     *     machine
      */
     public static EarlySocket open(Endpoint endpoint) {
         try {
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/EventLoops.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/EventLoops.java
@@ -19,17 +19,17 @@
 import org.laurelweir.runtime.config.Endpoint;
 
 /**
- * The few threads that carry all of a process's connections. A process shares a small instance with
- * others, so one group serves its servers and its channels alike; the library's default of two
- * threads a core would cost a stack and an allocator arena each.
+ * The threads that serve all connections of a process. A process shares a small instance with other
+ * processes, so its servers and its channels use the same few threads. Netty's default of two
+ * threads per core would cost a stack and an allocator arena for each thread.
  */
 public final class EventLoops implements Service {
-    private static final long STOP_MILLIS = 2_000;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
     private final EventLoopGroup mGroup;
 
     /**
-     * Makes the threads; each starts with its first connection.
+     * Creates the threads. Each one starts with its first connection.
      *
      * @param name prefix of the threads' names
      * @param threads at least 1
@@ -40,12 +40,12 @@
                         threads, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
     }
 
-    /** Returns the threads, for Netty servers and clients of the process's own. */
+    /** Returns the threads, for other Netty servers and clients in the process. */
     public EventLoopGroup group() {
         return mGroup;
     }
 
-    /** Returns the type of listening sockets that fits the threads. */
+    /** Returns the type of listening sockets that the threads support. */
     public Class<? extends ServerChannel> serverType() {
         return NioServerSocketChannel.class;
     }
@@ -53,11 +53,12 @@
     /**
      * Listens for connections.
      *
-     * @param listen where; with port 0 the operating system chooses
-     * @param backlog most connections that wait to be taken
-     * @param connections sets up each one
+     * @param listen address to listen on; with port 0 the operating system chooses the port
+     * @param backlog maximum number of connections that wait to be accepted
+     * @param connections initializes each accepted connection
      * @return the listening socket
-     * @throws LaurelweirException CANNOT_LISTEN if the address is taken or not of this machine
+     * @throws LaurelweirException CANNOT_LISTEN if the address is in use or does not belong to this
+     *     machine
      */
     public Channel listen(
             Endpoint listen, int backlog, ChannelInitializer<SocketChannel> connections) {
@@ -67,16 +68,16 @@
                         .option(ChannelOption.SO_BACKLOG, backlog)
                         .bind(listen.toSocketAddress())
                         .awaitUninterruptibly();
-        return listening(bind, listen);
+        return listeningChannel(bind, listen);
     }
 
     /**
-     * Takes the connections of a socket that listens already.
+     * Accepts the connections of a socket that already listens.
      *
      * @param socket the socket
-     * @param connections sets up each one
+     * @param connections initializes each accepted connection
      * @return the listening socket
-     * @throws LaurelweirException CANNOT_LISTEN if the socket is of no use
+     * @throws LaurelweirException CANNOT_LISTEN if the socket cannot be registered
      */
     public Channel listen(EarlySocket socket, ChannelInitializer<SocketChannel> connections) {
         ChannelFuture register =
@@ -84,7 +85,7 @@
                         .channelFactory(() -> new NioServerSocketChannel(socket.channel()))
                         .register()
                         .awaitUninterruptibly();
-        return listening(register, socket.endpoint());
+        return listeningChannel(register, socket.endpoint());
     }
 
     private ServerBootstrap bootstrap(ChannelInitializer<SocketChannel> connections) {
@@ -94,14 +95,14 @@
                 .childHandler(connections);
     }
 
-    private static Channel listening(ChannelFuture begun, Endpoint listen) {
-        if (!begun.isSuccess()) {
-            throw EarlySocket.cannotListen(listen, begun.cause());
+    private static Channel listeningChannel(ChannelFuture started, Endpoint listen) {
+        if (!started.isSuccess()) {
+            throw EarlySocket.cannotListen(listen, started.cause());
         }
-        return begun.channel();
+        return started.channel();
     }
 
-    /** Returns the type of connections that fits the threads. */
+    /** Returns the type of connections that the threads support. */
     public Class<? extends Channel> clientType() {
         return NioSocketChannel.class;
     }
@@ -109,9 +110,10 @@
     @Override
     public void start() {}
 
-    /** Ends the threads. Stop what uses them first. */
+    /** Ends the threads. Stop the servers and channels that use them first. */
     @Override
     public void stop() {
-        mGroup.shutdownGracefully(0, STOP_MILLIS, TimeUnit.MILLISECONDS).awaitUninterruptibly();
+        mGroup.shutdownGracefully(0, STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly();
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeAnswer.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeAnswer.java
@@ -15,22 +15,22 @@
 import org.laurelweir.wire.v1.ExchangeReply;
 
 /**
- * What a control instance answered to an exchange.
+ * A control instance's answer to an exchange.
  *
- * @param membership what the asker's view lacks
- * @param crashes under which requests backend servers ended, as far as the asker lacks it; for
- *     routers
- * @param digest what all routers have under way; for routers
- * @param loads the mean work of each service behind sidecars that the asker needs
- * @param settings the nodes that changed since the asker's position
- * @param possiblyStale whether the instance can't confirm that its settings are the newest
+ * @param membership the changes that the requester's view of the membership lacks
+ * @param crashes crashes of backend servers under requests that the requester does not know yet;
+ *     for routers
+ * @param digest load digest of the requests in flight at all routers; for routers
+ * @param loads the mean work of each service behind sidecars that the requester needs
+ * @param settings the settings nodes that changed since the requester's position
+ * @param possiblyStale whether the instance cannot confirm that its settings are the newest
  * @param nextExchange how long to wait before the next exchange
- * @param drain whether an operator wants this backend server drained; for sidecars
- * @param fence the highest fencing number of this backend server; for sidecars
+ * @param drain whether an operator ordered a drain of this backend server; for sidecars
+ * @param fence the highest fencing token of this backend server; for sidecars
  * @param controls every control instance, host:port
- * @param routers routers that serve, 0 if not told; for routers
- * @param settingsAge how long ago, at most, the settings were confirmed to be the newest as the
- *     answer was made; nothing if they were not
+ * @param routers number of serving routers, 0 if unknown; for routers
+ * @param settingsAge maximum age, when the answer was made, of the confirmation that the settings
+ *     are the newest; empty if they are not confirmed
  */
 public record ExchangeAnswer(
         MembershipDelta membership,
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeClient.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeClient.java
@@ -33,79 +33,82 @@
 import org.laurelweir.wire.v1.ExchangeRequest;
 
 /**
- * Exchanges with the nearest control instance that answers, and counts the bytes this takes.
+ * Exchanges reports and updates with the nearest control instance that answers, and counts the
+ * bytes on the wire.
  *
- * <p>An instance that does not answer in time is left for the next one, and its connection is
- * dropped: it may have gone silent for good while new connections work. The next try at that
- * instance opens a new one: after one round, or after a minute's exchanges with a farther one. Any
- * thread may use a client.
+ * <p>If an instance does not answer in time, the client drops the connection and tries the next
+ * instance. A connection may stay silent for good while new connections work, so the next attempt
+ * at the same instance opens a new one: after one round over all instances, or after a minute of
+ * exchanges with a farther instance. Thread-safe.
  */
 public final class ExchangeClient implements Service {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
 
     /**
-     * A starting router's first answer holds the whole settings tree and membership, some megabytes
-     * for tens of thousands of client accounts. Above gRPC's usual limit every such answer would
-     * fail, and the router would never become ready.
+     * The first answer to a starting router holds the whole settings tree and membership: some
+     * megabytes for tens of thousands of client accounts. With gRPC's default limit, every such
+     * answer would fail, and the router would never become ready.
      */
     private static final int MAX_MESSAGE_BYTES = 32 << 20;
 
     private final Duration mTimeout;
-    private final ByteCounter mBytes = new ByteCounter();
+    private final ByteCounter mByteCounter = new ByteCounter();
     private final EventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final SessionCounter mSessions = new SessionCounter();
-    private final List<String> mGiven;
+    private final List<String> mConfiguredAddresses;
     private final ControlOrder mOrder;
-    private final NearestControl mControl;
-    private final Set<String> mSilent = new HashSet<>();
+    private final NearestControl mNearestControl;
+    private final Set<String> mUnresponsive = new HashSet<>();
     private boolean mStopped;
     private ManagedChannel mChannel;
 
     /**
-     * Creates a client; it connects with the first exchange.
+     * Creates a client that tries the instances in the given order. It connects on the first
+     * exchange.
      *
      * @param addresses control instances, host:port, the nearest first; at least one
-     * @param timeout longest wait for one instance's answer
+     * @param timeout maximum wait for one instance's answer
      */
     public ExchangeClient(List<String> addresses, Duration timeout) {
         this(addresses, timeout, ControlOrder.GIVEN);
     }
 
     /**
-     * Creates a client that asks instances in an order of its own.
+     * Creates a client that tries the instances in another order than the given one.
      *
      * @param addresses control instances, host:port; at least one
-     * @param timeout longest wait for one instance's answer
-     * @param order in which they are asked
+     * @param timeout maximum wait for one instance's answer
+     * @param order order in which the instances are tried
      */
     public ExchangeClient(List<String> addresses, Duration timeout, ControlOrder order) {
-        mGiven = List.copyOf(addresses);
+        mConfiguredAddresses = List.copyOf(addresses);
         mOrder = order;
-        mControl = new NearestControl(order.order(mGiven, List.of()));
+        mNearestControl = new NearestControl(order.order(mConfiguredAddresses, List.of()));
         mTimeout = timeout;
     }
 
     /**
-     * Adds control instances that were not known at the start.
+     * Sets the instances learned from control. Replaces those learned before; the instances given
+     * at the start stay.
      *
-     * @param addresses host:port, as a control instance tells them
+     * @param addresses host:port, as reported by a control instance
      */
     public synchronized void learn(List<String> addresses) {
-        mControl.use(mOrder.order(mGiven, addresses));
+        mNearestControl.setAddresses(mOrder.order(mConfiguredAddresses, addresses));
     }
 
     @Override
     public void start() {
-        // Connections are opened when there is something to send.
+        // The connection opens on the first exchange.
     }
 
     /**
-     * Tells a sidecar's report and asks for what is new.
+     * Sends a sidecar's report and requests updates.
      *
-     * @param report what the sidecar announces; the client counts its sessions
-     * @param cursor how far its view of the membership reaches
-     * @param settingsPosition the log position of its settings
+     * @param report the sidecar's report; the client sets the session
+     * @param cursor position of the sender's view of the membership
+     * @param settingsPosition the log position of the sender's settings
      * @return the answer; fails with a LaurelweirException UNREACHABLE if no instance answers
      */
     public CompletableFuture<ExchangeAnswer> exchange(
@@ -117,13 +120,13 @@
     }
 
     /**
-     * Tells a router's report and asks for what is new.
+     * Sends a router's report and requests updates.
      *
-     * @param report what the router tells of itself
-     * @param cursor how far its view of the membership reaches
-     * @param settingsPosition the log position of its settings
-     * @param crashes under which requests backend servers ended, as far as control lacks it
-     * @param loads all that the router has under way at backend servers without sidecars
+     * @param report the router's report
+     * @param cursor position of the sender's view of the membership
+     * @param settingsPosition the log position of the sender's settings
+     * @param crashes crashes of backend servers under requests that control does not know yet
+     * @param loads the router's requests in flight at backend servers without sidecars
      * @return the answer; fails with a LaurelweirException UNREACHABLE if no instance answers
      */
     public CompletableFuture<ExchangeAnswer> exchange(
@@ -141,19 +144,24 @@
                                 .setLoads(LoadCodec.toWire(loads)));
     }
 
-    /** Returns the bytes sent to control instances since the client was made, framing included. */
+    /**
+     * Returns the bytes sent to control instances since the client was created, including framing.
+     */
     public long bytesSent() {
-        return mBytes.sent();
+        return mByteCounter.sent();
     }
 
-    /** Returns the bytes received from control instances since the client was made. */
+    /**
+     * Returns the bytes received from control instances since the client was created, including
+     * framing.
+     */
     public long bytesReceived() {
-        return mBytes.received();
+        return mByteCounter.received();
     }
 
-    /** Returns the instance that exchanges go to now. */
+    /** Returns the address of the instance that the client currently uses. */
     public synchronized String currentAddress() {
-        return mControl.address();
+        return mNearestControl.address();
     }
 
     private static ExchangeRequest.Builder request(MembershipCursor cursor, long position) {
@@ -171,7 +179,7 @@
 
     private void attempt(
             Supplier<ExchangeRequest.Builder> request,
-            int failed,
+            int failedAttempts,
             CompletableFuture<ExchangeAnswer> answer) {
         ManagedChannel channel = channel();
         if (channel == null) {
@@ -182,22 +190,22 @@
                 new FutureCallback<>() {
                     @Override
                     public void onSuccess(ExchangeReply reply) {
-                        ExchangeAnswer read;
+                        ExchangeAnswer decoded;
                         try {
-                            read = ExchangeAnswer.of(reply);
+                            decoded = ExchangeAnswer.of(reply);
                         } catch (RuntimeException e) {
-                            // An answer that can't be read is worth no more than none.
+                            // An answer that cannot be decoded counts as a failure.
                             onFailure(e);
                             return;
                         }
-                        taken(channel, reply);
-                        answer.complete(read);
+                        handleReply(channel, reply);
+                        answer.complete(decoded);
                     }
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        leave(channel, failure);
-                        retry(request, failed + 1, answer, failure);
+                        leaveInstance(channel, failure);
+                        retry(request, failedAttempts + 1, answer, failure);
                     }
                 };
         Futures.addCallback(
@@ -210,11 +218,11 @@
 
     private void retry(
             Supplier<ExchangeRequest.Builder> request,
-            int failed,
+            int failedAttempts,
             CompletableFuture<ExchangeAnswer> answer,
             Throwable failure) {
-        if (failed < mControl.size()) {
-            attempt(request, failed, answer);
+        if (failedAttempts < mNearestControl.size()) {
+            attempt(request, failedAttempts, answer);
             return;
         }
         answer.completeExceptionally(
@@ -226,46 +234,48 @@
         if (mStopped) {
             return null;
         }
-        if (mControl.returns()) {
-            move();
+        if (mNearestControl.returnToNearestIfDue()) {
+            closeChannel();
         }
         if (mChannel == null) {
-            mChannel = open(mControl.address());
+            mChannel = open(mNearestControl.address());
         }
         return mChannel;
     }
 
-    private synchronized void taken(ManagedChannel channel, ExchangeReply reply) {
-        mSessions.raise(reply.getLeastSession());
-        if (channel == mChannel && mSilent.remove(mControl.address())) {
-            sLogger.atInfo().log("control instance %s answers again", mControl.address());
+    private synchronized void handleReply(ManagedChannel channel, ExchangeReply reply) {
+        mSessions.raiseTo(reply.getLeastSession());
+        if (channel == mChannel && mUnresponsive.remove(mNearestControl.address())) {
+            sLogger.atInfo().log("control instance %s answers again", mNearestControl.address());
         }
-        if (channel == mChannel && mControl.leavesStale(reply.getPossiblyStale())) {
-            move();
+        if (channel == mChannel && mNearestControl.moveToNextIfStale(reply.getPossiblyStale())) {
+            closeChannel();
         }
     }
 
-    private void move() {
+    private void closeChannel() {
         if (mChannel != null) {
             mChannel.shutdown();
         }
         mChannel = null;
-        mSessions.moved();
+        mSessions.startSession();
     }
 
-    private synchronized void leave(ManagedChannel channel, Throwable failure) {
-        // Several exchanges may have failed over one connection: only the first one moves on.
+    private synchronized void leaveInstance(ManagedChannel channel, Throwable failure) {
+        // Several exchanges may fail on one connection. Only the first failure moves the client to
+        // the next instance.
         if (channel != mChannel) {
             return;
         }
-        // Once for each loss: a router that finds nobody asks several times a second.
-        if (mSilent.add(mControl.address())) {
+        // Logs each loss once, because a router without a control instance retries several times a
+        // second.
+        if (mUnresponsive.add(mNearestControl.address())) {
             sLogger.atInfo().log(
                     "control instance %s does not answer: %s",
-                    mControl.address(), failure.getMessage());
+                    mNearestControl.address(), failure.getMessage());
         }
-        mControl.leave();
-        move();
+        mNearestControl.moveToNext();
+        closeChannel();
         channel.shutdownNow();
     }
 
@@ -281,7 +291,7 @@
 
     private NioSocketChannel newCountedChannel() {
         NioSocketChannel channel = new NioSocketChannel();
-        channel.pipeline().addFirst(mBytes);
+        channel.pipeline().addFirst(mByteCounter);
         return channel;
     }
 
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Explanations.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Explanations.java
@@ -5,17 +5,17 @@
 import org.laurelweir.wire.v1.ExplainReply;
 import org.laurelweir.wire.v1.ExplainRequest;
 
-/** Answers operators who ask why requests went where they did, alike in every program. */
+/** Answers operators' queries about routing decisions, in the same way in every program. */
 public final class Explanations {
     private static final int DEFAULT_LIMIT = 20;
 
     private Explanations() {}
 
     /**
-     * Returns the decisions that were asked for, the newest first.
+     * Returns the requested decisions, newest first.
      *
-     * @param ring the decisions known
-     * @param request what they have to be about; a limit of 0 stands for the usual one
+     * @param ring the recorded decisions
+     * @param request subject and limit of the query; a limit of 0 selects the default limit
      */
     public static ExplainReply answer(DecisionRing ring, ExplainRequest request) {
         int limit = request.getLimit() == 0 ? DEFAULT_LIMIT : request.getLimit();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/HttpConnector.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/HttpConnector.java
@@ -12,9 +12,9 @@
 
 /** Opens HTTP/1.1 connections to backend servers. */
 public final class HttpConnector {
-    private static final int MAX_LINE = 16 << 10;
-    private static final int MAX_HEADERS = 64 << 10;
-    private static final int MAX_PIECE = 64 << 10;
+    private static final int MAX_LINE_BYTES = 16 << 10;
+    private static final int MAX_HEADER_BYTES = 64 << 10;
+    private static final int MAX_CHUNK_BYTES = 64 << 10;
 
     private final EventLoops mLoops;
     private final EventLoopGroup mGroup;
@@ -23,9 +23,9 @@
     /**
      * Creates a connector.
      *
-     * @param loops tell the type of connections
-     * @param group those of the loops' threads that carry the connections
-     * @param connectMillis longest time until a connection stands
+     * @param loops determine the type of the connections
+     * @param group the threads of {@code loops} that serve the connections
+     * @param connectMillis connect timeout in milliseconds
      */
     public HttpConnector(EventLoops loops, EventLoopGroup group, int connectMillis) {
         mLoops = loops;
@@ -36,17 +36,17 @@
     /**
      * Opens a connection.
      *
-     * @param there where the backend server listens
-     * @param handler takes the parts of answers
+     * @param address address of the backend server
+     * @param handler receives the HTTP objects of the answers
      */
-    public ChannelFuture connect(Endpoint there, ChannelHandler handler) {
+    public ChannelFuture connect(Endpoint address, ChannelHandler handler) {
         return new Bootstrap()
                 .group(mGroup)
                 .channel(mLoops.clientType())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, mConnectMillis)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new Pipeline(handler))
-                .connect(there.toSocketAddress());
+                .connect(address.toSocketAddress());
     }
 
     private static final class Pipeline extends ChannelInitializer<Channel> {
@@ -58,7 +58,9 @@
 
         @Override
         protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(MAX_LINE, MAX_HEADERS, MAX_PIECE));
+            channel.pipeline()
+                    .addLast(
+                            new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES));
             channel.pipeline().addLast(mHandler);
         }
     }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/NearestControl.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/NearestControl.java
@@ -3,40 +3,43 @@
 import java.util.List;
 
 /**
- * Chooses the control instance to exchange with: the nearest, unless it fails or can't confirm what
- * it says. Not safe for use by several threads.
+ * Chooses the control instance to exchange with: the nearest one, unless it fails or cannot confirm
+ * its settings. Not thread-safe.
  */
 final class NearestControl {
-    private static final int EXCHANGES_BEFORE_RETURN = 60;
-    private static final int MOST_EXCHANGES_BEFORE_RETURN = 3600;
-    private static final int STALE_BEFORE_LEAVING = 2;
+    private static final int MIN_EXCHANGES_BEFORE_RETURN = 60;
+    private static final int MAX_EXCHANGES_BEFORE_RETURN = 3600;
+    private static final int STALE_ANSWERS_BEFORE_MOVE = 2;
 
-    /** Once all were found stale: rare enough for what a move costs, a whole view. */
-    private static final int STALE_BEFORE_LEAVING_AGAIN = 12;
+    /**
+     * Applies once all instances are stale. Each move costs a full view of the membership, so moves
+     * must be rare.
+     */
+    private static final int STALE_ANSWERS_BEFORE_MOVE_IF_ALL_STALE = 12;
 
     private List<String> mAddresses;
     private int mCurrent;
-    private int mUntilReturn;
-    private int mReturnAfter = EXCHANGES_BEFORE_RETURN;
-    private int mStale;
-    private int mStaleInARow;
-    private int mStaleLimit = STALE_BEFORE_LEAVING;
+    private int mExchangesUntilReturn;
+    private int mExchangesBeforeReturn = MIN_EXCHANGES_BEFORE_RETURN;
+    private int mStaleAnswers;
+    private int mStaleInstancesInARow;
+    private int mMaxStaleAnswers = STALE_ANSWERS_BEFORE_MOVE;
 
     NearestControl(List<String> addresses) {
         mAddresses = List.copyOf(addresses);
     }
 
     /**
-     * Takes the instances that there are now. The present one stays in use where it is still among
-     * them; the first ones remain the nearest.
+     * Replaces the list of instances, nearest first. The current instance stays in use if it is
+     * still in the list.
      */
-    void use(List<String> addresses) {
+    void setAddresses(List<String> addresses) {
         if (addresses.isEmpty() || addresses.equals(mAddresses)) {
             return;
         }
-        int kept = addresses.indexOf(address());
+        int newIndex = addresses.indexOf(address());
         mAddresses = List.copyOf(addresses);
-        mCurrent = Math.max(0, kept);
+        mCurrent = Math.max(0, newIndex);
     }
 
     int size() {
@@ -47,50 +50,58 @@
         return mAddresses.get(mCurrent);
     }
 
-    /** Goes on to the next instance; back to the nearest later each time that it disappoints. */
-    void leave() {
+    /**
+     * Moves to the next instance. The delay until the return to the nearest instance doubles each
+     * time that the nearest instance is left, up to a maximum.
+     */
+    void moveToNext() {
         if (mCurrent == 0) {
-            mUntilReturn = mReturnAfter;
-            mReturnAfter = Math.min(2 * mReturnAfter, MOST_EXCHANGES_BEFORE_RETURN);
+            mExchangesUntilReturn = mExchangesBeforeReturn;
+            mExchangesBeforeReturn =
+                    Math.min(2 * mExchangesBeforeReturn, MAX_EXCHANGES_BEFORE_RETURN);
         }
         mCurrent = (mCurrent + 1) % mAddresses.size();
-        mStale = 0;
+        mStaleAnswers = 0;
     }
 
-    /** Counts an exchange; returns whether the nearest instance is to be tried again. */
-    boolean returns() {
-        if (mCurrent == 0 || --mUntilReturn > 0) {
+    /**
+     * Counts an exchange and returns to the nearest instance if the delay has passed. Returns
+     * whether it did.
+     */
+    boolean returnToNearestIfDue() {
+        if (mCurrent == 0 || --mExchangesUntilReturn > 0) {
             return false;
         }
         mCurrent = 0;
-        mStale = 0;
+        mStaleAnswers = 0;
         return true;
     }
 
     /**
-     * Notes whether an answer was possibly stale; returns whether to leave the instance. One behind
-     * a partition answers as promptly as ever, so only this shows it; the next one may be cut off
-     * with it, and is left as soon. Once every instance was found stale, there is nowhere better to
-     * go for now, and the moves become rarer; how long that lasts says nothing of the next moment,
-     * so that they don't become rarer still.
+     * Records whether an answer was possibly stale, and moves to the next instance after several
+     * stale answers. Returns whether it moved. An instance behind a partition answers as promptly
+     * as before, so only stale answers reveal the partition. The next instance may be cut off too,
+     * and is left after as many stale answers. Once all instances are stale, no instance is better
+     * and moves become rarer. They do not become rarer still, because the length of an outage does
+     * not predict its end.
      */
-    boolean leavesStale(boolean possiblyStale) {
+    boolean moveToNextIfStale(boolean possiblyStale) {
         if (!possiblyStale) {
             if (mCurrent == 0) {
-                mReturnAfter = EXCHANGES_BEFORE_RETURN;
+                mExchangesBeforeReturn = MIN_EXCHANGES_BEFORE_RETURN;
             }
-            mStale = 0;
-            mStaleInARow = 0;
-            mStaleLimit = STALE_BEFORE_LEAVING;
+            mStaleAnswers = 0;
+            mStaleInstancesInARow = 0;
+            mMaxStaleAnswers = STALE_ANSWERS_BEFORE_MOVE;
             return false;
         }
-        if (mAddresses.size() == 1 || ++mStale < mStaleLimit) {
+        if (mAddresses.size() == 1 || ++mStaleAnswers < mMaxStaleAnswers) {
             return false;
         }
-        if (++mStaleInARow >= mAddresses.size()) {
-            mStaleLimit = STALE_BEFORE_LEAVING_AGAIN;
+        if (++mStaleInstancesInARow >= mAddresses.size()) {
+            mMaxStaleAnswers = STALE_ANSWERS_BEFORE_MOVE_IF_ALL_STALE;
         }
-        leave();
+        moveToNext();
         return true;
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/RpcServer.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/RpcServer.java
@@ -17,11 +17,11 @@
 import org.laurelweir.lib.Service;
 
 /**
- * Serves gRPC services on one address. Calls run on the event loops unless an executor is given, so
- * that a service which blocks has to say so.
+ * Serves gRPC services on one address. Calls run on the event loops unless an executor is set. A
+ * service that blocks needs an executor.
  */
 public final class RpcServer implements Service {
-    private static final Duration SHORTEST_KEEP_ALIVE = Duration.ofSeconds(1);
+    private static final Duration MIN_KEEP_ALIVE_TIME = Duration.ofSeconds(1);
 
     private final Builder mSettings;
     private Server mServer;
@@ -31,19 +31,20 @@
     }
 
     /**
-     * Begins a server.
+     * Returns a builder of a server.
      *
-     * @param loops carry the connections; stopped after the server
-     * @param traffic counts the bytes
+     * @param loops threads that serve the connections; stop them after the server
+     * @param traffic counts the bytes on the wire
      */
     public static Builder builder(EventLoops loops, TrafficCounters traffic) {
         return new Builder(loops, traffic);
     }
 
     /**
-     * Listens.
+     * Starts to listen.
      *
-     * @throws LaurelweirException CANNOT_LISTEN if the address is taken or not of this machine
+     * @throws LaurelweirException CANNOT_LISTEN if the address is in use or does not belong to this
+     *     machine
      */
     @Override
     public void start() {
@@ -57,19 +58,22 @@
         }
     }
 
-    /** Returns the port that listens, also where the operating system chose it. Once started. */
+    /** Returns the actual port on which the server listens. Valid once started. */
     public int port() {
         return mServer.getPort();
     }
 
-    /** Takes no new connection or call from now on; calls in flight go on. */
+    /** Stops accepting connections and calls. Calls in flight continue. */
     public void drain() {
         if (mServer != null) {
             mServer.shutdown();
         }
     }
 
-    /** Drains, waits for calls in flight at most the grace time, then ends those that are left. */
+    /**
+     * Drains the server, waits up to the grace time for calls in flight, then cancels the remaining
+     * ones.
+     */
     @Override
     public void stop() {
         if (mServer == null) {
@@ -105,9 +109,9 @@
         }
 
         /**
-         * Sets where to listen; 127.0.0.1 and any free port where not called.
+         * Sets the address to listen on; 127.0.0.1 and a free port by default.
          *
-         * @param ip an IP number
+         * @param ip an IP address
          * @param port 0 lets the operating system choose
          */
         public Builder listen(String ip, int port) {
@@ -127,25 +131,25 @@
             return this;
         }
 
-        /** Sets how long a stop waits for calls in flight; 5 s where not called. */
+        /** Sets how long a stop waits for calls in flight; 5 s by default. */
         public Builder grace(Duration grace) {
             mGrace = grace;
             return this;
         }
 
-        /** Sets the largest message taken; 32 MiB where not called. */
+        /** Sets the maximum size of a received message; 32 MiB by default. */
         public Builder maxMessageBytes(int bytes) {
             mMaxMessageBytes = bytes;
             return this;
         }
 
-        /** Sets the transport's security; plaintext where not called. */
+        /** Sets the transport's credentials; plaintext by default. */
         public Builder credentials(ServerCredentials credentials) {
             mCredentials = credentials;
             return this;
         }
 
-        /** Returns the server, not started. */
+        /** Returns the server. It listens once started. */
         public RpcServer build() {
             return new RpcServer(this);
         }
@@ -160,7 +164,7 @@
                             .maxInboundMessageSize(mMaxMessageBytes)
                             .permitKeepAliveWithoutCalls(true)
                             .permitKeepAliveTime(
-                                    SHORTEST_KEEP_ALIVE.toMillis(), TimeUnit.MILLISECONDS)
+                                    MIN_KEEP_ALIVE_TIME.toMillis(), TimeUnit.MILLISECONDS)
                             .addStreamTracerFactory(mTraffic.serverTracers());
             mServices.forEach(b::addService);
             return b.build();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/SessionCounter.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/SessionCounter.java
@@ -4,20 +4,21 @@
 import org.laurelweir.membership.SidecarReport;
 
 /**
- * Counts the sessions of one run of a sidecar. A new one begins with another control instance, when
- * control has taken the sidecar for gone, and when it takes work again after draining: under the
- * old session such an announcement could not be told from one that was overtaken on its way.
+ * Numbers the sessions of one incarnation of a sidecar. A new session starts when the sidecar moves
+ * to another control instance, when control has considered the sidecar departed, and when the
+ * sidecar serves again after a drain. Under the old session, such an announcement would look like
+ * an older one that arrives late.
  */
 final class SessionCounter {
     private int mSession = 1;
-    private Backend.State mLast = Backend.State.SERVING;
+    private Backend.State mLastState = Backend.State.SERVING;
 
     synchronized SidecarReport stamp(SidecarReport r) {
         Backend b = r.backend();
-        if (b.state().compareTo(mLast) < 0) {
+        if (b.state().compareTo(mLastState) < 0) {
             mSession++;
         }
-        mLast = b.state();
+        mLastState = b.state();
         Backend stamped =
                 new Backend(
                         b.ref(),
@@ -31,13 +32,13 @@
         return new SidecarReport(stamped, r.runningWork(), r.running(), r.waiting());
     }
 
-    /** Begins a session with another control instance. */
-    synchronized void moved() {
+    /** Starts a new session, after a move to another control instance. */
+    synchronized void startSession() {
         mSession++;
     }
 
-    /** Goes up to the least session under which control hears the sidecar. */
-    synchronized void raise(int least) {
-        mSession = Math.max(mSession, least);
+    /** Raises the session to the lowest one that control accepts from the sidecar. */
+    synchronized void raiseTo(int minSession) {
+        mSession = Math.max(mSession, minSession);
     }
 }
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/TrafficCounters.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/TrafficCounters.java
@@ -19,7 +19,7 @@
  * Counts the bytes that gRPC messages take on the wire, by service and direction, as seen by this
  * process: {@code laurelweir_control_bytes_total}, and {@code laurelweir_payload_bytes_total} for
  * the streams that carry callers' requests and answers. A message counts with its five bytes of
- * gRPC framing; what HTTP/2 adds (frame heads, compressed headers) is not seen here.
+ * gRPC framing. The overhead of HTTP/2 (frame headers, compressed headers) is not counted.
  */
 public final class TrafficCounters {
     private static final int MESSAGE_FRAMING_BYTES = 5;
@@ -39,16 +39,16 @@
     }
 
     /**
-     * Shows control bytes that something else counts, such as a connection of its own that sees
-     * what HTTP/2 adds.
+     * Registers control bytes that are counted elsewhere, such as those of a separate connection
+     * whose count includes the overhead of HTTP/2.
      *
-     * @param service the name under which they are shown
+     * @param service value of the metric's service label
      * @param in bytes received so far
      * @param out bytes sent so far
      */
     public void show(String service, LongSupplier in, LongSupplier out) {
-        mRegistry.register(name(CONTROL, service, "in"), new CountedElsewhere(in));
-        mRegistry.register(name(CONTROL, service, "out"), new CountedElsewhere(out));
+        mRegistry.register(name(CONTROL, service, "in"), new ExternalCounter(in));
+        mRegistry.register(name(CONTROL, service, "out"), new ExternalCounter(out));
     }
 
     ServerStreamTracer.Factory serverTracers() {
@@ -92,7 +92,7 @@
         return MetricNames.labelled(family, "service", service, "direction", direction);
     }
 
-    private record CountedElsewhere(LongSupplier bytes) implements Metric, Counting {
+    private record ExternalCounter(LongSupplier bytes) implements Metric, Counting {
         @Override
         public long getCount() {
             return bytes.getAsLong();
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/package-info.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/package-info.java
@@ -1,5 +1,5 @@
 /**
- * gRPC between the programs: servers, a pool of connections, the threads that serve both, and the
- * count of what they cost on the wire.
+ * gRPC between the programs: servers, a pool of channels, the threads that serve both, and counters
+ * of the bytes on the wire.
  */
 package org.laurelweir.runtime.rpc;
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/config/SettingsFileTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/config/SettingsFileTest.java
@@ -16,7 +16,7 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.settings.ByteSize;
 
-/** Binding of a settings file and the faults it may have, each with its line. */
+/** Tests the binding of a settings file to a record, and the faults that it reports. */
 class SettingsFileTest {
     private enum Mode {
         FULL_SPEED,
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void namesEveryFaultAtOnceWithItsLine() throws IOException {
+    void reportsAllFaultsWithTheirLines() throws IOException {
         assertThat(
                         faultsOf(
                                 """
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void refusesValuesThatDisagreeBrokenYamlAndRepeatedKeys() throws IOException {
+    void rejectsInconsistentValuesMalformedYamlAndDuplicateKeys() throws IOException {
         assertThat(faultsOf("program: sample\nregion: vestkyst\nthreads: 9\n"))
                 .containsExactly(
                         "1 : an idle program needs no 9; values that agree with each other");
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void picksTheSpecificationByTheFirstKey() throws IOException {
+    void selectsTheSpecificationByTheFirstKey() throws IOException {
         List<Class<? extends Record>> specs = List.of(Sample.class);
         Path good = file("program: sample\nregion: vestkyst\n");
         assertThat(SettingsFile.check(specs, good)).isEmpty();
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/config/TreeFileTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/config/TreeFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.laurelweir.errors.LaurelweirException;
 
-/** Nodes of the settings tree written as YAML, and their faults with lines. */
+/** Tests reading settings nodes from YAML, and the lines of their faults. */
 class TreeFileTest {
     @TempDir Path mFolder;
 
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void namesEveryFaultWithItsLine() throws IOException {
+    void reportsAllFaultsWithTheirLines() throws IOException {
         Path file =
                 file(
                         """
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LogQueueTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LogQueueTest.java
@@ -9,11 +9,11 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What a reader that does not keep up costs. */
+/** Tests the log queue with readers that are blocked and with readers that keep up. */
 class LogQueueTest {
-    private static final int FAR_TOO_MANY = 100_000;
+    private static final int ORDINARY_LINES = 100_000;
 
-    /** Takes nothing until it is opened. */
+    /** Blocks all writes until it is opened. */
     private static final class BlockedStream extends OutputStream {
         private final CountDownLatch mOpen = new CountDownLatch(1);
         private final ByteArrayOutputStream mWritten = new ByteArrayOutputStream();
@@ -38,14 +38,14 @@
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static byte[] dropped(long lines) {
+    private static byte[] droppedCountLine(long lines) {
         return line("log lines dropped: " + lines);
     }
 
     @Test
-    void theLineOfWhatWasDroppedHasTheFieldsOfEveryLine() {
-        // Whoever searches a log by time or logger must find where it has gaps.
-        byte[] json = new LineFormat(LogSettings.Format.JSON).droppedLine(7);
+    void droppedCountLineHasTheUsualFields() {
+        // A search of the log by time or logger must also find its gaps.
+        byte[] json = new LineFormat(LogSettings.Format.JSON).formatDroppedCount(7);
         assertThat(new String(json, StandardCharsets.UTF_8))
                 .startsWith("{\"time\":\"")
                 .contains("\"level\":\"WARN\",\"logger\":\"" + LogQueue.class.getName() + "\"")
@@ -53,13 +53,14 @@
     }
 
     @Test
-    void aBlockedReaderCostsLinesAndNoTime() {
-        // Nobody reads the log while ten times as many lines are written as it holds. Whoever logs
-        // goes on: a put that waited would never return here. What failed is kept before the rest.
+    void blockedReaderDropsLinesWithoutBlockingTheLoggingThread() {
+        // The reader is blocked while more than ten times as many lines are put as the queue holds.
+        // If a put waited for room, it would never return in this test. The important line must be
+        // kept.
         BlockedStream blocked = new BlockedStream();
-        LogQueue queue = new LogQueue(blocked, LogQueueTest::dropped);
+        LogQueue queue = new LogQueue(blocked, LogQueueTest::droppedCountLine);
         queue.start();
-        for (int i = 0; i < FAR_TOO_MANY; i++) {
+        for (int i = 0; i < ORDINARY_LINES; i++) {
             queue.put(line("ordinary"), false);
         }
         queue.put(line("failed"), true);
@@ -68,19 +69,19 @@
         String written = blocked.mWritten.toString(StandardCharsets.UTF_8);
         assertThat(written).contains("failed\n").contains("log lines dropped: ");
         long kept = written.lines().filter("ordinary"::equals).count();
-        assertThat(kept).isPositive().isLessThan(FAR_TOO_MANY);
+        assertThat(kept).isPositive().isLessThan(ORDINARY_LINES);
         long dropped =
                 written.lines()
                         .filter(l -> l.contains("dropped"))
                         .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
                         .sum();
-        assertThat(kept + dropped).isEqualTo(FAR_TOO_MANY);
+        assertThat(kept + dropped).isEqualTo(ORDINARY_LINES);
     }
 
     @Test
-    void linesComeInTheirOrder() {
+    void writesLinesInOrder() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        LogQueue queue = new LogQueue(out, LogQueueTest::dropped);
+        LogQueue queue = new LogQueue(out, LogQueueTest::droppedCountLine);
         queue.start();
         for (int i = 0; i < 1000; i++) {
             queue.put(line(Integer.toString(i)), i % 2 == 0);
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LoggingTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/log/LoggingTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.laurelweir.lib.Decision;
 
-/** What reaches the log, in both formats, through Flogger and through java.util.logging. */
+/** Tests the log lines in both formats, logged through Flogger and through java.util.logging. */
 class LoggingTest {
     private static final FluentLogger sLogger = FluentLogger.forEnclosingClass();
     private static final Decision DECISION =
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/loop/InboxTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/loop/InboxTest.java
@@ -8,31 +8,31 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
-/** The queue between network threads and a reducer loses and reorders nothing. */
+/** Tests that the inbox between network threads and a reducer neither loses nor reorders events. */
 public class InboxTest {
-    // More than a Lincheck scenario puts: a put on a full queue waits by design.
+    // More than a Lincheck scenario puts, because a put on a full queue waits by design.
     private static final int CAPACITY = 64;
     private static final long LONG_WAIT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final Inbox<Integer> mInbox = new Inbox<>(CAPACITY);
 
-    /** Lincheck makes an instance for each scenario. */
+    /** Creates an inbox; Lincheck calls this for each scenario. */
     public InboxTest() {}
 
-    /** Any thread adds. */
+    /** Adds an element from any thread. */
     @Operation
     public void put(int element) {
         mInbox.put(element);
     }
 
-    /** The consumer takes. */
+    /** Takes an element on the consumer's thread. */
     @Operation(nonParallelGroup = "consumer")
     public Integer poll() {
         return mInbox.poll();
     }
 
-    // Lincheck can't transform org.agrona.UnsafeApi and says so (VerifyError). So it does not stop
-    // a put between taking a place in Agrona's queue and filling it; see Inbox.
+    // Lincheck cannot transform org.agrona.UnsafeApi and reports a VerifyError. It therefore does
+    // not suspend a put between claiming a slot in Agrona's queue and filling it; see Inbox.
     @Test
     void isLinearizable() {
         new ModelCheckingOptions()
@@ -54,8 +54,8 @@
         }
     }
 
-    // The reducer's thread sleeps on an empty queue while a request arrives. Were the wake-up lost
-    // between the look at the queue and the parking, the caller would wait for the next tick.
+    // Guards against a lost wake-up: a request arrives while the consumer is between its check of
+    // the empty queue and parking. The caller would then wait for the next tick.
     @Test
     void putWakesParkedConsumer() throws InterruptedException {
         CountDownLatch taken = new CountDownLatch(1);
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/loop/InboxWakeTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/loop/InboxWakeTest.java
@@ -4,14 +4,14 @@
 import org.jetbrains.lincheck.Lincheck;
 import org.junit.jupiter.api.Test;
 
-/** No order of the steps of putting and of waiting loses a wake-up. */
+/** Tests that no interleaving of put and await loses a wake-up. */
 class InboxWakeTest {
     private static final int INVOCATIONS = 100;
-    private static final long ANY_TIME = 1;
+    private static final long IGNORED_NANOS = 1;
 
     /**
-     * Sleeps until woken, without time limit. Lincheck lets the platform's parking end without
-     * cause, as it may, and so would never see a consumer that sleeps on.
+     * Parks until unparked, without a time limit. Lincheck lets LockSupport.park return spuriously,
+     * as it may, and would not detect a consumer that is never unparked.
      */
     private static final class StrictParker implements Parker {
         private boolean mPermit;
@@ -35,12 +35,12 @@
         }
     }
 
-    // Two requests arrive while the reducer's thread is about to sleep on an empty queue. Were a
-    // wake-up lost, their callers would wait for the next tick; here the consumer hangs.
-    // Lincheck tries orders of the steps; the queue is the JDK's, since Lincheck can't follow
-    // Agrona's into its use of Unsafe.
+    // Two requests arrive while the consumer is about to park on an empty queue. After a lost
+    // wake-up, their callers would wait for the next tick; in this test the consumer hangs.
+    // Lincheck explores the interleavings. The queue is the JDK's, because Lincheck cannot follow
+    // Agrona's queue into its use of Unsafe.
     @Test
-    void consumerTakesWhateverIsPut() {
+    void noWakeUpIsLost() {
         Lincheck.runConcurrentTest(INVOCATIONS, InboxWakeTest::putTwiceAndTake);
     }
 
@@ -62,7 +62,7 @@
         int taken = 0;
         while (taken < 2) {
             if (inbox.poll() == null) {
-                inbox.await(ANY_TIME);
+                inbox.await(IGNORED_NANOS);
             } else {
                 taken++;
             }
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/metrics/MetricsServerTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/metrics/MetricsServerTest.java
@@ -20,7 +20,7 @@
 import org.laurelweir.errors.LaurelweirException;
 import org.laurelweir.runtime.config.Endpoint;
 
-/** The three pages of the metrics server. */
+/** Tests the three pages of the metrics server. */
 class MetricsServerTest {
     private final MetricRegistry mRegistry = new MetricRegistry();
     private final AtomicReference<String> mReason = new AtomicReference<>();
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void tellsHealthAndReadinessApart() throws Exception {
+    void distinguishesHealthAndReadiness() throws Exception {
         mReason.set("no settings yet");
         assertThat(get("/healthz").statusCode()).isEqualTo(200);
         assertThat(get("/readyz"))
@@ -89,16 +89,17 @@
     }
 
     @Test
-    void refusesATakenPort() {
+    void rejectsAPortInUse() {
         MetricsServer second = new MetricsServer(mServer.endpoint(), mRegistry, Optional::empty);
         assertThatThrownBy(second::start)
                 .isInstanceOf(LaurelweirException.class)
                 .hasMessageContaining("metrics cannot listen on 127.0.0.1");
     }
 
-    // A stopped server went on listening, and whoever asked it got no answer.
+    // Guards against a stopped server that still listens: its clients would connect and get no
+    // answer.
     @Test
-    void aStoppedServerRefusesConnections() {
+    void stoppedServerRefusesConnections() {
         for (int i = 0; i < 1_000; i++) {
             MetricsServer server =
                     new MetricsServer(new Endpoint("127.0.0.1", 0), mRegistry, Optional::empty);
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/BackgroundExecutorTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/BackgroundExecutorTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A task in the background fails. Nobody waits for its result, so that its failure has to be told,
- * or a control instance stands still without a line that says why.
+ * Tests that failures of background tasks are reported. No thread waits for the result of such a
+ * task, so an unreported failure would stall a control instance without a log line.
  */
 class BackgroundExecutorTest {
     private final BlockingQueue<Throwable> mFailures = new LinkedBlockingQueue<>();
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void aFailureIsToldHoweverTheTaskWasHandedOver() throws Exception {
+    void reportsFailuresOfAllKindsOfSubmission() throws Exception {
         RuntimeException failure = new IllegalStateException("broken");
         mExecutor.execute(() -> fail(failure));
         assertThat(nextFailure()).isSameAs(failure);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void anErrorIsToldAndOtherTasksGoOn() throws Exception {
+    void reportsAnErrorAndRunsLaterTasks() throws Exception {
         Error error = new AssertionError("as when the heap is full");
         mExecutor.schedule(
                 () -> {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void whatWasCancelledIsNoFailure() throws Exception {
+    void doesNotReportCancelledTasks() throws Exception {
         mExecutor.schedule(() -> {}, 1, TimeUnit.HOURS).cancel(false);
         mExecutor.submit(() -> {}).get(1, TimeUnit.MINUTES);
         assertThat(mFailures).isEmpty();
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/ProgramTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/ProgramTest.java
@@ -15,23 +15,25 @@
 import org.laurelweir.runtime.log.LogSettings;
 import org.laurelweir.runtime.log.Logging;
 
-/** How a process ends after a failure that nothing expects. */
+/** Tests the log and the exit code of a process that fails unexpectedly. */
 class ProgramTest {
     @TempDir Path mFolder;
 
-    /** A program whose start, or a thread of it, runs out of memory. */
-    public static final class Greedy {
-        /** Fails in the way that its argument names. */
+    /** A program that runs out of memory on its main thread or on another one. */
+    public static final class FailingProgram {
+        /**
+         * Fails on the main thread if the argument is {@code main}, otherwise on another thread.
+         */
         public static void main(String[] args) {
-            Program.run("greedy", () -> new GreedyService(args[0]));
+            Program.run("failing", () -> new FailingService(args[0]));
         }
     }
 
-    private static final class GreedyService implements Service {
-        private final String mWhere;
+    private static final class FailingService implements Service {
+        private final String mFailingThread;
 
-        GreedyService(String where) {
-            mWhere = where;
+        FailingService(String failingThread) {
+            mFailingThread = failingThread;
         }
 
         @Override
@@ -43,13 +45,13 @@
                                     LogSettings.Console.STDOUT,
                                     Optional.empty()))
                     .start();
-            if (mWhere.equals("main")) {
-                take();
+            if (mFailingThread.equals("main")) {
+                throwOutOfMemory();
             }
-            new Thread(GreedyService::take, "eater").start();
+            new Thread(FailingService::throwOutOfMemory, "failing-thread").start();
         }
 
-        private static void take() {
+        private static void throwOutOfMemory() {
             throw new OutOfMemoryError("Java heap space");
         }
 
@@ -57,15 +59,16 @@
         public void stop() {}
     }
 
-    // Engineers see: a process that ended with code 1, and no line of its log that says why. Order:
-    // the heap is full while the program starts, on its main thread or on another one. Why: an
-    // error is no exception and passed by those who log what they catch.
+    // Guards against a process that ends with code 1 and no log line about the cause. The heap is
+    // full while the program starts, on its main thread or on another one. An Error is not an
+    // Exception, so handlers that log caught exceptions miss it.
     @Test
-    void anErrorLeavesALineAndACodeOfItsOwn() throws Exception {
-        for (String where : List.of("main", "thread")) {
-            Path log = mFolder.resolve(where + ".log");
+    void outOfMemoryErrorIsLoggedAndSetsTheExitCode() throws Exception {
+        for (String failingThread : List.of("main", "thread")) {
+            Path log = mFolder.resolve(failingThread + ".log");
             JavaProcess process =
-                    new JavaProcess("greedy", log, Greedy.class.getName(), List.of(where));
+                    new JavaProcess(
+                            "failing", log, FailingProgram.class.getName(), List.of(failingThread));
             process.start();
             assertThat(process.awaitExit()).isEqualTo(Program.exitCode(ResultCode.OUT_OF_MEMORY));
             assertThat(lines(log))
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/StartOrderTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/StartOrderTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.runtime.config.Endpoint;
 
-/** Which of two programs that start on one instance goes first. */
+/** Tests how a program finds the control instance on its own instance and waits for it. */
 class StartOrderTest {
     private static final Endpoint SELF = Endpoint.parse("127.0.0.1:80");
 
     @Test
-    void onlyAControlInstanceOnTheSameInstanceCounts() {
+    void findsOnlyAControlInstanceOnTheSameInstance() {
         Endpoint near = Endpoint.parse("127.0.0.1:8229");
         Endpoint far = Endpoint.parse("127.0.0.10:8229");
         assertThat(StartOrder.beside(SELF, List.of(far, near))).contains(near);
@@ -20,16 +20,16 @@
     }
 
     @Test
-    void aRouterGoesOnOnceControlVouches() {
-        // Both are started at once after a loss of power. The router asks until control has a
-        // leader and confirmed settings, and loads then.
-        AtomicInteger asked = new AtomicInteger();
-        assertThat(StartOrder.await(() -> asked.incrementAndGet() == 3)).isTrue();
-        assertThat(asked).hasValue(3);
+    void returnsOnceControlIsReady() {
+        // Both programs start at once after a power loss. The router polls until control has a
+        // leader and confirmed settings, then loads its classes.
+        AtomicInteger polls = new AtomicInteger();
+        assertThat(StartOrder.await(() -> polls.incrementAndGet() == 3)).isTrue();
+        assertThat(polls).hasValue(3);
     }
 
     @Test
-    void aControlInstanceThatNeverVouchesIsNotWaitedForForEver() {
+    void timesOutIfControlIsNeverReady() {
         assertThat(StartOrder.await(() -> false)).isFalse();
     }
 }
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ChannelsTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ChannelsTest.java
@@ -18,7 +18,7 @@
 import org.laurelweir.wire.v1.ExplainRequest;
 import org.laurelweir.wire.v1.RouterServiceGrpc;
 
-/** How channels are shared, replaced and dropped, over loopback. */
+/** Tests how channels are shared, replaced and dropped, over loopback. */
 class ChannelsTest {
     private static final int WAIT_SECONDS = 60;
 
@@ -26,7 +26,7 @@
     private final TrafficCounters mTraffic = new TrafficCounters(new MetricRegistry());
     private final BlockingQueue<StreamObserver<ExplainReply>> mCalls = new LinkedBlockingQueue<>();
     private final RpcServer mServer =
-            RpcServer.builder(mLoops, mTraffic).service(new Pending()).build();
+            RpcServer.builder(mLoops, mTraffic).service(new PendingRouterService()).build();
     private Instant mNow = Instant.EPOCH;
     private final Channels mChannels =
             Channels.builder(mLoops, mTraffic)
@@ -49,17 +49,16 @@
     }
 
     @Test
-    void sharesOneChannelAnAddress() {
+    void sharesOneChannelPerAddress() {
         assertThat(mChannels.get(mAddress)).isSameAs(mChannels.get(mAddress));
         assertThat(mChannels.get("127.0.0.1:1")).isNotSameAs(mChannels.get(mAddress));
     }
 
     @Test
-    void answersThroughANewConnectionWhileTheSuspectOneStaysSilent() throws Exception {
-        // The caller sees its answer although the connection of its first call went silent. Order:
-        // a call goes out and nothing comes back; the caller suspects the connection and calls
-        // through a new one, which answers; then the first turns out to be merely slow. The suspect
-        // channel is drained, not cut, so its call ends whole as well.
+    void newConnectionWorksAndSuspectOneDrains() throws Exception {
+        // The first call gets no answer. The caller suspects the connection and calls again through
+        // a new one, which answers. Then the first connection turns out to be only slow. The
+        // suspect channel is drained, not closed at once, so its call completes too.
         ManagedChannel suspect = mChannels.get(mAddress);
         ListenableFuture<ExplainReply> slow = explain(suspect);
         StreamObserver<ExplainReply> slowCall = nextCall();
@@ -76,7 +75,7 @@
     }
 
     @Test
-    void opensOneNewConnectionForAllThatSuspectTheSame() {
+    void opensOneNewConnectionPerSuspectChannel() {
         ManagedChannel suspect = mChannels.get(mAddress);
         ManagedChannel fresh = mChannels.fresh(mAddress, suspect);
         assertThat(mChannels.fresh(mAddress, suspect)).isSameAs(fresh);
@@ -84,7 +83,7 @@
     }
 
     @Test
-    void dropsOnlyChannelsOutOfUse() {
+    void dropsOnlyUnusedChannels() {
         ManagedChannel unused = mChannels.get(mAddress);
         mNow = mNow.plusSeconds(59);
         ManagedChannel used = mChannels.get("127.0.0.1:1");
@@ -113,7 +112,7 @@
         call.onCompleted();
     }
 
-    private final class Pending extends RouterServiceGrpc.RouterServiceImplBase {
+    private final class PendingRouterService extends RouterServiceGrpc.RouterServiceImplBase {
         @Override
         public void explain(ExplainRequest request, StreamObserver<ExplainReply> observer) {
             mCalls.add(observer);
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ControlOrderTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ControlOrderTest.java
@@ -7,23 +7,24 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which control instance a program asks first. */
+/** Tests the order in which a program tries control instances. */
 class ControlOrderTest {
     private static final List<String> GIVEN = List.of("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7");
     private static final List<String> LEARNED = List.of("10.0.0.4:7", "10.0.0.2:7");
     private static final int ROUTERS = 300;
 
     @Test
-    void givenOrderKeepsTheListAndPutsLearnedInstancesBehind() {
+    void givenOrderAppendsLearnedInstances() {
         assertThat(ControlOrder.GIVEN.order(GIVEN, LEARNED))
                 .containsExactly("10.0.0.1:7", "10.0.0.2:7", "10.0.0.3:7", "10.0.0.4:7");
     }
 
-    // Callers see: after a kill of everything it takes half a second longer until a router serves.
-    // Order: all routers list the same instances and ask the first one, which has to send the whole
-    // settings to each of them while it is still cold. Why: nobody asks the other instances.
+    // Guards against a slow start of the whole fleet. If all routers list the same instances and
+    // ask the first one, that instance sends the whole settings tree to each router just after its
+    // own start, and the other instances are idle. After a kill of all processes, routers would
+    // serve half a second later.
     @Test
-    void routersThatListTheSameInstancesSpreadOverThem() {
+    void spreadsRoutersOverControlInstances() {
         Map<String, Integer> first = new HashMap<>();
         for (int i = 0; i < ROUTERS; i++) {
             ControlOrder order = ControlOrder.spread("router-" + i, "10.1.0." + i);
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void anInstanceOnTheSameMachineIsAskedFirst() {
+    void asksTheControlInstanceOnTheSameHostFirst() {
         ControlOrder order = ControlOrder.spread("r", "10.0.0.4");
         assertThat(order.order(GIVEN, LEARNED).get(0)).isEqualTo("10.0.0.4:7");
         assertThat(order.order(GIVEN, List.of()))
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/EarlySocketTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/EarlySocketTest.java
@@ -16,9 +16,9 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.runtime.config.Endpoint;
 
-/** A socket that listens while its program is still being loaded. */
+/** Tests a socket that listens while its program still loads. */
 class EarlySocketTest {
-    private static final Endpoint ANY = Endpoint.parse("127.0.0.1:0");
+    private static final Endpoint ANY_PORT = Endpoint.parse("127.0.0.1:0");
     private static final int TIMEOUT_MILLIS = 10_000;
 
     private static final class Echo extends ChannelInitializer<SocketChannel> {
@@ -36,10 +36,11 @@
     }
 
     @Test
-    void whoConnectsBeforeTheProgramIsReadyIsServedAfterwards() throws IOException {
-        // A router restarts. A caller connects and sends while its classes are still loaded, and
-        // would be reset if nobody listened. Its bytes are answered once the server runs.
-        EarlySocket socket = EarlySocket.open(ANY);
+    void connectionOpenedBeforeStartIsServedAfterStart() throws IOException {
+        // A caller connects and sends while a restarted router still loads its classes. Without a
+        // listening socket, the connection would be reset. The caller gets its answer once the
+        // server runs.
+        EarlySocket socket = EarlySocket.open(ANY_PORT);
         int port = socket.channel().socket().getLocalPort();
         try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), port)) {
             caller.setSoTimeout(TIMEOUT_MILLIS);
@@ -53,9 +54,9 @@
     }
 
     @Test
-    void anAddressThatIsTakenIsAFault() throws IOException {
-        EarlySocket first = EarlySocket.open(ANY);
-        Endpoint taken = ANY.withPort(first.channel().socket().getLocalPort());
+    void rejectsAnAddressInUse() throws IOException {
+        EarlySocket first = EarlySocket.open(ANY_PORT);
+        Endpoint taken = ANY_PORT.withPort(first.channel().socket().getLocalPort());
         assertThatThrownBy(() -> EarlySocket.open(taken))
                 .isInstanceOfSatisfying(
                         LaurelweirException.class,
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ExchangeAnswerTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ExchangeAnswerTest.java
@@ -6,11 +6,12 @@
 import org.junit.jupiter.api.Test;
 import org.laurelweir.wire.v1.ExchangeReply;
 
-/** What an answer of control is taken for. */
+/** Tests the decoding of control's answers. */
 class ExchangeAnswerTest {
-    // An old confirmation came out with a negative age, and keys were trusted for weeks.
+    // Guards against a negative age. The age in milliseconds is an unsigned 32-bit field; read as a
+    // signed one, an age of 30 days is negative, and keys would be trusted for weeks.
     @Test
-    void anOldConfirmationDoesNotLookNewerThanTheAnswer() {
+    void settingsAgeAbove31BitsStaysPositive() {
         Duration age = Duration.ofDays(30);
         ExchangeReply reply =
                 ExchangeReply.newBuilder().setSettingsAgeMillis((int) age.toMillis()).build();
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ExchangeClientTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ExchangeClientTest.java
@@ -25,13 +25,12 @@
 import org.laurelweir.wire.v1.ExchangeRequest;
 import org.laurelweir.wire.v1.ServiceLoad;
 
-/** Exchanges with instances that answer and that do not. */
+/** Tests exchanges with control instances that answer and with silent ones. */
 class ExchangeClientTest {
-    private static final Duration TIMEOUT = Duration.ofMillis(300);
-    // What has to be answered gets more time than a busy machine takes; each silent instance costs
-    // one timeout.
-    private static final Duration FAIR_TIMEOUT = Duration.ofSeconds(4);
-    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration SILENT_TIMEOUT = Duration.ofMillis(300);
+    // Longer than a busy machine needs for an answer. Each silent instance costs one timeout.
+    private static final Duration ANSWER_TIMEOUT = Duration.ofSeconds(4);
+    private static final Duration LARGE_ANSWER_TIMEOUT = Duration.ofSeconds(30);
     private static final RouterReport REPORT = new RouterReport("r", 1, "dc", "region", "", "");
 
     private final List<Server> mServers = new ArrayList<>();
@@ -41,13 +40,14 @@
         mServers.forEach(Server::shutdownNow);
     }
 
-    // The nearest control instance takes the connection and never answers. Exchanges time out
-    // there and go to the next instance, so the router's view goes on being refreshed.
+    // The nearest control instance accepts the connection and never answers. Exchanges time out
+    // there and go to the next instance, so that the router still receives updates.
     @Test
-    void goesOnToNextInstanceWhenNearestIsSilent() throws Exception {
+    void movesToNextInstanceIfNearestIsSilent() throws Exception {
         String silent = serve(false, 0);
         String answering = serve(true, 7);
-        try (ExchangeClient client = new ExchangeClient(List.of(silent, answering), FAIR_TIMEOUT)) {
+        try (ExchangeClient client =
+                new ExchangeClient(List.of(silent, answering), ANSWER_TIMEOUT)) {
             ExchangeAnswer answer = exchange(client);
             assertThat(answer.fence()).isEqualTo(7);
             assertThat(client.currentAddress()).isEqualTo(answering);
@@ -59,22 +59,22 @@
     @Test
     void failsOnceEveryInstanceHasFailed() throws Exception {
         List<String> silent = List.of(serve(false, 0), serve(false, 0));
-        try (ExchangeClient client = new ExchangeClient(silent, TIMEOUT)) {
+        try (ExchangeClient client = new ExchangeClient(silent, SILENT_TIMEOUT)) {
             assertThatThrownBy(() -> exchange(client))
                     .isInstanceOf(ExecutionException.class)
                     .hasCauseInstanceOf(LaurelweirException.class);
         }
     }
 
-    // A router starts in a deployment of many client accounts. Its first answer holds the whole
-    // tree and is larger than what gRPC takes by itself; refused, the router would never become
-    // ready.
+    // A router starts in a deployment with many client accounts. Its first answer holds the whole
+    // settings tree and exceeds gRPC's default limit. If the client rejected the answer, the router
+    // would never become ready.
     @Test
-    void takesAnswerLargerThanUsualLimit() throws Exception {
+    void acceptsAnswerAboveDefaultMessageLimit() throws Exception {
         String service = "s".repeat(5 << 20);
         ServiceLoad load = ServiceLoad.newBuilder().setService(service).build();
         String control = serve(ExchangeReply.newBuilder().addLoads(load).build());
-        try (ExchangeClient client = new ExchangeClient(List.of(control), LONG_TIMEOUT)) {
+        try (ExchangeClient client = new ExchangeClient(List.of(control), LARGE_ANSWER_TIMEOUT)) {
             assertThat(exchange(client).loads()).hasSize(1);
         }
     }
@@ -101,7 +101,7 @@
     private static final class FakeControl extends ControlServiceGrpc.ControlServiceImplBase {
         private final ExchangeReply mReply;
 
-        /** Creates a control instance that gives a reply, or none where it is null. */
+        /** Creates a control instance that sends a reply, or never answers if the reply is null. */
         FakeControl(ExchangeReply reply) {
             mReply = reply;
         }
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/NearestControlTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/NearestControlTest.java
@@ -5,108 +5,109 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which control instance is asked after failures and possibly stale answers. */
+/** Tests which control instance is used after failures and possibly stale answers. */
 class NearestControlTest {
-    /** Accepted settings are to be in force within as many exchanges of a router. */
-    private static final int EXCHANGES_IN_TIME = 12;
+    /** Accepted settings must take effect within this number of a router's exchanges. */
+    private static final int MAX_EXCHANGES_UNTIL_MOVE = 12;
 
-    private static final int LONGEST_OUTAGE = 300;
+    private static final int MAX_OUTAGE_ANSWERS = 300;
 
     private final NearestControl mControl = new NearestControl(List.of("near", "far"));
 
     private int exchangesUntilReturn() {
         int exchanges = 1;
-        while (!mControl.returns()) {
+        while (!mControl.returnToNearestIfDue()) {
             exchanges++;
         }
         return exchanges;
     }
 
     @Test
-    void returnsToNearestLaterEachTimeThatItFails() {
-        mControl.leave();
+    void doublesReturnDelayAfterEachFailure() {
+        mControl.moveToNext();
         assertThat(mControl.address()).isEqualTo("far");
         int first = exchangesUntilReturn();
         assertThat(mControl.address()).isEqualTo("near");
-        mControl.leave();
+        mControl.moveToNext();
         assertThat(exchangesUntilReturn()).isEqualTo(2 * first);
     }
 
-    // The nearest instance sits behind a partition and answers promptly, with settings that it
-    // can't confirm.
+    // The nearest instance is behind a partition. It answers promptly, but cannot confirm its
+    // settings.
     @Test
-    void leavesInstanceThatStaysStale() {
+    void movesAfterTwoStaleAnswers() {
         int answers = 1;
-        while (!mControl.leavesStale(true)) {
+        while (!mControl.moveToNextIfStale(true)) {
             answers++;
         }
         assertThat(answers).isEqualTo(2);
         assertThat(mControl.address()).isEqualTo("far");
-        assertThat(mControl.leavesStale(false)).isFalse();
+        assertThat(mControl.moveToNextIfStale(false)).isFalse();
     }
 
-    // Where several instances in a row were cut off, routers obeyed old settings for five seconds.
+    // Guards against routers that apply old settings for five seconds because several instances in
+    // a row are cut off.
     @Test
-    void passesAllThatAreCutOffAtTheSamePace() {
+    void movesAfterTwoStaleAnswersFromEachInstance() {
         NearestControl control = new NearestControl(List.of("a", "b", "c", "d", "e", "f", "g"));
         int answers = 0;
         while (!control.address().equals("d")) {
-            control.leavesStale(true);
+            control.moveToNextIfStale(true);
             answers++;
         }
         assertThat(answers).isEqualTo(6);
     }
 
-    // After a time without any quorum, routers stayed with instances that were still cut off.
+    // Guards against routers that stay with an instance that is still cut off after a time without
+    // a quorum.
     @Test
-    void findsWhoCanConfirmHoweverLongNobodyCould() {
-        for (int outage = 0; outage <= LONGEST_OUTAGE; outage++) {
+    void moveDelayStaysBoundedAfterQuorumLoss() {
+        for (int outage = 0; outage <= MAX_OUTAGE_ANSWERS; outage++) {
             NearestControl control = new NearestControl(List.of("a", "b", "c", "d", "e"));
             for (int i = 0; i < outage; i++) {
-                control.leavesStale(true);
+                control.moveToNextIfStale(true);
             }
-            assertThat(answersUntilAnotherIsAsked(control))
-                    .as("answers of one that is still cut off, after %d without a quorum", outage)
-                    .isLessThanOrEqualTo(EXCHANGES_IN_TIME);
+            assertThat(staleAnswersUntilMove(control))
+                    .as("answers of an instance still cut off, after %d without a quorum", outage)
+                    .isLessThanOrEqualTo(MAX_EXCHANGES_UNTIL_MOVE);
         }
     }
 
-    // While others were silent, each answer of the one instance left slowed the search for them.
+    // Guards against a search for other instances that slows down with each answer of the only
+    // instance that is not silent.
     @Test
-    void silenceOfTheOthersIsNoReasonToStay() {
-        for (int rounds = 0; rounds <= LONGEST_OUTAGE; rounds++) {
+    void failuresOfOtherInstancesDoNotDelayTheMove() {
+        for (int rounds = 0; rounds <= MAX_OUTAGE_ANSWERS; rounds++) {
             NearestControl control = new NearestControl(List.of("a", "b", "c"));
             for (int i = 0; i < rounds; i++) {
-                answersUntilAnotherIsAsked(control);
-                control.leave();
-                control.leave();
+                staleAnswersUntilMove(control);
+                control.moveToNext();
+                control.moveToNext();
             }
             assertThat(control.address()).isEqualTo("a");
-            assertThat(answersUntilAnotherIsAsked(control))
-                    .as(
-                            "answers of the one that is cut off, after the others failed %d times",
-                            rounds)
-                    .isLessThanOrEqualTo(EXCHANGES_IN_TIME);
+            assertThat(staleAnswersUntilMove(control))
+                    .as("answers of the instance cut off, after the others failed %d times", rounds)
+                    .isLessThanOrEqualTo(MAX_EXCHANGES_UNTIL_MOVE);
         }
     }
 
-    private static int answersUntilAnotherIsAsked(NearestControl control) {
+    private static int staleAnswersUntilMove(NearestControl control) {
         String stale = control.address();
         int answers = 0;
         while (control.address().equals(stale)) {
-            control.leavesStale(true);
+            control.moveToNextIfStale(true);
             answers++;
         }
         return answers;
     }
 
-    // Each move costs a whole view of the membership.
+    // Each move costs a full view of the membership.
     @Test
-    void movesSeldomWhereNoInstanceCanConfirm() {
+    void movesRarelyIfAllInstancesAreStale() {
         NearestControl control = new NearestControl(List.of("a", "b", "c", "d", "e"));
         int moves = 0;
         for (int i = 0; i < 300; i++) {
-            if (control.leavesStale(true)) {
+            if (control.moveToNextIfStale(true)) {
                 moves++;
             }
         }
@@ -114,10 +115,10 @@
     }
 
     @Test
-    void aloneItIsKeptHoweverStale() {
+    void keepsTheOnlyInstanceIfStale() {
         NearestControl alone = new NearestControl(List.of("only"));
         for (int i = 0; i < 1000; i++) {
-            assertThat(alone.leavesStale(true)).isFalse();
+            assertThat(alone.moveToNextIfStale(true)).isFalse();
         }
     }
 }
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/PortFileTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/PortFileTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How a port file appears. */
+/** Tests the writing of a port file. */
 class PortFileTest {
     @TempDir private Path mFolder;
 
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/RpcServerTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/RpcServerTest.java
@@ -18,7 +18,7 @@
 import org.laurelweir.wire.v1.ExplainRequest;
 import org.laurelweir.wire.v1.RouterServiceGrpc;
 
-/** What a server counts and how it fails to listen, over loopback. */
+/** Tests a server's byte counters and its failure to listen, over loopback. */
 class RpcServerTest {
     private static final int MESSAGE_FRAMING_BYTES = 5;
 
@@ -34,7 +34,7 @@
         MetricRegistry atServer = new MetricRegistry();
         MetricRegistry atClient = new MetricRegistry();
         ExplainRequest request = ExplainRequest.newBuilder().setSubject("chat").build();
-        try (RpcServer server = serving(atServer);
+        try (RpcServer server = newServer(atServer);
                 Channels channels =
                         Channels.builder(mLoops, new TrafficCounters(atClient)).build()) {
             server.start();
@@ -51,21 +51,21 @@
     }
 
     @Test
-    void showsBytesThatAreCountedElsewhere() {
+    void registersExternalCounts() {
         MetricRegistry registry = new MetricRegistry();
         new TrafficCounters(registry).show("ControlExchange", () -> 7, () -> 11);
-        assertThat(shown(registry, "in")).isEqualTo(7);
-        assertThat(shown(registry, "out")).isEqualTo(11);
+        assertThat(externalCount(registry, "in")).isEqualTo(7);
+        assertThat(externalCount(registry, "out")).isEqualTo(11);
     }
 
-    private static long shown(MetricRegistry registry, String direction) {
+    private static long externalCount(MetricRegistry registry, String direction) {
         String name = "control.bytes{service=\"ControlExchange\",direction=\"" + direction + "\"}";
         return ((Counting) registry.getMetrics().get(name)).getCount();
     }
 
     @Test
-    void tellsThatTheAddressIsTaken() {
-        try (RpcServer first = serving(new MetricRegistry())) {
+    void rejectsAnAddressInUse() {
+        try (RpcServer first = newServer(new MetricRegistry())) {
             first.start();
             RpcServer second =
                     RpcServer.builder(mLoops, new TrafficCounters(new MetricRegistry()))
@@ -78,9 +78,9 @@
         }
     }
 
-    private RpcServer serving(MetricRegistry registry) {
+    private RpcServer newServer(MetricRegistry registry) {
         return RpcServer.builder(mLoops, new TrafficCounters(registry))
-                .service(new Explainer())
+                .service(new EchoExplainService())
                 .build();
     }
 
@@ -96,7 +96,7 @@
                 .build();
     }
 
-    private static final class Explainer extends RouterServiceGrpc.RouterServiceImplBase {
+    private static final class EchoExplainService extends RouterServiceGrpc.RouterServiceImplBase {
         @Override
         public void explain(ExplainRequest request, StreamObserver<ExplainReply> observer) {
             observer.onNext(reply(request));
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/SessionCounterTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/SessionCounterTest.java
@@ -8,7 +8,7 @@
 import org.laurelweir.membership.Backend.State;
 import org.laurelweir.membership.SidecarReport;
 
-/** When a sidecar's announcements have to win over earlier ones of the same run. */
+/** Tests when a sidecar's announcements supersede earlier ones of the same incarnation. */
 class SessionCounterTest {
     private final SessionCounter mSessions = new SessionCounter();
 
@@ -17,10 +17,10 @@
         return mSessions.stamp(new SidecarReport(b, 0, 0, 0)).backend();
     }
 
-    // An operator takes a drain order back. The sidecar serves again, and must not be taken for one
-    // whose earlier announcement was late.
+    // An operator cancels a drain order and the sidecar serves again. Its announcement must not
+    // look like an older one that arrives late.
     @Test
-    void servingAgainAfterDrainingSupersedesIt() {
+    void servingAfterDrainingSupersedesDraining() {
         Backend serving = announce(State.SERVING);
         Backend draining = announce(State.DRAINING);
         assertThat(draining.session()).isEqualTo(serving.session());
@@ -28,10 +28,10 @@
     }
 
     @Test
-    void goesUpToTheLeastSessionAndNotBack() {
-        mSessions.raise(7);
+    void raisesSessionButNeverLowersIt() {
+        mSessions.raiseTo(7);
         assertThat(announce(State.SERVING).session()).isEqualTo(7);
-        mSessions.raise(3);
+        mSessions.raiseTo(3);
         assertThat(announce(State.SERVING).session()).isEqualTo(7);
     }
 }
