--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/AttemptCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/AttemptCodec.java
@@ -10,14 +10,14 @@
 import org.laurelweir.wire.v1.Begin;
 
 /**
- * Conversions between the records about attempts and their messages. Durations travel in
- * milliseconds, rounded down. Byte arrays are shared with the messages, not copied: neither side
- * may change one that it has passed on.
+ * Converts between attempts' core records and their messages. Durations are sent in milliseconds,
+ * rounded down. Byte arrays are shared with the messages, not copied: neither side may modify an
+ * array that it has passed on.
  */
 public final class AttemptCodec {
     private AttemptCodec() {}
 
-    /** Returns the message that begins an attempt. */
+    /** Returns the message that starts an attempt. */
     public static Begin toWire(AttemptRequest r) {
         return Begin.newBuilder()
                 .setAttempt(IdCodec.toWire(r.id()))
@@ -43,7 +43,7 @@
                 .build();
     }
 
-    /** Returns the request that a message begins. */
+    /** Returns the request of a message that starts an attempt. */
     public static AttemptRequest toCore(Begin b) {
         AttemptRequest.Call call =
                 new AttemptRequest.Call(
@@ -74,21 +74,22 @@
                 org.laurelweir.wire.v1.AttemptFrame.newBuilder()
                         .setAttempt(IdCodec.toWire(frame.attempt()))
                         .setLoad(toWire(frame.load()));
-        FrameCodec.put(frame.frame(), message);
+        FrameCodec.setFrame(frame.frame(), message);
         return message.build();
     }
 
     /**
      * Returns the frame that a message holds.
      *
-     * @throws IllegalArgumentException if the message holds no frame that this version knows
+     * @throws IllegalArgumentException if the message holds no frame, or one that this version does
+     *     not know
      */
     public static org.laurelweir.attempt.AttemptFrame toCore(
             org.laurelweir.wire.v1.AttemptFrame message) {
         return new org.laurelweir.attempt.AttemptFrame(
                 IdCodec.toCore(message.getAttempt()),
                 toCore(message.getLoad()),
-                FrameCodec.frameOf(message));
+                FrameCodec.frameToCore(message));
     }
 
     /** Returns the message of an attempt's state. */
@@ -102,8 +103,8 @@
     }
 
     /**
-     * Returns the attempt's state that a message holds. One that this version does not know reads
-     * as OTHER_INCARNATION, which promises nothing.
+     * Returns the attempt's state that a message holds. A state that this version does not know
+     * becomes OTHER_INCARNATION, which makes no statement about the attempt's outcome.
      */
     public static AttemptState toCore(org.laurelweir.wire.v1.AttemptState state) {
         return switch (state) {
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CommandCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CommandCodec.java
@@ -15,7 +15,7 @@
 import org.laurelweir.wire.v1.LogCommand;
 import org.laurelweir.wire.v1.StateSnapshot;
 
-/** Writes commands and snapshots of the replicated log as protocol buffers. */
+/** Encodes commands and snapshots of the replicated log as protocol buffers. */
 public final class CommandCodec implements LogCodec {
     @Override
     public byte[] encode(Command c) {
@@ -36,7 +36,7 @@
         } else if (c instanceof Command.IssueFence s) {
             message.setIssueFence(RequestCodec.toWire(s));
         }
-        return bytes(message.build());
+        return serialize(message.build());
     }
 
     @Override
@@ -44,30 +44,33 @@
         try {
             return decode(LogCommand.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new LaurelweirException(ResultCode.LOG_CORRUPT, "not a command", e);
+            throw new LaurelweirException(
+                    ResultCode.LOG_CORRUPT, "the log entry cannot be decoded as a command", e);
         }
     }
 
     private static Command decode(LogCommand m) {
-        Instant at = Instant.ofEpochMilli(m.getAtMillis());
+        Instant timestamp = Instant.ofEpochMilli(m.getAtMillis());
         return switch (m.getBodyCase()) {
-            case CHANGE_SETTINGS -> RequestCodec.toCore(m.getChangeSettings(), at);
-            case REPLACE_SETTINGS -> SettingsCodec.toCore(m.getReplaceSettings(), at);
-            case PATCH_SETTINGS -> SettingsCodec.toCore(m.getPatchSettings(), at);
-            case CLAIM -> RequestCodec.toCore(m.getClaim(), at);
-            case SETTLE_CLAIM -> RequestCodec.toCore(m.getSettleClaim(), at);
-            case DRAIN -> RequestCodec.toCore(m.getDrain(), at);
-            case ISSUE_FENCE -> RequestCodec.toCore(m.getIssueFence(), at);
-            // Left out, an entry would make this replica's state differ from the others'.
+            case CHANGE_SETTINGS -> RequestCodec.toCore(m.getChangeSettings(), timestamp);
+            case REPLACE_SETTINGS -> SettingsCodec.toCore(m.getReplaceSettings(), timestamp);
+            case PATCH_SETTINGS -> SettingsCodec.toCore(m.getPatchSettings(), timestamp);
+            case CLAIM -> RequestCodec.toCore(m.getClaim(), timestamp);
+            case SETTLE_CLAIM -> RequestCodec.toCore(m.getSettleClaim(), timestamp);
+            case DRAIN -> RequestCodec.toCore(m.getDrain(), timestamp);
+            case ISSUE_FENCE -> RequestCodec.toCore(m.getIssueFence(), timestamp);
+            // If this replica skipped the entry, its state would differ from the other replicas'
+            // state.
             case BODY_NOT_SET ->
                     throw new LaurelweirException(
-                            ResultCode.LOG_CORRUPT, "a command that this version does not know");
+                            ResultCode.LOG_CORRUPT,
+                            "the log entry holds a command that this version does not know");
         };
     }
 
     @Override
     public byte[] encode(ControlState.Snapshot snapshot) {
-        return bytes(SnapshotCodec.toWire(snapshot));
+        return serialize(SnapshotCodec.toWire(snapshot));
     }
 
     @Override
@@ -75,12 +78,16 @@
         try {
             return SnapshotCodec.toCore(StateSnapshot.parseFrom(bytes));
         } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-            throw new LaurelweirException(ResultCode.SNAPSHOT_CORRUPT, "not a snapshot", e);
+            throw new LaurelweirException(
+                    ResultCode.SNAPSHOT_CORRUPT, "the snapshot cannot be decoded", e);
         }
     }
 
-    /** Map fields have no order of their own; equal messages have to give equal bytes. */
-    private static byte[] bytes(MessageLite message) {
+    /**
+     * Serializes map fields in a fixed order, so that equal messages have equal bytes. By default,
+     * the order of map fields is undefined.
+     */
+    private static byte[] serialize(MessageLite message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(message.getSerializedSize());
         CodedOutputStream out = CodedOutputStream.newInstance(bytes);
         out.useDeterministicSerialization();
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CrashCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/CrashCodec.java
@@ -6,7 +6,7 @@
 import org.laurelweir.quarantine.CrashRecord;
 import org.laurelweir.quarantine.RequestKey;
 
-/** Converts the records of backend servers that ended under requests. */
+/** Converts the records of requests under which backend servers crashed. */
 public final class CrashCodec {
     private CrashCodec() {}
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/DecisionCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/DecisionCodec.java
@@ -2,7 +2,7 @@
 
 import org.laurelweir.lib.Decision;
 
-/** Converts decisions for operators who ask why. */
+/** Converts decisions for operators who ask why a request went where it did. */
 public final class DecisionCodec {
     private DecisionCodec() {}
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/FrameCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/FrameCodec.java
@@ -13,64 +13,69 @@
 import org.laurelweir.wire.v1.Progress;
 import org.laurelweir.wire.v1.Refused;
 
-/** Conversions of the kinds of frames; {@link AttemptCodec} adds what they have in common. */
+/**
+ * Converts the kinds of frames. {@link AttemptCodec} converts the fields that all frames have in
+ * common.
+ */
 final class FrameCodec {
     private FrameCodec() {}
 
-    static void put(Frame frame, AttemptFrame.Builder message) {
+    static void setFrame(Frame frame, AttemptFrame.Builder message) {
         if (frame instanceof Frame.Accepted f) {
             message.setAccepted(Accepted.newBuilder().setQueuePosition(f.queuePosition()));
         } else if (frame instanceof Frame.Head f) {
-            message.setHead(head(f));
+            message.setHead(headToWire(f));
         } else if (frame instanceof Frame.Data f) {
-            message.setData(data(f));
+            message.setData(dataToWire(f));
         } else if (frame instanceof Frame.Progress f) {
             message.setProgress(Progress.newBuilder().setOffset(f.offset()));
         } else if (frame instanceof Frame.End f) {
-            message.setEnd(end(f));
+            message.setEnd(endToWire(f));
         } else if (frame instanceof Frame.Refused f) {
-            message.setRefused(refused(f));
+            message.setRefused(refusedToWire(f));
         } else if (frame instanceof Frame.Failed f) {
-            message.setFailed(failed(f));
+            message.setFailed(failedToWire(f));
         }
     }
 
-    static Frame frameOf(AttemptFrame message) {
+    static Frame frameToCore(AttemptFrame message) {
         return switch (message.getFrameCase()) {
             case ACCEPTED -> new Frame.Accepted(message.getAccepted().getQueuePosition());
-            case HEAD -> headOf(message.getHead());
-            case DATA -> dataOf(message.getData());
+            case HEAD -> headToCore(message.getHead());
+            case DATA -> dataToCore(message.getData());
             case PROGRESS -> new Frame.Progress(message.getProgress().getOffset());
-            case END -> endOf(message.getEnd());
-            case REFUSED -> refusedOf(message.getRefused());
-            case FAILED -> failedOf(message.getFailed());
-            default -> throw new IllegalArgumentException("a message without a known frame");
+            case END -> endToCore(message.getEnd());
+            case REFUSED -> refusedToCore(message.getRefused());
+            case FAILED -> failedToCore(message.getFailed());
+            default ->
+                    throw new IllegalArgumentException(
+                            "the message holds no frame that this version knows");
         };
     }
 
-    private static Head head(Frame.Head f) {
+    private static Head headToWire(Frame.Head f) {
         return Head.newBuilder()
                 .setStatus(f.status())
                 .addAllHeaders(AttemptCodec.toWire(f.headers()))
                 .build();
     }
 
-    private static Frame headOf(Head m) {
+    private static Frame headToCore(Head m) {
         return new Frame.Head(m.getStatus(), AttemptCodec.toCore(m.getHeadersList()));
     }
 
-    private static Data data(Frame.Data f) {
+    private static Data dataToWire(Frame.Data f) {
         return Data.newBuilder()
                 .setOffset(f.offset())
                 .setBytes(UnsafeByteOperations.unsafeWrap(f.bytes()))
                 .build();
     }
 
-    private static Frame dataOf(Data m) {
+    private static Frame dataToCore(Data m) {
         return new Frame.Data(m.getOffset(), m.getBytes().toByteArray());
     }
 
-    private static End end(Frame.End f) {
+    private static End endToWire(Frame.End f) {
         return End.newBuilder()
                 .setLength(f.length())
                 .setPromptTokens(f.usage().promptTokens())
@@ -79,13 +84,13 @@
                 .build();
     }
 
-    private static Frame endOf(End m) {
+    private static Frame endToCore(End m) {
         Frame.Usage usage =
                 new Frame.Usage(m.getPromptTokens(), m.getCachedTokens(), m.getCompletionTokens());
         return new Frame.End(m.getLength(), usage);
     }
 
-    private static Refused refused(Frame.Refused f) {
+    private static Refused refusedToWire(Frame.Refused f) {
         return Refused.newBuilder()
                 .setCode(f.code().number())
                 .setMessage(f.message())
@@ -94,7 +99,7 @@
                 .build();
     }
 
-    private static Frame refusedOf(Refused m) {
+    private static Frame refusedToCore(Refused m) {
         return new Frame.Refused(
                 ResultCode.of(m.getCode()),
                 m.getMessage(),
@@ -102,11 +107,11 @@
                 Duration.ofMillis(m.getRetryAfterMillis()));
     }
 
-    private static Failed failed(Frame.Failed f) {
+    private static Failed failedToWire(Frame.Failed f) {
         return Failed.newBuilder().setCode(f.code().number()).setMessage(f.message()).build();
     }
 
-    private static Frame failedOf(Failed m) {
+    private static Frame failedToCore(Failed m) {
         return new Frame.Failed(ResultCode.of(m.getCode()), m.getMessage());
     }
 }
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/IdCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/IdCodec.java
@@ -3,7 +3,7 @@
 import org.laurelweir.lib.AttemptId;
 import org.laurelweir.lib.BackendRef;
 
-/** Converts the identifiers that many messages carry. */
+/** Converts the identifiers that many messages contain. */
 public final class IdCodec {
     private IdCodec() {}
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/LoadCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/LoadCodec.java
@@ -8,11 +8,11 @@
 import org.laurelweir.load.PartLoad;
 import org.laurelweir.load.PeerLoads;
 
-/** Converts what routers have under way. */
+/** Converts the reports and digests of the requests that routers have in flight. */
 public final class LoadCodec {
     private LoadCodec() {}
 
-    /** Returns the message of what routers have under way. */
+    /** Returns the message of a load report. */
     public static org.laurelweir.wire.v1.LoadReport toWire(LoadReport r) {
         return org.laurelweir.wire.v1.LoadReport.newBuilder()
                 .setWhole(r.full())
@@ -21,12 +21,13 @@
                 .build();
     }
 
-    /** Returns what a message says that routers have under way. */
+    /** Returns the load report that a message holds. */
     public static LoadReport toCore(org.laurelweir.wire.v1.LoadReport r) {
-        return new LoadReport(r.getWhole(), servers(r.getServersList()), parts(r.getPartsList()));
+        return new LoadReport(
+                r.getWhole(), serversToCore(r.getServersList()), partsToCore(r.getPartsList()));
     }
 
-    /** Returns the message of a digest. */
+    /** Returns the message of a load digest. */
     public static org.laurelweir.wire.v1.LoadDigest toWire(LoadDigest d) {
         return org.laurelweir.wire.v1.LoadDigest.newBuilder()
                 .setRouters(d.routers())
@@ -36,16 +37,16 @@
                 .build();
     }
 
-    /** Returns the digest that a message holds. */
+    /** Returns the load digest that a message holds. */
     public static LoadDigest toCore(org.laurelweir.wire.v1.LoadDigest d) {
         return new LoadDigest(
                 d.getRouters(),
                 d.getMeansList().stream().map(LoadCodec::toCore).toList(),
-                servers(d.getBusyList()),
-                parts(d.getHotList()));
+                serversToCore(d.getBusyList()),
+                partsToCore(d.getHotList()));
     }
 
-    /** Returns the message of what a control instance passes on. */
+    /** Returns the message of the loads that a control instance shares with its peers. */
     public static org.laurelweir.wire.v1.PeerLoads toWire(PeerLoads l) {
         return org.laurelweir.wire.v1.PeerLoads.newBuilder()
                 .setControl(l.control())
@@ -54,7 +55,7 @@
                 .build();
     }
 
-    /** Returns what a message passes on. */
+    /** Returns the loads of a peer that a message holds. */
     public static PeerLoads toCore(org.laurelweir.wire.v1.PeerLoads l) {
         return new PeerLoads(l.getControl(), l.getRouters(), toCore(l.getSums()));
     }
@@ -66,7 +67,7 @@
                 .build();
     }
 
-    private static List<BackendLoad> servers(List<org.laurelweir.wire.v1.BackendLoad> loads) {
+    private static List<BackendLoad> serversToCore(List<org.laurelweir.wire.v1.BackendLoad> loads) {
         return loads.stream()
                 .map(l -> new BackendLoad(IdCodec.toCore(l.getServer()), l.getRequests()))
                 .toList();
@@ -79,7 +80,7 @@
                 .build();
     }
 
-    private static List<PartLoad> parts(List<org.laurelweir.wire.v1.PartLoad> loads) {
+    private static List<PartLoad> partsToCore(List<org.laurelweir.wire.v1.PartLoad> loads) {
         return loads.stream().map(l -> new PartLoad(l.getPart(), l.getRequests())).toList();
     }
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/MembershipCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/MembershipCodec.java
@@ -62,7 +62,8 @@
         };
     }
 
-    // A state that this version does not know is one in which no new work is sent.
+    // A state that this version does not know counts as draining: the backend server gets no new
+    // work.
     private static Backend.State toCore(BackendState state) {
         return switch (state) {
             case SERVING -> Backend.State.SERVING;
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/PackedNodes.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/PackedNodes.java
@@ -15,18 +15,22 @@
 import org.laurelweir.wire.v1.PackedNode;
 import org.laurelweir.wire.v1.SettingsNodes;
 
-/** Settings nodes as compressed bytes, which are made once and sent to many readers. */
+/**
+ * Converts settings nodes to and from compressed bytes, which are packed once and sent to many
+ * receivers.
+ */
 final class PackedNodes {
     private PackedNodes() {}
 
     static ByteString pack(List<SettingsNode> nodes) {
         ByteString.Output packed = ByteString.newOutput();
-        // The quickest level: nodes repeat their values, so that more effort hardly saves bytes.
+        // The fastest level. Nodes repeat their values, so a higher level saves few bytes.
         Deflater deflater = new Deflater(Deflater.BEST_SPEED);
         try (DeflaterOutputStream out = new DeflaterOutputStream(packed, deflater)) {
             toWire(nodes).writeTo(out);
         } catch (IOException e) {
-            throw new LaurelweirException(ResultCode.INTERNAL, "settings can't be packed", e);
+            throw new LaurelweirException(
+                    ResultCode.INTERNAL, "settings nodes cannot be packed", e);
         } finally {
             deflater.end();
         }
@@ -60,7 +64,8 @@
             SettingsNodes all = SettingsNodes.parseFrom(in);
             return all.getNodesList().stream().map(n -> toCore(n, all)).toList();
         } catch (IOException | IndexOutOfBoundsException e) {
-            throw new LaurelweirException(ResultCode.INTERNAL, "packed settings can't be read", e);
+            throw new LaurelweirException(
+                    ResultCode.INTERNAL, "packed settings nodes cannot be read", e);
         }
     }
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/ReplicaCodec.java
@@ -15,7 +15,10 @@
 import org.laurelweir.wire.v1.VoteAnswered;
 import org.laurelweir.wire.v1.VoteAsked;
 
-/** Converts what replicas of the log send each other. Payloads are shared, not copied. */
+/**
+ * Converts the messages between replicas of the log. Payloads are shared with the messages, not
+ * copied.
+ */
 public final class ReplicaCodec {
     private ReplicaCodec() {}
 
@@ -32,7 +35,7 @@
         return new ReplicaId(id.getName(), id.getStorageId());
     }
 
-    /** Returns a message with its sender and the replica that it is for. */
+    /** Returns the envelope of a message, with its sender and its receiver. */
     public static ReplicaEnvelope toWire(ReplicaId from, ReplicaId to, ReplicaMessage message) {
         ReplicaEnvelope.Builder envelope =
                 ReplicaEnvelope.newBuilder().setFrom(toWire(from)).setTo(toWire(to));
@@ -45,16 +48,16 @@
         } else if (message instanceof ReplicaMessage.SnapshotReply m) {
             envelope.setSnapshotReply(toWire(m));
         } else if (message instanceof ReplicaMessage.PreVoteRequest m) {
-            envelope.setPreVoteRequest(asked(m.term(), m.lastIndex(), m.lastTerm()));
+            envelope.setPreVoteRequest(voteRequest(m.term(), m.lastIndex(), m.lastTerm()));
         } else if (message instanceof ReplicaMessage.PreVoteReply m) {
-            envelope.setPreVoteReply(answered(m.term(), m.granted()));
+            envelope.setPreVoteReply(voteReply(m.term(), m.granted()));
         } else if (message instanceof ReplicaMessage.VoteRequest m) {
-            VoteAsked asked = asked(m.term(), m.lastIndex(), m.lastTerm());
+            VoteAsked asked = voteRequest(m.term(), m.lastIndex(), m.lastTerm());
             envelope.setVoteRequest(asked.toBuilder().setHandedOver(m.leadershipTransfer()));
         } else if (message instanceof ReplicaMessage.TimeoutNow m) {
             envelope.setTimeoutNow(TimeoutNow.newBuilder().setTerm(m.term()));
         } else if (message instanceof ReplicaMessage.VoteReply m) {
-            envelope.setVoteReply(answered(m.term(), m.granted()));
+            envelope.setVoteReply(voteReply(m.term(), m.granted()));
         }
         return envelope.build();
     }
@@ -62,7 +65,7 @@
     /**
      * Returns the message in an envelope.
      *
-     * @throws IllegalArgumentException if it holds none that this version knows
+     * @throws IllegalArgumentException if the envelope holds no message that this version knows
      */
     public static ReplicaMessage toCore(ReplicaEnvelope e) {
         return switch (e.getMessageCase()) {
@@ -89,11 +92,13 @@
             case SNAPSHOT_CHUNK -> toCore(e.getSnapshotChunk());
             case SNAPSHOT_REPLY -> toCore(e.getSnapshotReply());
             case TIMEOUT_NOW -> new ReplicaMessage.TimeoutNow(e.getTimeoutNow().getTerm());
-            case MESSAGE_NOT_SET -> throw new IllegalArgumentException("no replica message");
+            case MESSAGE_NOT_SET ->
+                    throw new IllegalArgumentException(
+                            "the envelope holds no replica message that this version knows");
         };
     }
 
-    private static VoteAsked asked(long term, long lastIndex, long lastTerm) {
+    private static VoteAsked voteRequest(long term, long lastIndex, long lastTerm) {
         return VoteAsked.newBuilder()
                 .setTerm(term)
                 .setLastIndex(lastIndex)
@@ -101,7 +106,7 @@
                 .build();
     }
 
-    private static VoteAnswered answered(long term, boolean granted) {
+    private static VoteAnswered voteReply(long term, boolean granted) {
         return VoteAnswered.newBuilder().setTerm(term).setGranted(granted).build();
     }
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/RequestCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/RequestCodec.java
@@ -11,20 +11,23 @@
 import org.laurelweir.wire.v1.IssueFenceRequest;
 import org.laurelweir.wire.v1.SettleClaimRequest;
 
-/** Converts requests that become commands of the log; their time is the leader's to give. */
+/**
+ * Converts requests that become commands of the log. Requests hold no time: the leader sets the
+ * time of the command.
+ */
 public final class RequestCodec {
     private RequestCodec() {}
 
-    /** Returns the command that a request asks for. */
-    public static Command.ChangeSettings toCore(ChangeSettingsRequest r, Instant at) {
+    /** Returns the command for a request, with the time that the leader sets. */
+    public static Command.ChangeSettings toCore(ChangeSettingsRequest r, Instant timestamp) {
         return new Command.ChangeSettings(
-                at,
+                timestamp,
                 r.getChangeId(),
                 r.getAuthor(),
                 SettingsCodec.changesToCore(r.getChangesList()));
     }
 
-    /** Returns the request for a claim. */
+    /** Returns the request of a claim. */
     public static ClaimRequest toWire(Command.Claim c) {
         ClaimRequest.Builder request =
                 ClaimRequest.newBuilder()
@@ -41,11 +44,11 @@
         return request.build();
     }
 
-    /** Returns the command that a request asks for. */
-    public static Command.Claim toCore(ClaimRequest r, Instant at) {
+    /** Returns the command for a request, with the time that the leader sets. */
+    public static Command.Claim toCore(ClaimRequest r, Instant timestamp) {
         AttemptId replaces = r.hasReplaces() ? IdCodec.toCore(r.getReplaces()) : null;
         return new Command.Claim(
-                at,
+                timestamp,
                 r.getAccount(),
                 r.getKey(),
                 r.getService(),
@@ -56,7 +59,7 @@
                 Duration.ofMillis(r.getRetentionMillis()));
     }
 
-    /** Returns the request to settle a claim. */
+    /** Returns the request that settles a claim. */
     public static SettleClaimRequest toWire(Command.SettleClaim c) {
         return SettleClaimRequest.newBuilder()
                 .setAccount(c.account())
@@ -66,17 +69,17 @@
                 .build();
     }
 
-    /** Returns the command that a request asks for. */
-    public static Command.SettleClaim toCore(SettleClaimRequest r, Instant at) {
+    /** Returns the command for a request, with the time that the leader sets. */
+    public static Command.SettleClaim toCore(SettleClaimRequest r, Instant timestamp) {
         return new Command.SettleClaim(
-                at,
+                timestamp,
                 r.getAccount(),
                 r.getKey(),
                 IdCodec.toCore(r.getAttempt()),
                 ResultCode.of(r.getCode()));
     }
 
-    /** Returns the request to drain or undrain. */
+    /** Returns the request that starts or cancels a drain of a backend server. */
     public static DrainRequest toWire(Command.Drain c) {
         return DrainRequest.newBuilder()
                 .setBackend(c.backend())
@@ -85,18 +88,18 @@
                 .build();
     }
 
-    /** Returns the command that a request asks for. */
-    public static Command.Drain toCore(DrainRequest r, Instant at) {
-        return new Command.Drain(at, r.getBackend(), r.getDrain(), r.getAuthor());
+    /** Returns the command for a request, with the time that the leader sets. */
+    public static Command.Drain toCore(DrainRequest r, Instant timestamp) {
+        return new Command.Drain(timestamp, r.getBackend(), r.getDrain(), r.getAuthor());
     }
 
-    /** Returns the request for a fencing number. */
+    /** Returns the request for a fencing token. */
     public static IssueFenceRequest toWire(Command.IssueFence c) {
         return IssueFenceRequest.newBuilder().setBackend(c.backend()).build();
     }
 
-    /** Returns the command that a request asks for. */
-    public static Command.IssueFence toCore(IssueFenceRequest r, Instant at) {
-        return new Command.IssueFence(at, r.getBackend());
+    /** Returns the command for a request, with the time that the leader sets. */
+    public static Command.IssueFence toCore(IssueFenceRequest r, Instant timestamp) {
+        return new Command.IssueFence(timestamp, r.getBackend());
     }
 }
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
@@ -35,7 +35,7 @@
     /**
      * Returns the node that a message holds.
      *
-     * @throws IllegalArgumentException if its path has another form
+     * @throws IllegalArgumentException if the node's path is malformed
      */
     public static SettingsNode toCore(org.laurelweir.wire.v1.SettingsNode n) {
         return new SettingsNode(
@@ -64,7 +64,7 @@
                 .build();
     }
 
-    /** Returns the message of a delta whose nodes are packed. */
+    /** Returns the message of a delta, with its nodes compressed. */
     public static org.laurelweir.wire.v1.SettingsDelta toPacked(SettingsDelta d) {
         return org.laurelweir.wire.v1.SettingsDelta.newBuilder()
                 .setPosition(d.position())
@@ -119,7 +119,7 @@
         return changes.stream().map(SettingsCodec::toCore).toList();
     }
 
-    /** Returns the message of a change; its time is the leader's to give. */
+    /** Returns the message of a settings change. The message holds no time: the leader sets it. */
     public static ChangeSettingsRequest toWire(Command.ChangeSettings c) {
         return ChangeSettingsRequest.newBuilder()
                 .setChangeId(c.changeId())
@@ -128,7 +128,9 @@
                 .build();
     }
 
-    /** Returns the message of a whole tree; its time is the leader's to give. */
+    /**
+     * Returns the message of a whole settings tree. The message holds no time: the leader sets it.
+     */
     static ReplaceSettings toWire(Command.ReplaceSettings c) {
         return ReplaceSettings.newBuilder()
                 .setRevision(c.revision())
@@ -157,13 +159,16 @@
         return nodes;
     }
 
-    /** Returns the whole tree that a message holds. */
+    /** Returns the whole settings tree that a message holds. */
     static Command.ReplaceSettings toCore(ReplaceSettings m, Instant at) {
         return new Command.ReplaceSettings(
                 at, m.getRevision(), m.getAuthor(), valuesToCore(m.getNodesList()), m.getSource());
     }
 
-    /** Returns the message of a tree that is told by its difference. */
+    /**
+     * Returns the message of a settings tree as its difference from the tree at an earlier
+     * position.
+     */
     static PatchSettings toWire(Command.PatchSettings c) {
         PatchSettings.Builder message =
                 PatchSettings.newBuilder()
@@ -182,7 +187,7 @@
         return message.build();
     }
 
-    /** Returns the tree that a message tells by its difference. */
+    /** Returns the difference of a settings tree that a message holds. */
     static Command.PatchSettings toCore(PatchSettings m, Instant at) {
         List<TextPatch.Piece> pieces =
                 m.getSourceList().stream()
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
@@ -19,7 +19,7 @@
 import org.laurelweir.wire.v1.SettingsSnapshot;
 import org.laurelweir.wire.v1.StateSnapshot;
 
-/** Converts snapshots of the state machine. */
+/** Converts snapshots of control's state machine. */
 final class SnapshotCodec {
     private SnapshotCodec() {}
 
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/package-info.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/package-info.java
@@ -1,2 +1,5 @@
-/** Conversions between the core's records and the generated messages between processes. */
+/**
+ * Converts between the core's records and the generated protocol buffer messages that processes
+ * exchange.
+ */
 package org.laurelweir.wire;
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/AttemptCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/AttemptCodecTest.java
@@ -24,10 +24,10 @@
 import org.laurelweir.lib.ResultCode;
 import org.laurelweir.wire.v1.Begin;
 
-/** What one process sends about an attempt is what the other reads. */
+/** Tests that attempts, frames and states are decoded as they were encoded. */
 class AttemptCodecTest {
     @Property(seed = "4101")
-    void requestSurvivesTheWire(@ForAll("requests") AttemptRequest request)
+    void requestRoundTrips(@ForAll("requests") AttemptRequest request)
             throws InvalidProtocolBufferException {
         byte[] sent = AttemptCodec.toWire(request).toByteArray();
         AttemptRequest read = AttemptCodec.toCore(Begin.parseFrom(sent));
@@ -35,7 +35,7 @@
     }
 
     @Property(seed = "4102")
-    void frameSurvivesTheWire(@ForAll("frames") AttemptFrame frame)
+    void frameRoundTrips(@ForAll("frames") AttemptFrame frame)
             throws InvalidProtocolBufferException {
         byte[] sent = AttemptCodec.toWire(frame).toByteArray();
         AttemptFrame read =
@@ -44,15 +44,15 @@
     }
 
     @Property(seed = "4103")
-    void stateSurvivesTheWire(@ForAll AttemptState state) {
+    void stateRoundTrips(@ForAll AttemptState state) {
         assertThat(AttemptCodec.toCore(AttemptCodec.toWire(state))).isEqualTo(state);
     }
 
-    // The router would take NEVER_STARTED as leave to send the request elsewhere. A newer sidecar
-    // may answer with a state that this version does not know, and an older one with none at all:
-    // neither may read as a promise.
+    // After NEVER_STARTED, a router may send the request to another backend server. A newer sidecar
+    // may answer with a state that this version does not know, an older one with none. Neither may
+    // be decoded as NEVER_STARTED.
     @Test
-    void unknownStatePromisesNothing() {
+    void unknownStateDecodesAsOtherIncarnation() {
         assertThat(AttemptCodec.toCore(org.laurelweir.wire.v1.AttemptState.UNRECOGNIZED))
                 .isEqualTo(AttemptState.OTHER_INCARNATION);
         assertThat(
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CommandCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CommandCodecTest.java
@@ -17,14 +17,14 @@
 import org.laurelweir.settings.TextPatch;
 import org.laurelweir.settings.TreePatch;
 
-/** What stands in the log is read back as it was written. */
+/** Tests that commands and snapshots are decoded as they were encoded. */
 class CommandCodecTest {
-    private static final Instant AT = Instant.ofEpochMilli(1_700_000_000_123L);
+    private static final Instant TIMESTAMP = Instant.ofEpochMilli(1_700_000_000_123L);
     private static final AttemptId ATTEMPT = new AttemptId("r1", -5, 7, 2);
     private static final List<Command> COMMANDS =
             List.of(
                     new Command.ChangeSettings(
-                            AT,
+                            TIMESTAMP,
                             "id",
                             "operator",
                             List.of(
@@ -33,7 +33,7 @@
                                     new Command.NodeChange(
                                             "/service=t", 0, Map.of(), List.of(), false))),
                     new Command.Claim(
-                            AT,
+                            TIMESTAMP,
                             "account",
                             "key",
                             "service",
@@ -43,7 +43,7 @@
                             ATTEMPT.next(),
                             Duration.ofHours(1)),
                     new Command.Claim(
-                            AT,
+                            TIMESTAMP,
                             "account",
                             "other",
                             "service",
@@ -53,11 +53,11 @@
                             null,
                             Duration.ofHours(1)),
                     new Command.SettleClaim(
-                            AT, "account", "key", ATTEMPT, ResultCode.OUTCOME_UNKNOWN),
-                    new Command.Drain(AT, "w1", true, "operator"),
-                    new Command.IssueFence(AT, "w1"),
+                            TIMESTAMP, "account", "key", ATTEMPT, ResultCode.OUTCOME_UNKNOWN),
+                    new Command.Drain(TIMESTAMP, "w1", true, "operator"),
+                    new Command.IssueFence(TIMESTAMP, "w1"),
                     new Command.PatchSettings(
-                            AT,
+                            TIMESTAMP,
                             0,
                             3,
                             "operator",
@@ -67,14 +67,14 @@
     private final CommandCodec mCodec = new CommandCodec();
 
     @Test
-    void commandsComeBackEqual() {
+    void commandsRoundTrip() {
         for (Command c : COMMANDS) {
             assertThat(mCodec.decodeCommand(mCodec.encode(c))).isEqualTo(c);
         }
     }
 
     @Test
-    void snapshotComesBackEqual() {
+    void snapshotRoundTrips() {
         ControlState state = new ControlState(ControlState.Limits.DEFAULT);
         for (int i = 0; i < COMMANDS.size(); i++) {
             state.apply(i + 1, COMMANDS.get(i));
@@ -83,9 +83,9 @@
         assertThat(mCodec.decodeSnapshot(mCodec.encode(snapshot))).isEqualTo(snapshot);
     }
 
-    // A replica that left out what it can't read would go on with a state unlike the others'.
+    // A replica that skipped an entry that it cannot read would diverge from the other replicas.
     @Test
-    void unknownCommandIsRefused() {
+    void unknownCommandIsRejected() {
         assertThatThrownBy(() -> mCodec.decodeCommand(new byte[0]))
                 .isInstanceOfSatisfying(
                         LaurelweirException.class,
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CrashCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/CrashCodecTest.java
@@ -14,16 +14,16 @@
 import org.laurelweir.quarantine.RequestKey;
 import org.laurelweir.wire.v1.ExchangeReply;
 
-/** The messages about requests under which backend servers ended. */
+/** Tests the messages about requests under which backend servers crashed. */
 class CrashCodecTest {
-    /** What a node may spend on control in a second. */
-    private static final int MOST_BYTES = 27_000;
+    /** Maximum control traffic of an instance per second, in bytes. */
+    private static final int MAX_CONTROL_BYTES_PER_SECOND = 27_000;
 
-    private static final int MANY = 100;
+    private static final int LARGE_COUNT = 100;
 
     private static CrashRecord record(int request) {
         List<Crash> crashes = new ArrayList<>();
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < LARGE_COUNT; i++) {
             BackendRef server = new BackendRef("i-0123456789-" + i, 1_767_225_600_000L + i);
             Duration age = Duration.ofHours(20).plusMillis(i);
             crashes.add(new Crash(server, "router-of-a-data-centre-" + i, age, i % 2 == 0));
@@ -32,24 +32,26 @@
                 new RequestKey("account-" + request, -request), "seilhjerne", crashes);
     }
 
-    // The router that saw an end was left out, and no router held itself for the one that may try.
+    // Guards against records without the router that saw the crash: no router would then consider
+    // itself the one that may retry the request.
     @Test
-    void keepsEverything() {
+    void recordsRoundTrip() {
         List<CrashRecord> records = List.of(record(1), record(2));
         assertThat(CrashCodec.toCore(CrashCodec.toWire(records))).isEqualTo(records);
     }
 
-    // After a loss of many servers the records took more of a link than control may.
+    // Guards against control traffic above its share of a link, because many backend servers crash
+    // at once and the message holds all records.
     @Test
-    void theLargestMessageFitsIntoASecondsShareOfControl() {
+    void largestMessageFitsIntoOneSecondOfControlTraffic() {
         CrashTable table = new CrashTable("c1", (record, quarantined) -> {});
-        for (int i = 0; i < MANY; i++) {
+        for (int i = 0; i < LARGE_COUNT; i++) {
             table.merge(Instant.EPOCH, List.of(record(i)));
         }
-        List<CrashRecord> told = table.since(Instant.EPOCH, 0).records();
-        assertThat(told).hasSize(CrashTable.MAX_RECORDS_PER_MESSAGE);
+        List<CrashRecord> sent = table.since(Instant.EPOCH, 0).records();
+        assertThat(sent).hasSize(CrashTable.MAX_RECORDS_PER_MESSAGE);
         ExchangeReply reply =
-                ExchangeReply.newBuilder().addAllCrashes(CrashCodec.toWire(told)).build();
-        assertThat(reply.getSerializedSize()).isLessThan(MOST_BYTES);
+                ExchangeReply.newBuilder().addAllCrashes(CrashCodec.toWire(sent)).build();
+        assertThat(reply.getSerializedSize()).isLessThan(MAX_CONTROL_BYTES_PER_SECOND);
     }
 }
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/LoadCodecTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/LoadCodecTest.java
@@ -14,10 +14,10 @@
 import org.laurelweir.load.PartLoad;
 import org.laurelweir.load.PeerLoads;
 
-/** That what routers have under way arrives as it was sent, in a bounded size. */
+/** Tests that load messages are decoded as they were encoded and have a bounded size. */
 class LoadCodecTest {
-    /** What a router may spend on control in the interval of its exchanges. */
-    private static final int MOST_BYTES = 27_000 * 3 / 10;
+    /** Maximum control traffic of a router in one exchange interval, in bytes. */
+    private static final int MAX_EXCHANGE_BYTES = 27_000 * 3 / 10;
 
     private static LoadReport report(int servers, int parts) {
         return new LoadReport(
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void everyFieldArrives() {
+    void messagesRoundTrip() {
         LoadReport report = report(3, 2);
         LoadDigest digest =
                 new LoadDigest(
@@ -40,13 +40,14 @@
         assertThat(LoadCodec.toCore(LoadCodec.toWire(loads))).isEqualTo(loads);
     }
 
-    // With thousands of backend servers an exchange took more than a router may spend on it.
+    // Guards against an exchange that exceeds a router's limit in a fleet with thousands of backend
+    // servers.
     @Test
-    void aDigestFitsIntoAnExchange() {
-        LoadReport most = report(LoadDigest.MAX_BUSY, LoadDigest.MAX_HOT_PARTS);
+    void largestDigestFitsIntoAnExchange() {
+        LoadReport largest = report(LoadDigest.MAX_BUSY, LoadDigest.MAX_HOT_PARTS);
         LoadDigest digest =
                 new LoadDigest(
-                        360, List.of(new MeanLoad("svc", 1.5)), most.servers(), most.parts());
-        assertThat(LoadCodec.toWire(digest).getSerializedSize()).isLessThan(MOST_BYTES);
+                        360, List.of(new MeanLoad("svc", 1.5)), largest.servers(), largest.parts());
+        assertThat(LoadCodec.toWire(digest).getSerializedSize()).isLessThan(MAX_EXCHANGE_BYTES);
     }
 }
--- a/org.laurelweir.wire/src/test/java/org/laurelweir/wire/PackedNodesTest.java
+++ b/org.laurelweir.wire/src/test/java/org/laurelweir/wire/PackedNodesTest.java
@@ -17,7 +17,7 @@
 import org.laurelweir.settings.NodePath;
 import org.laurelweir.settings.SettingsNode;
 
-/** Settings nodes in the form in which routers are told many of them. */
+/** Tests the compressed form in which routers receive many settings nodes. */
 class PackedNodesTest {
     private static SettingsNode route(int number, String timeout) {
         Map<String, String> values = Map.of("timeout", timeout, "attempts", "2");
@@ -32,21 +32,22 @@
         Arbitrary<SettingsNode> set =
                 Combinators.combine(Arbitraries.integers().between(0, 50), values)
                         .as((i, v) -> SettingsNode.of(NodePath.ofRoute("r" + i), i, v));
-        Arbitrary<SettingsNode> gone =
+        Arbitrary<SettingsNode> deleted =
                 Arbitraries.integers()
                         .between(0, 50)
                         .map(i -> SettingsNode.tombstone(NodePath.ofRoute("r" + i), i));
-        return Arbitraries.oneOf(set, gone).list().ofMaxSize(30);
+        return Arbitraries.oneOf(set, deleted).list().ofMaxSize(30);
     }
 
     @Property(tries = 200, seed = "20261203")
-    void whatIsPackedIsUnpackedAsItWas(@ForAll("nodes") List<SettingsNode> nodes) {
+    void packedNodesRoundTrip(@ForAll("nodes") List<SettingsNode> nodes) {
         assertThat(PackedNodes.unpack(PackedNodes.pack(nodes))).isEqualTo(nodes);
     }
 
     @Example
-    void brokenBytesAreAnErrorAndNoSettings() {
-        // Half of an answer must not be taken for a smaller tree: its reader would drop routes.
+    void rejectsTruncatedAndInvalidBytes() {
+        // Half of an answer must not be decoded as a smaller tree, because the receiver would then
+        // drop routes.
         ByteString packed = PackedNodes.pack(List.of(route(1, "5s"), route(2, "3s")));
         ByteString half = packed.substring(0, packed.size() / 2);
         assertThatThrownBy(() -> PackedNodes.unpack(half)).isInstanceOf(LaurelweirException.class);
