--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/LogWriter.java
@@ -155,7 +155,7 @@
 
     private static void logRecovery(int attempts) {
         if (attempts > 1) {
-            sLogger.atInfo().log("the disk accepts writes again after %d attempts", attempts);
+            sLogger.atInfo().log("the disk takes writes again, after %d tries", attempts);
         }
     }
 
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/StorageOpener.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/storage/StorageOpener.java
@@ -62,7 +62,7 @@
                     throw e;
                 }
                 sLogger.atWarning().atMostEvery(1, TimeUnit.SECONDS).log(
-                        "the log can't be opened, retrying: %s", e);
+                        "the log can't be opened, tried again: %s", e);
             }
             mSleep.accept(RETRY_INTERVAL);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/ServerTable.java
@@ -51,7 +51,7 @@
         server(ref).mSlots = slots;
     }
 
-    /** Passes over a server for a moment that rejected a request because it is full. */
+    /** Passes over, for a moment, a server that rejected a request because it is full. */
     void onFull(BackendRef ref, Instant now) {
         server(ref).mPausedUntil = now.plus(FULL_PAUSE);
     }
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
@@ -9,7 +9,7 @@
 
 /**
  * Decides how long a backend server that disappears repeatedly is held back before it is announced
- * again. Without this, iterator restart of a backend server in a crash loop would move chats to it
+ * again. Without this, each restart of a backend server in a crash loop would move chats to it
  * and away again seconds later, and the chats would lose the caches that they have on other backend
  * servers.
  */
@@ -34,7 +34,7 @@
 
     /**
      * Returns how long a backend server that joins now is held back; zero if it did not flap. The
-     * duration doubles with iterator departure beyond the allowed number, up to a maximum.
+     * duration doubles with each departure beyond the allowed number, up to a maximum.
      */
     Duration holdDuration(Instant now, String id) {
         int excess = countRecent(now, id) - mConfig.flapsAllowed();
