--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -34,7 +34,7 @@
 public final class ControlReducer implements Reducer<ControlEvent, ControlEffect> {
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-    private final DecisionNotes mNotes;
+    private final DecisionLogger mNotes;
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final ControlPeers mPeers;
@@ -59,7 +59,7 @@
      * @param seed seed for random election timeouts; must differ between instances
      */
     public ControlReducer(ControlConfig config, LogCodec codec, long seed) {
-        mNotes = new DecisionNotes(config.name());
+        mNotes = new DecisionLogger(config.name());
         mPassedOver = new PassedOverNotes(mNotes);
         mReplica = new LogReplica(config, codec, seed, mNotes);
         List<String> peers = new ArrayList<>(config.addresses().keySet());
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -20,7 +20,7 @@
  */
 final class CrashSharing {
     private final MembershipCursor mOwnRun;
-    private final QuarantineNotes mNotes = new QuarantineNotes(DecisionNotes.PROGRAM);
+    private final QuarantineNotes mNotes = new QuarantineNotes(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final Map<String, Long> mPeerVersions = new HashMap<>();
     private final List<CrashRecord> mPendingForPeers = new ArrayList<>();
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/DecisionLogger.java
@@ -18,12 +18,12 @@
  * Logs decisions about the state of a control instance: its role, the replicas, backend servers,
  * settings, claims and orders of operators.
  */
-final class DecisionNotes {
+final class DecisionLogger {
     static final String PROGRAM = "control";
 
     private final String mName;
 
-    DecisionNotes(String name) {
+    DecisionLogger(String name) {
         mName = name;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -25,7 +25,7 @@
     private final RouterTable mRouters;
     private final CrashSharing mCrashSharing;
     private final LoadSharing mLoadSharing;
-    private final DecisionNotes mNotes;
+    private final DecisionLogger mNotes;
 
     ExchangeHandler(
             SharedMembership membership,
@@ -33,7 +33,7 @@
             RouterTable routers,
             CrashSharing crashSharing,
             LoadSharing loadSharing,
-            DecisionNotes notes) {
+            DecisionLogger notes) {
         mCrashSharing = crashSharing;
         mLoadSharing = loadSharing;
         mNotes = notes;
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -32,7 +32,7 @@
     private final ControlState mState;
     private final ConsensusReducer mConsensus;
     private final StalenessDetector mStaleness;
-    private final DecisionNotes mNotes;
+    private final DecisionLogger mNotes;
     private final Map<Long, Command> mPendingCommands = new HashMap<>();
     private final Set<Long> mPendingMembershipChanges = new HashSet<>();
     private final Map<Long, Runnable> mPendingReads = new HashMap<>();
@@ -48,7 +48,7 @@
     private Consumer<? super ControlEffect> mEffects;
     private CommandResult mLastResult;
 
-    LogReplica(ControlConfig config, LogCodec codec, long seed, DecisionNotes notes) {
+    LogReplica(ControlConfig config, LogCodec codec, long seed, DecisionLogger notes) {
         mConfig = config;
         mCodec = codec;
         mState = new ControlState(config.limits());
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
@@ -17,11 +17,11 @@
     /** Limits the log lines if another sender keeps sending announcements. */
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
-    private final DecisionNotes mNotes;
+    private final DecisionLogger mNotes;
     private final Map<Kind, Instant> mNextLogTime = new HashMap<>();
     private final Map<Kind, Integer> mCounts = new HashMap<>();
 
-    PassedOverNotes(DecisionNotes notes) {
+    PassedOverNotes(DecisionLogger notes) {
         mNotes = notes;
     }
 
