--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -44,7 +44,7 @@
     private final ReplicaRepair mReplicaRepair;
     private final PeerSharing mPeerSharing;
     private final DirectAnnouncements mDirectAnnouncements;
-    private final PassedOverNotes mPassedOver;
+    private final IgnoredAnnouncementLogger mPassedOver;
     private final CrashSharing mCrashSharing;
     private final LoadSharing mLoadSharing;
     private Instant mNextReport = Instant.MIN;
@@ -60,7 +60,7 @@
      */
     public ControlReducer(ControlConfig config, LogCodec codec, long seed) {
         mNotes = new DecisionLogger(config.name());
-        mPassedOver = new PassedOverNotes(mNotes);
+        mPassedOver = new IgnoredAnnouncementLogger(mNotes);
         mReplica = new LogReplica(config, codec, seed, mNotes);
         List<String> peers = new ArrayList<>(config.addresses().keySet());
         peers.remove(config.name());
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PassedOverNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/IgnoredAnnouncementLogger.java
@@ -13,7 +13,7 @@
  * Outcome and announced state make the kind, so that an ignored departure has its own log line and
  * is not hidden by other announcements.
  */
-final class PassedOverNotes {
+final class IgnoredAnnouncementLogger {
     /** Limits the log lines if another sender keeps sending announcements. */
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
@@ -21,7 +21,7 @@
     private final Map<Kind, Instant> mNextLogTime = new HashMap<>();
     private final Map<Kind, Integer> mCounts = new HashMap<>();
 
-    PassedOverNotes(DecisionLogger notes) {
+    IgnoredAnnouncementLogger(DecisionLogger notes) {
         mNotes = notes;
     }
 
