--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -10,7 +10,7 @@
 import org.laurelweir.quarantine.CrashDelta;
 import org.laurelweir.quarantine.CrashRecord;
 import org.laurelweir.quarantine.CrashTable;
-import org.laurelweir.quarantine.QuarantineNotes;
+import org.laurelweir.quarantine.QuarantineLogger;
 import org.laurelweir.quarantine.RequestKey;
 
 /**
@@ -20,7 +20,7 @@
  */
 final class CrashSharing {
     private final MembershipCursor mOwnRun;
-    private final QuarantineNotes mNotes = new QuarantineNotes(DecisionLogger.PROGRAM);
+    private final QuarantineLogger mNotes = new QuarantineLogger(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final Map<String, Long> mPeerVersions = new HashMap<>();
     private final List<CrashRecord> mPendingForPeers = new ArrayList<>();
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineLogger.java
@@ -7,7 +7,7 @@
 import org.laurelweir.lib.Decision;
 
 /** Collects the changes of the quarantine as entries for the decision log. */
-public final class QuarantineNotes implements QuarantineListener {
+public final class QuarantineLogger implements QuarantineListener {
     private static final String QUARANTINED = "QUARANTINED";
     private static final String RELEASED = "RELEASED";
 
@@ -19,7 +19,7 @@
      *
      * @param program the program in the log entries, router or control
      */
-    public QuarantineNotes(String program) {
+    public QuarantineLogger(String program) {
         mProgram = program;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -12,7 +12,7 @@
 import org.laurelweir.membership.Backend;
 import org.laurelweir.placement.ChatKey;
 import org.laurelweir.quarantine.CrashTable;
-import org.laurelweir.quarantine.QuarantineNotes;
+import org.laurelweir.quarantine.QuarantineLogger;
 
 /** The decision logic of one router. Passes each event to the class that handles it. */
 public final class RouterReducer implements Reducer<RouterEvent, RouterEffect> {
@@ -29,7 +29,7 @@
     private final Streams mStreams;
     private final Timers mTimers;
     private final DirectRouting mDirect;
-    private final QuarantineNotes mQuarantineNotes = new QuarantineNotes(DecisionLogger.PROGRAM);
+    private final QuarantineLogger mQuarantineNotes = new QuarantineLogger(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final CrashSharing mCrashSharing;
     private final LoadEstimator mLoads = new LoadEstimator();
