--- a/org.laurelweir/src/main/java/org/laurelweir/routing/LoadNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/LoadDigestLogger.java
@@ -8,14 +8,14 @@
  * Logs when a router starts to use load digests from control, and when it falls back to the load of
  * its own calls alone.
  */
-final class LoadNotes {
+final class LoadDigestLogger {
     private static final String LOADS_TOLD = "LOADS_TOLD";
     private static final String LOADS_NOT_TOLD = "LOADS_NOT_TOLD";
 
     private final LoadEstimator mLoads;
     private boolean mHasRecentDigest;
 
-    LoadNotes(LoadEstimator loads) {
+    LoadDigestLogger(LoadEstimator loads) {
         mLoads = loads;
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -33,7 +33,7 @@
     private final CrashTable mCrashes;
     private final CrashSharing mCrashSharing;
     private final LoadEstimator mLoads = new LoadEstimator();
-    private final LoadNotes mLoadNotes = new LoadNotes(mLoads);
+    private final LoadDigestLogger mLoadNotes = new LoadDigestLogger(mLoads);
     private int mRouterCount;
     private boolean mStopping;
 
