--- a/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipNotes.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/MembershipChangeLogger.java
@@ -13,7 +13,7 @@
  * Logs changes of a router's view of the backend servers. Writes one line for each service and
  * state that an answer of control changes, however many backend servers the answer names.
  */
-final class MembershipNotes {
+final class MembershipChangeLogger {
     private static final int MAX_LISTED_IDS = 8;
 
     private final Map<String, Map<Backend.State, List<String>>> mPending = new TreeMap<>();
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -18,7 +18,7 @@
 public final class RouterReducer implements Reducer<RouterEvent, RouterEffect> {
     private final ExchangeScheduler mExchanges;
     private final Requests mRequests = new Requests();
-    private final MembershipNotes mMembershipNotes = new MembershipNotes();
+    private final MembershipChangeLogger mMembershipNotes = new MembershipChangeLogger();
     private final Memberships mMemberships = new Memberships(mMembershipNotes::onChange);
     private final AccountLimits mLimits = new AccountLimits();
     private final Placements mPlacements;
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
@@ -16,7 +16,7 @@
 class MembershipNotesTest {
     private static final Instant NOW = Instant.EPOCH;
 
-    private final MembershipNotes mNotes = new MembershipNotes();
+    private final MembershipChangeLogger mNotes = new MembershipChangeLogger();
     private final Memberships mMemberships = new Memberships(mNotes::onChange);
 
     private static Backend backend(int number, Backend.State state) {
