--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
@@ -208,7 +208,7 @@
                 .setPosition(e.position())
                 .setChangeId(e.changeId())
                 .setAuthor(e.author())
-                .setAtMillis(e.at().toEpochMilli())
+                .setAtMillis(e.timestamp().toEpochMilli())
                 .addAllChanges(changesToWire(e.changes()))
                 .build();
     }
--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SnapshotCodec.java
@@ -107,7 +107,7 @@
     private static SettingsHistoryRecord toWire(HistoryEntry e) {
         return SettingsHistoryRecord.newBuilder()
                 .setPosition(e.position())
-                .setAtMillis(e.at().toEpochMilli())
+                .setAtMillis(e.timestamp().toEpochMilli())
                 .setChangeId(e.changeId())
                 .setAuthor(e.author())
                 .addAllChanges(SettingsCodec.changesToWire(e.changes()))
@@ -129,7 +129,7 @@
         SettingsAnswerRecord.Builder message =
                 SettingsAnswerRecord.newBuilder()
                         .setChangeId(a.changeId())
-                        .setAtMillis(a.at().toEpochMilli())
+                        .setAtMillis(a.timestamp().toEpochMilli())
                         .setDigest(a.digest())
                         .setCode(a.answer().code().number())
                         .setPosition(a.answer().position())
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/HistoryEntry.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/HistoryEntry.java
@@ -8,7 +8,7 @@
  * An accepted change.
  *
  * @param position its log position
- * @param at the time at which the leader received it
+ * @param timestamp the time at which the leader received it
  * @param changeId the ID that its author chose
  * @param author the author's name
  * @param changes the requested changes of nodes
@@ -17,7 +17,7 @@
  */
 public record HistoryEntry(
         long position,
-        Instant at,
+        Instant timestamp,
         String changeId,
         String author,
         List<Command.NodeChange> changes,
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswers.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswers.java
@@ -57,7 +57,7 @@
     }
 
     private boolean mustEvict(RecordedAnswer oldest, Instant earliest) {
-        return oldest.at().isBefore(earliest) || mAnswers.size() > mLimits.answers();
+        return oldest.timestamp().isBefore(earliest) || mAnswers.size() > mLimits.answers();
     }
 
     List<RecordedAnswer> all() {
