--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -37,7 +37,7 @@
      * @param seen the version up to which the reader has the records of that run
      */
     CrashDelta deltaSince(Instant now, MembershipCursor cursor, long seen) {
-        return mCrashes.since(now, cursor.isSameRun(mOwnRun) ? seen : 0);
+        return mCrashes.since(now, cursor.isSameIncarnation(mOwnRun) ? seen : 0);
     }
 
     /** Merges records from a router. New ones go to the peers at once. */
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipCursor.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/MembershipCursor.java
@@ -14,7 +14,7 @@
     public static final MembershipCursor NONE = new MembershipCursor("", 0, 0);
 
     /** Returns whether both cursors are of the same incarnation of the same control instance. */
-    public boolean isSameRun(MembershipCursor other) {
+    public boolean isSameIncarnation(MembershipCursor other) {
         return control.equals(other.control) && controlIncarnation == other.controlIncarnation;
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/CrashSharing.java
@@ -50,7 +50,7 @@
      * @param delta the crash records that it sent
      */
     void onAnswered(Instant now, MembershipCursor control, CrashDelta delta) {
-        mAcknowledgedVersion = control.isSameRun(mControlRun) ? mInFlightVersion : 0;
+        mAcknowledgedVersion = control.isSameIncarnation(mControlRun) ? mInFlightVersion : 0;
         mControlRun = control;
         mReceivedVersion = delta.version();
         boolean hadNothingToSend = !hasUnacknowledgedRecords();
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -101,7 +101,7 @@
 
     private void onExchangeAnswered(Step s, RouterEvent.ExchangeAnswered answer) {
         mExchanges.onEnded(answer.membership().full() || mMemberships.hasFullView());
-        if (!answer.membership().cursor().isSameRun(mMemberships.cursor())) {
+        if (!answer.membership().cursor().isSameIncarnation(mMemberships.cursor())) {
             mLoads.requestFullReport();
         }
         mMemberships.apply(s.now(), answer.membership());
