--- a/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
+++ b/org.laurelweir.wire/src/main/java/org/laurelweir/wire/SettingsCodec.java
@@ -175,9 +175,9 @@
                         .setBase(c.base())
                         .setRevision(c.revision())
                         .setAuthor(c.author())
-                        .addAllChanged(valuesToWire(c.difference().changed()))
-                        .addAllRemoved(c.difference().removed());
-        for (TextPatch.Piece p : c.source().pieces()) {
+                        .addAllChanged(valuesToWire(c.treePatch().changed()))
+                        .addAllRemoved(c.treePatch().removed());
+        for (TextPatch.Piece p : c.sourcePatch().pieces()) {
             message.addSource(
                     TextPiece.newBuilder()
                             .setOffset(p.offset())
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -88,12 +88,12 @@
             long base,
             long revision,
             String author,
-            TreePatch difference,
-            TextPatch source)
+            TreePatch treePatch,
+            TextPatch sourcePatch)
             implements Command {
         @Override
         public PatchSettings withTimestamp(Instant time) {
-            return new PatchSettings(time, base, revision, author, difference, source);
+            return new PatchSettings(time, base, revision, author, treePatch, sourcePatch);
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/SettingsStore.java
@@ -188,7 +188,7 @@
         }
         ReplacementInfo info =
                 new ReplacementInfo(patch.timestamp(), patch.revision(), patch.author());
-        return replace(position, patch.difference(), info, patch.source().applyTo(mSource));
+        return replace(position, patch.treePatch(), info, patch.sourcePatch().applyTo(mSource));
     }
 
     /**
