--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/QueryHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/QueryHandler.java
@@ -114,7 +114,7 @@
                                 b ->
                                         new BackendServerStatus(
                                                 b,
-                                                mMembership.report(b.ref().id()),
+                                                mMembership.lastReport(b.ref().id()),
                                                 mReplica.state().isDrainOrdered(b.ref().id())))
                         .toList();
         effects.accept(
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/SharedMembership.java
@@ -347,7 +347,7 @@
     }
 
     /** Returns a sidecar's last report, or null if it does not report to this instance. */
-    public SidecarReport report(String id) {
+    public SidecarReport lastReport(String id) {
         return mSessions.get(id);
     }
 
