--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RequestResolver.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/request/RequestResolver.java
@@ -177,8 +177,8 @@
                 deadline(call, settings),
                 priority,
                 cost,
-                Policies.request(settings),
-                Policies.outliers(settings));
+                Policies.requestPolicy(settings),
+                Policies.outlierConfig(settings));
     }
 
     /** Sets the priority in force. Browsers send a header of the same name with another meaning. */
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/ControlExchange.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/ControlExchange.java
@@ -107,7 +107,7 @@
 
     /** Returns the settings in force; the defaults until control has sent any. */
     public synchronized SidecarSettings settings() {
-        return Policies.sidecar(mReader.tree().effective(mContext))
+        return Policies.sidecarSettings(mReader.tree().effective(mContext))
                 .withRefusalStatuses(mRefusalStatuses);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/Policies.java
@@ -11,7 +11,7 @@
     private Policies() {}
 
     /** Returns the policy for one request. */
-    public static RequestPolicy request(EffectiveSettings s) {
+    public static RequestPolicy requestPolicy(EffectiveSettings s) {
         Duration backoffMin = s.get(SettingKeys.RETRY_BACKOFF_MIN);
         return new RequestPolicy(
                 s.get(SettingKeys.BOUND_FACTOR),
@@ -31,7 +31,7 @@
      *
      * @param s the settings resolved for the sidecar's service
      */
-    public static SidecarSettings sidecar(EffectiveSettings s) {
+    public static SidecarSettings sidecarSettings(EffectiveSettings s) {
         return new SidecarSettings(
                 bound(s.get(SettingKeys.BOUND_FACTOR)),
                 new SidecarSettings.QueueLimits(
@@ -66,7 +66,7 @@
      *
      * @param s the settings resolved for the backend server's service
      */
-    public static OutlierConfig outliers(EffectiveSettings s) {
+    public static OutlierConfig outlierConfig(EffectiveSettings s) {
         return new OutlierConfig(
                 s.get(SettingKeys.EJECTION_FAILURES),
                 s.get(SettingKeys.EJECTION_COOLDOWN),
--- a/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/settings/SettingsStoreTest.java
@@ -313,7 +313,7 @@
         assertThat(both.get(SettingKeys.PRIORITY_DEFAULT)).isEqualTo(1);
         assertThat(s.forCall(new SettingsContext.Call("POST", "/x", "m2"))).isSameAs(s);
         assertThat(lookup.effective("s", "x")).isSameAs(s);
-        assertThat(Policies.request(both).maxAttempts()).isEqualTo(1);
+        assertThat(Policies.requestPolicy(both).maxAttempts()).isEqualTo(1);
         assertThat(lookup.effective("p", "x").get(SettingKeys.RETRY_MAX_ATTEMPTS)).isEqualTo(3);
         assertThat(List.of(s.position(), both.position())).containsOnly(2L);
     }
