--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/StatusReplies.java
@@ -45,10 +45,10 @@
         AnswerPeerUpdate a = (AnswerPeerUpdate) answer;
         ShareMembershipReply.Builder reply =
                 ShareMembershipReply.newBuilder()
-                        .setCursor(MembershipCodec.toWire(a.share().cursor()))
+                        .setCursor(MembershipCodec.toWire(a.update().cursor()))
                         .setStatus(toWire(a.status()));
-        a.share().announcements().forEach(n -> reply.addAnnouncements(MembershipCodec.toWire(n)));
-        a.share().sums().forEach(s -> reply.addSums(toWire(s)));
+        a.update().announcements().forEach(n -> reply.addAnnouncements(MembershipCodec.toWire(n)));
+        a.update().sums().forEach(s -> reply.addSums(toWire(s)));
         reply.setCrashesVersion(a.crashes().version());
         reply.addAllCrashes(CrashCodec.toWire(a.crashes().records()));
         a.routers().forEach(r -> reply.addRouters(toWire(r)));
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/ExchangeTest.java
@@ -133,7 +133,7 @@
         to.offer(
                 new ControlEvent.PeerUpdateReceived(
                         from.mId.name(),
-                        update.share(),
+                        update.update(),
                         update.crashes(),
                         update.routers(),
                         update.status()));
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -118,7 +118,7 @@
     /** Answers a peer's request for an update. */
     record AnswerPeerUpdate(
             long call,
-            PeerUpdate share,
+            PeerUpdate update,
             CrashDelta crashes,
             List<RouterInstanceStatus> routers,
             ControlInstanceStatus status)
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -111,7 +111,7 @@
     /** A peer answers a request for an update. */
     record PeerUpdateReceived(
             String peer,
-            PeerUpdate share,
+            PeerUpdate update,
             CrashDelta crashes,
             List<RouterInstanceStatus> routers,
             ControlInstanceStatus status)
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -105,7 +105,7 @@
     }
 
     void onPeerUpdate(Instant now, PeerUpdateReceived e) {
-        mMembership.merge(now, e.peer(), e.share());
+        mMembership.merge(now, e.peer(), e.update());
         mCrashSharing.onPeerUpdate(now, e.peer(), e.crashes());
         mRouters.merge(e.routers());
         mPeerStatuses.put(now, e.status());
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -151,7 +151,7 @@
             ControlEffect.AnswerPeerUpdate a = (ControlEffect.AnswerPeerUpdate) answer;
             step(
                     new ControlEvent.PeerUpdateReceived(
-                            peer, a.share(), a.crashes(), a.routers(), a.status()));
+                            peer, a.update(), a.crashes(), a.routers(), a.status()));
         }
     }
 }
