--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -131,7 +131,7 @@
                                 ShareMembershipRequest.newBuilder()
                                         .setControl(mSelf.name())
                                         .setCursor(MembershipCodec.toWire(request.cursor()))
-                                        .setCrashesSeen(request.crashesSeen())
+                                        .setCrashesSeen(request.crashesVersion())
                                         .setWithRouters(request.withRouters())
                                         .build());
         watch(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -131,7 +131,7 @@
      * @param withRouters whether to include the routers that exchange with the peer
      */
     record RequestPeerUpdate(
-            String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
+            String peer, MembershipCursor cursor, long crashesVersion, boolean withRouters)
             implements ControlEffect {}
 
     /**
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -105,7 +105,7 @@
      * @param withRouters whether to include the routers that exchange with this instance
      */
     record PeerUpdateRequested(
-            long call, String peer, MembershipCursor cursor, long crashesSeen, boolean withRouters)
+            long call, String peer, MembershipCursor cursor, long crashesVersion, boolean withRouters)
             implements ControlEvent {}
 
     /** A peer answers a request for an update. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -99,7 +99,7 @@
                 new AnswerPeerUpdate(
                         e.call(),
                         mMembership.updateSince(e.cursor()),
-                        mCrashSharing.deltaSince(now, e.cursor(), e.crashesSeen()),
+                        mCrashSharing.deltaSince(now, e.cursor(), e.crashesVersion()),
                         e.withRouters() ? mRouters.local() : List.of(),
                         mReplica.status(now)));
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetControls.java
@@ -142,7 +142,7 @@
             LongFunction<ControlEvent> request =
                     call ->
                             new ControlEvent.PeerUpdateRequested(
-                                    call, mName, e.cursor(), e.crashesSeen(), e.withRouters());
+                                    call, mName, e.cursor(), e.crashesVersion(), e.withRouters());
             deliverAfterDelay(
                     () -> instance(e.peer()).call(request, a -> onPeerUpdate(e.peer(), a)));
         }
