--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -165,7 +165,7 @@
             int backends,
             int claims,
             int quarantined,
-            int requestsUnderWay,
+            int runningRequests,
             long settingsPosition,
             long logBytes,
             long snapshotBytes,
