--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlState.java
@@ -108,7 +108,7 @@
     }
 
     /** Returns the highest fencing token issued for a backend server, or 0 if none was issued. */
-    public long fence(String backend) {
+    public long highestFence(String backend) {
         return mFences.getOrDefault(backend, 0L);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -49,7 +49,7 @@
         SidecarOrders orders =
                 new SidecarOrders(
                         mReplica.state().isDrainOrdered(id),
-                        mReplica.state().fence(id),
+                        mReplica.state().highestFence(id),
                         minSession);
         effects.accept(
                 new AnswerExchange(
--- a/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/coordination/ControlStateTest.java
@@ -165,6 +165,6 @@
         restored.restore(snapshot);
         assertThat(restored.snapshot()).isEqualTo(snapshot);
         assertThat(restored.isDrainOrdered("w1")).isTrue();
-        assertThat(restored.fence("w1")).isEqualTo(1);
+        assertThat(restored.highestFence("w1")).isEqualTo(1);
     }
 }
