--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -14,7 +14,7 @@
  * @param addresses the addresses (host:port) of all configured control instances by name, this one
  *     included
  * @param exchangeInterval interval at which sidecars and routers exchange with control
- * @param shareInterval interval at which a control instance requests updates from its peers
+ * @param peerUpdateInterval interval at which a control instance requests updates from its peers
  * @param staleAfter time after the last confirmed contact with the leader from which settings count
  *     as possibly stale
  * @param consensus configuration of the replicated log
@@ -28,7 +28,7 @@
         long incarnation,
         Map<String, String> addresses,
         Duration exchangeInterval,
-        Duration shareInterval,
+        Duration peerUpdateInterval,
         Duration staleAfter,
         ConsensusConfig consensus,
         MembershipConfig membership,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/PeerSharing.java
@@ -78,7 +78,7 @@
         if (now.isBefore(mNextRound)) {
             return;
         }
-        Duration interval = mConfig.shareInterval();
+        Duration interval = mConfig.peerUpdateInterval();
         mNextRound = now.plus(interval);
         boolean withRouters = mRound++ % ROUNDS_PER_ROUTER_UPDATE == 0;
         mReplica.membership().all().forEach(r -> mPeers.discover(now, r.name()));
