--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/history/SimulatedControls.java
@@ -140,7 +140,7 @@
                     ConsensusConfig.builder()
                             .electionTimeout(Duration.ofMillis(500))
                             .heartbeatInterval(Duration.ofMillis(80))
-                            .snapshots(ENTRIES_PER_SNAPSHOT, ENTRIES_PER_SNAPSHOT / 4, 4096)
+                            .snapshotPolicy(ENTRIES_PER_SNAPSHOT, ENTRIES_PER_SNAPSHOT / 4, 4096)
                             .build();
             ControlConfig config =
                     ControlConfig.builder(mId, mIncarnation, mAddresses)
--- a/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/consensus/ConsensusConfig.java
@@ -92,7 +92,7 @@
          * @param tailEntries maximum number of entries kept that the snapshot already covers
          * @param chunkBytes size of one chunk of a snapshot
          */
-        public Builder snapshots(int intervalEntries, int tailEntries, int chunkBytes) {
+        public Builder snapshotPolicy(int intervalEntries, int tailEntries, int chunkBytes) {
             mSnapshotIntervalEntries = intervalEntries;
             mSnapshotTailEntries = tailEntries;
             mSnapshotChunkBytes = chunkBytes;
--- a/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/consensus/TestReplica.java
@@ -18,7 +18,7 @@
                     .electionTimeout(Duration.ofMillis(150))
                     .heartbeatInterval(Duration.ofMillis(40))
                     .appendFlow(70, 3)
-                    .snapshots(10, 4, 16)
+                    .snapshotPolicy(10, 4, 16)
                     .maxLearnerLagEntries(3)
                     .logLimits(new LogLimits(8_000, 8_000, 24_000, 4_000, 2_000, 2_000))
                     .build();
