--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
@@ -142,7 +142,7 @@
         return new RouterEvent.Direct(event);
     }
 
-    void whole(DirectEffect.AnswerWhole e) {
+    void whole(DirectEffect.AnswerComplete e) {
         Caller c = mCallers.remove(e.caller());
         if (c != null) {
             mMetrics.countAnswer(ResultCode.OK);
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/DirectEffects.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/DirectEffects.java
@@ -32,7 +32,7 @@
         } else if (effect instanceof DirectEffect.CancelCall e) {
             mMetrics.countAction("cancel_call");
             mCalls.cancel(e);
-        } else if (effect instanceof DirectEffect.AnswerWhole e) {
+        } else if (effect instanceof DirectEffect.AnswerComplete e) {
             mCallers.whole(e);
         } else if (effect instanceof DirectEffect.AnswerHead e) {
             mCallers.head(new RouterEffect.AnswerHead(e.caller(), e.status(), e.headers()));
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEffect.java
@@ -39,7 +39,7 @@
     record CancelCall(long call) implements DirectEffect {}
 
     /** Send the caller a complete answer of a backend server. */
-    record AnswerWhole(long caller, int status, List<Header> headers, byte[] body)
+    record AnswerComplete(long caller, int status, List<Header> headers, byte[] body)
             implements DirectEffect {}
 
     /** Send the caller the head of a streamed answer. */
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -260,7 +260,7 @@
         } else {
             emitUnlessDetached(
                     r,
-                    new DirectEffect.AnswerWhole(
+                    new DirectEffect.AnswerComplete(
                             r.mCaller, r.mStatus, r.mHeaders, r.mBody.toByteArray()));
         }
         emit(mDecisions.answered(r, mNow));
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
@@ -9,7 +9,7 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 import org.laurelweir.direct.DirectEffect.AnswerError;
-import org.laurelweir.direct.DirectEffect.AnswerWhole;
+import org.laurelweir.direct.DirectEffect.AnswerComplete;
 import org.laurelweir.direct.DirectEffect.CancelCall;
 import org.laurelweir.direct.DirectEffect.LogDecision;
 import org.laurelweir.direct.DirectEvent.Failure;
@@ -65,7 +65,7 @@
         crashThreeServers();
         mDriver.arrive(99, NON_IDEMPOTENT);
         finishCall(200);
-        assertThat(mDriver.last(AnswerWhole.class).caller()).isEqualTo(99);
+        assertThat(mDriver.last(AnswerComplete.class).caller()).isEqualTo(99);
     }
 
     // Guards against retries that crash further servers after the request has crashed one.
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.laurelweir.direct.DirectEffect.AnswerEnd;
 import org.laurelweir.direct.DirectEffect.AnswerError;
-import org.laurelweir.direct.DirectEffect.AnswerWhole;
+import org.laurelweir.direct.DirectEffect.AnswerComplete;
 import org.laurelweir.direct.DirectEffect.BeginCall;
 
 /**
@@ -116,7 +116,7 @@
     private void checkGuarantees(DirectRoutingDriver driver) {
         Map<Long, Integer> finalAnswers = new HashMap<>();
         for (DirectEffect e : driver.mEffects) {
-            if (e instanceof AnswerWhole a) {
+            if (e instanceof AnswerComplete a) {
                 finalAnswers.merge(a.caller(), 1, Integer::sum);
             } else if (e instanceof AnswerEnd a) {
                 finalAnswers.merge(a.caller(), 1, Integer::sum);
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingTest.java
@@ -16,7 +16,7 @@
 import org.laurelweir.direct.DirectEffect.AnswerEnd;
 import org.laurelweir.direct.DirectEffect.AnswerError;
 import org.laurelweir.direct.DirectEffect.AnswerHead;
-import org.laurelweir.direct.DirectEffect.AnswerWhole;
+import org.laurelweir.direct.DirectEffect.AnswerComplete;
 import org.laurelweir.direct.DirectEffect.BeginCall;
 import org.laurelweir.direct.DirectEffect.CancelCall;
 import org.laurelweir.lib.BackendRef;
@@ -50,9 +50,9 @@
         mDriver.answer(call, 201, GENUINE);
         mDriver.step(new DirectEvent.DataReceived(call, bytes("ab")));
         mDriver.step(new DirectEvent.DataReceived(call, bytes("c")));
-        assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
+        assertThat(mDriver.all(AnswerComplete.class)).isEmpty();
         mDriver.step(new DirectEvent.Finished(call));
-        AnswerWhole answer = mDriver.last(AnswerWhole.class);
+        AnswerComplete answer = mDriver.last(AnswerComplete.class);
         assertThat(answer.status()).isEqualTo(201);
         assertThat(answer.body()).isEqualTo(bytes("abc"));
         assertThat(mDriver.isIdle()).isTrue();
@@ -146,8 +146,8 @@
         oneServer.answer(call, 500, GENUINE);
         oneServer.step(new DirectEvent.DataReceived(call, bytes("why")));
         oneServer.step(new DirectEvent.Finished(call));
-        assertThat(oneServer.last(AnswerWhole.class).status()).isEqualTo(500);
-        assertThat(oneServer.last(AnswerWhole.class).body()).isEqualTo(bytes("why"));
+        assertThat(oneServer.last(AnswerComplete.class).status()).isEqualTo(500);
+        assertThat(oneServer.last(AnswerComplete.class).body()).isEqualTo(bytes("why"));
     }
 
     @Test
@@ -159,7 +159,7 @@
         mDriver.answer(call, 200, INVALID);
         mDriver.step(new DirectEvent.DataReceived(call, bytes("not yours")));
         mDriver.step(new DirectEvent.Finished(call));
-        assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
+        assertThat(mDriver.all(AnswerComplete.class)).isEmpty();
         assertThat(mDriver.last(AnswerError.class).code()).isEqualTo(ResultCode.BACKEND_FAILED);
         assertThat(mDriver.last(CancelCall.class).call()).isEqualTo(call);
     }
@@ -270,7 +270,7 @@
         assertThat(mDriver.all(CancelCall.class)).hasSize(1);
         mDriver.answer(call, 200, GENUINE);
         mDriver.step(new DirectEvent.Finished(call));
-        assertThat(mDriver.all(AnswerWhole.class)).isEmpty();
+        assertThat(mDriver.all(AnswerComplete.class)).isEmpty();
         assertThat(mDriver.isIdle()).isTrue();
     }
 
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
@@ -100,7 +100,7 @@
             mBackends.call(e, mCallEvents);
         } else if (effect instanceof DirectEffect.CancelCall e) {
             mBackends.cancel(e.call(), mCallEvents);
-        } else if (effect instanceof DirectEffect.AnswerWhole e) {
+        } else if (effect instanceof DirectEffect.AnswerComplete e) {
             answerCaller(e.caller(), ResultCode.OK);
         } else if (effect instanceof DirectEffect.AnswerEnd e) {
             answerCaller(e.caller(), ResultCode.OK);
