--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/Callers.java
@@ -76,7 +76,7 @@
             Optional<RoutedRequest> routed = mRoutes.resolve(call);
             RouterEvent event =
                     routed.isPresent()
-                            ? toRouterEvent(new DirectEvent.Arrived(caller, routed.get()))
+                            ? toRouterEvent(new DirectEvent.RequestArrived(caller, routed.get()))
                             : new RouterEvent.RequestArrived(caller, mResolver.resolve(call));
             mCallers.put(caller, new Caller(answer, routed.isPresent()));
             mEvents.accept(event);
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectEvent.java
@@ -6,7 +6,7 @@
 /** An input of {@link DirectRouting}, which assigns the numbers of calls. */
 public sealed interface DirectEvent {
     /** A caller's request has been received completely. */
-    record Arrived(long caller, RoutedRequest request) implements DirectEvent {}
+    record RequestArrived(long caller, RoutedRequest request) implements DirectEvent {}
 
     /** The caller closed its connection. */
     record CallerGone(long caller) implements DirectEvent {}
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/DirectRouting.java
@@ -89,7 +89,7 @@
         mInvalidAnswers.beginStep(now, effects);
         if (event instanceof DirectEvent.Tick) {
             onTick();
-        } else if (event instanceof DirectEvent.Arrived e) {
+        } else if (event instanceof DirectEvent.RequestArrived e) {
             onArrived(e);
         } else if (event instanceof DirectEvent.CallerGone e) {
             withRequest(mByCaller.get(e.caller()), this::onCallerGone);
@@ -116,7 +116,7 @@
         mEffects.accept(effect);
     }
 
-    private void onArrived(DirectEvent.Arrived e) {
+    private void onArrived(DirectEvent.RequestArrived e) {
         String service = chooseService(e.request().route());
         ActiveRequest r = new ActiveRequest(e.caller(), e.request(), service, mNow);
         mByCaller.put(e.caller(), r);
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingDriver.java
@@ -134,7 +134,7 @@
                         body.getBytes(StandardCharsets.UTF_8),
                         route.streamed());
         step(
-                new DirectEvent.Arrived(
+                new DirectEvent.RequestArrived(
                         caller,
                         new RoutedRequest(
                                 "id" + caller,
--- a/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/fleet/FleetRouter.java
@@ -72,7 +72,7 @@
      */
     public void submit(RoutedRequest request, Consumer<ResultCode> caller) {
         mCallers.put(++mLastCaller, caller);
-        step(new RouterEvent.Direct(new DirectEvent.Arrived(mLastCaller, request)));
+        step(new RouterEvent.Direct(new DirectEvent.RequestArrived(mLastCaller, request)));
     }
 
     private void step(RouterEvent event) {
