--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/EarlyCallHandler.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/EarlyCallHandler.java
@@ -76,7 +76,7 @@
         }
         boolean first = mCalls.isEmpty();
         Duration timeout = mCallerTimeout.apply(early.call());
-        boolean queued = mCalls.keep(mClock.instant(), early.caller(), timeout, early);
+        boolean queued = mCalls.add(mClock.instant(), early.caller(), timeout, early);
         if (queued) {
             // Rate-limited, so that logging does not delay the start.
             sLogger.atInfo().atMostEvery(LOG_INTERVAL_MILLIS, TimeUnit.MILLISECONDS).log(
--- a/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/direct/EarlyCalls.java
@@ -46,7 +46,7 @@
      * @param call the call to store
      * @return whether the call is stored; otherwise it has to be rejected
      */
-    public boolean keep(Instant now, long caller, Duration timeout, T call) {
+    public boolean add(Instant now, long caller, Duration timeout, T call) {
         if (mWaiting.size() >= MAX_WAITING_CALLS) {
             return false;
         }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/EarlyCallsTest.java
@@ -25,7 +25,7 @@
     @Test
     void waitingCallsAreTakenInArrivalOrder() {
         for (int i = 0; i < 20; i++) {
-            assertThat(mCalls.keep(after(15 * i), i, SHORT_TIMEOUT, "call" + i)).isTrue();
+            assertThat(mCalls.add(after(15 * i), i, SHORT_TIMEOUT, "call" + i)).isTrue();
         }
         assertThat(mCalls.takeExpired(after(300))).isEmpty();
         assertThat(mCalls.takeAll()).hasSize(20).startsWith("call0", "call1");
@@ -34,8 +34,8 @@
 
     @Test
     void callsExpireWithMostOfTheirTimeLeft() {
-        mCalls.keep(NOW, 1, SHORT_TIMEOUT, "short");
-        mCalls.keep(NOW, 2, LONG_TIMEOUT, "long");
+        mCalls.add(NOW, 1, SHORT_TIMEOUT, "short");
+        mCalls.add(NOW, 2, LONG_TIMEOUT, "long");
         assertThat(mCalls.takeExpired(after(374))).isEmpty();
         assertThat(mCalls.takeExpired(after(375))).containsExactly("short");
         assertThat(mCalls.takeExpired(after(799))).isEmpty();
@@ -44,7 +44,7 @@
 
     @Test
     void callOfADisconnectedCallerIsRemoved() {
-        mCalls.keep(NOW, 1, LONG_TIMEOUT, "a");
+        mCalls.add(NOW, 1, LONG_TIMEOUT, "a");
         assertThat(mCalls.remove(1)).isTrue();
         assertThat(mCalls.remove(1)).isFalse();
         assertThat(mCalls.takeAll()).isEmpty();
@@ -54,7 +54,7 @@
     void numberOfWaitingCallsIsBounded() {
         int kept = 0;
         for (int i = 0; i < 1000; i++) {
-            kept += mCalls.keep(NOW, i, LONG_TIMEOUT, "x") ? 1 : 0;
+            kept += mCalls.add(NOW, i, LONG_TIMEOUT, "x") ? 1 : 0;
         }
         assertThat(kept).isEqualTo(256);
     }
