--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -150,7 +150,7 @@
 
     private void ask(ReducerNode from, SidecarEffect.LocateChats ask) {
         long call = ++mCount;
-        mCalls.put(call, new AnswerTo(from, ask.question()));
+        mCalls.put(call, new AnswerTo(from, ask.requestId()));
         tell(
                 node(mFleet.engine(ask.address())),
                 new SidecarEvent.LocateChatsRequested(call, ask.chats()));
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/rpc/PeerSidecars.java
@@ -61,12 +61,12 @@
                 new FutureCallback<LocateChatsReply>() {
                     @Override
                     public void onSuccess(LocateChatsReply reply) {
-                        onLocated(effect.question(), toCore(reply.getLocationsList()));
+                        onLocated(effect.requestId(), toCore(reply.getLocationsList()));
                     }
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        onLocated(effect.question(), Map.of());
+                        onLocated(effect.requestId(), Map.of());
                     }
                 },
                 MoreExecutors.directExecutor());
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/ChatRedirector.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/ChatRedirector.java
@@ -46,7 +46,7 @@
 
     /** Handles another sidecar's reply about chat locations. */
     void onChatsLocated(Step step, SidecarEvent.ChatsLocated event) {
-        Attempt attempt = mLookups.onChatsLocated(event.question(), event.locations());
+        Attempt attempt = mLookups.onChatsLocated(event.requestId(), event.locations());
         event.locations().forEach(mChatLocations::setLocation);
         if (attempt == null) {
             return;
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -42,7 +42,7 @@
      * @param address the other sidecar's address
      * @param chats the keys of the chats
      */
-    record LocateChats(long question, String address, List<Long> chats) implements SidecarEffect {}
+    record LocateChats(long requestId, String address, List<Long> chats) implements SidecarEffect {}
 
     /**
      * Answers another sidecar's request for chat locations.
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -84,7 +84,7 @@
      * @param locations names of backend servers by chat key; without the chats whose location is
      *     unknown
      */
-    record ChatsLocated(long question, Map<Long, String> locations) implements SidecarEvent {}
+    record ChatsLocated(long requestId, Map<Long, String> locations) implements SidecarEvent {}
 
     /** Another sidecar requests chat locations. */
     record LocateChatsRequested(long call, List<Long> chats) implements SidecarEvent {}
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
@@ -97,7 +97,7 @@
         SidecarEffect.LocateChats asked = mSidecar.take(SidecarEffect.LocateChats.class).get(0);
         assertThat(asked.chats()).containsExactly(chat);
 
-        mSidecar.step(new SidecarEvent.ChatsLocated(asked.question(), Map.of(chat, "engine-3")));
+        mSidecar.step(new SidecarEvent.ChatsLocated(asked.requestId(), Map.of(chat, "engine-3")));
         Frame.Refused refused = (Frame.Refused) mSidecar.takeLastFrame(stream);
         assertThat(refused.redirectTo()).isEqualTo("engine-3");
     }
@@ -120,7 +120,7 @@
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         long chat = chatWithHome("engine-1");
         mSidecar.requestAttempt(Requests.request(1).chat(chat, true));
-        long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).question();
+        long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).requestId();
         mSidecar.step(new SidecarEvent.AttemptRevoked(1, ID, new BackendRef("engine-1", 1)));
         mSidecar.step(new SidecarEvent.ChatsLocated(question, Map.of()));
         mSidecar.advance(Duration.ofSeconds(1));
