--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
@@ -181,7 +181,7 @@
         mReducer = new SidecarReducer(mIdentity);
         mLoop.offer(new SidecarEvent.SettingsChanged(mExchange.settings()));
         // The probe reports changes only, and an earlier reducer may have received the last one.
-        mLoop.offer(new SidecarEvent.EngineReachable(mProbe.notReadyReason().isEmpty()));
+        mLoop.offer(new SidecarEvent.EngineReachabilityChanged(mProbe.notReadyReason().isEmpty()));
     }
 
     private void startMetrics() {
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendProbe.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/backend/BackendProbe.java
@@ -53,7 +53,7 @@
         boolean reachable = mConsecutiveFailures < FAILURE_THRESHOLD;
         if (reachable != mReachable) {
             mReachable = reachable;
-            mEvents.accept(new SidecarEvent.EngineReachable(reachable));
+            mEvents.accept(new SidecarEvent.EngineReachabilityChanged(reachable));
         }
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -56,7 +56,7 @@
             implements SidecarEvent {}
 
     /** Reports whether the sidecar can reach the backend server. */
-    record EngineReachable(boolean reachable) implements SidecarEvent {}
+    record EngineReachabilityChanged(boolean reachable) implements SidecarEvent {}
 
     /**
      * A control instance answered an exchange.
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarReducer.java
@@ -123,7 +123,7 @@
             mExecution.onFinished(step, e);
         } else if (event instanceof SidecarEvent.EngineFailed e) {
             mExecution.onFailed(step, e);
-        } else if (event instanceof SidecarEvent.EngineReachable e) {
+        } else if (event instanceof SidecarEvent.EngineReachabilityChanged e) {
             setReachable(step, e.reachable());
         } else {
             return false;
