--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/DocumentBudget.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/DocumentBudget.java
@@ -21,7 +21,7 @@
      * @return whether the document may be read; if so, the space must be given back once the
      *     document is answered
      */
-    public synchronized boolean take(int bytes) {
+    public synchronized boolean tryAcquire(int bytes) {
         if (mBytes > 0 && mBytes + bytes > MAX_BYTES) {
             return false;
         }
@@ -30,7 +30,7 @@
     }
 
     /** Gives back the space of a document. */
-    public synchronized void giveBack(int bytes) {
+    public synchronized void release(int bytes) {
         mBytes -= bytes;
     }
 }
--- a/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/DocumentBudgetTest.java
+++ b/org.laurelweir.control/src/test/java/org/laurelweir/control/rpc/DocumentBudgetTest.java
@@ -12,13 +12,13 @@
     // documents at once. A document above the limit must still be read alone.
     @Test
     void readsALargeDocumentAloneAndSmallOnesTogether() {
-        assertThat(mBudget.take(3_000_000)).isTrue();
-        assertThat(mBudget.take(10)).isFalse();
-        mBudget.giveBack(3_000_000);
-        assertThat(mBudget.take(400_000)).isTrue();
-        assertThat(mBudget.take(400_000)).isTrue();
-        assertThat(mBudget.take(400_000)).isFalse();
-        mBudget.giveBack(400_000);
-        assertThat(mBudget.take(400_000)).isTrue();
+        assertThat(mBudget.tryAcquire(3_000_000)).isTrue();
+        assertThat(mBudget.tryAcquire(10)).isFalse();
+        mBudget.release(3_000_000);
+        assertThat(mBudget.tryAcquire(400_000)).isTrue();
+        assertThat(mBudget.tryAcquire(400_000)).isTrue();
+        assertThat(mBudget.tryAcquire(400_000)).isFalse();
+        mBudget.release(400_000);
+        assertThat(mBudget.tryAcquire(400_000)).isTrue();
     }
 }
