--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/PeerCalls.java
@@ -196,7 +196,7 @@
                     @Override
                     public void onFailure(Throwable failure) {
                         onEnd.run();
-                        mChannels.fresh(address, channel);
+                        mChannels.reconnect(address, channel);
                     }
                 };
         Futures.addCallback(call, callback, MoreExecutors.directExecutor());
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/rpc/ReadConfirmer.java
@@ -166,7 +166,7 @@
 
                     @Override
                     public void onFailure(Throwable failure) {
-                        mChannels.fresh(leader, channel);
+                        mChannels.reconnect(leader, channel);
                         onNotConfirmed(leader + " does not answer: " + failure.getMessage());
                     }
                 };
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlLeader.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlLeader.java
@@ -112,7 +112,7 @@
 
         @Override
         public void onFailure(Throwable failure) {
-            mChannels.fresh(mAddress, mChannel);
+            mChannels.reconnect(mAddress, mChannel);
             mLeader = addressAfter(mAddress);
             if (mTries >= MAX_TRIES) {
                 mOnFailure.accept(failure);
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/SidecarCalls.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/SidecarCalls.java
@@ -93,7 +93,7 @@
     public void drop(RouterEffect.DropStream e) {
         AttemptStream stream = mStreams.remove(e.stream());
         if (stream != null) {
-            mChannels.fresh(stream.address(), stream.channel());
+            mChannels.reconnect(stream.address(), stream.channel());
             stream.drop();
         }
     }
@@ -157,7 +157,7 @@
         @Override
         public void onFailure(Throwable failure) {
             // Retry over a new connection, because this one did not respond.
-            mChannels.fresh(mRevoke.address(), mChannel);
+            mChannels.reconnect(mRevoke.address(), mChannel);
             mEvents.accept(
                     new RouterEvent.RevokeFailed(
                             mRevoke.caller(), mRevoke.attempt(), failure.getMessage()));
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Channels.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/Channels.java
@@ -73,7 +73,7 @@
      * @param address host:port, with an IP address as the host
      * @param suspect the channel whose connection does not respond
      */
-    public ManagedChannel fresh(String address, ManagedChannel suspect) {
+    public ManagedChannel reconnect(String address, ManagedChannel suspect) {
         Instant now = mSettings.mClock.instant();
         return mEntries.compute(
                         address,
@@ -89,9 +89,9 @@
      *
      * @param address host:port, with an IP address as the host
      */
-    public ManagedChannel fresh(String address) {
+    public ManagedChannel reconnect(String address) {
         Entry current = mEntries.get(address);
-        return current == null ? get(address) : fresh(address, current.channel());
+        return current == null ? get(address) : reconnect(address, current.channel());
     }
 
     /** Removes the channels that were not requested, and carried no call, during the idle time. */
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ChannelsTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/ChannelsTest.java
@@ -63,7 +63,7 @@
         ListenableFuture<ExplainReply> slow = explain(suspect);
         StreamObserver<ExplainReply> slowCall = nextCall();
 
-        ManagedChannel fresh = mChannels.fresh(mAddress, suspect);
+        ManagedChannel fresh = mChannels.reconnect(mAddress, suspect);
         ListenableFuture<ExplainReply> answered = explain(fresh);
         finish(nextCall());
         assertThat(answered.get(WAIT_SECONDS, TimeUnit.SECONDS)).isNotNull();
@@ -77,9 +77,9 @@
     @Test
     void opensOneNewConnectionPerSuspectChannel() {
         ManagedChannel suspect = mChannels.get(mAddress);
-        ManagedChannel fresh = mChannels.fresh(mAddress, suspect);
-        assertThat(mChannels.fresh(mAddress, suspect)).isSameAs(fresh);
-        assertThat(mChannels.fresh(mAddress)).isNotSameAs(fresh);
+        ManagedChannel fresh = mChannels.reconnect(mAddress, suspect);
+        assertThat(mChannels.reconnect(mAddress, suspect)).isSameAs(fresh);
+        assertThat(mChannels.reconnect(mAddress)).isNotSameAs(fresh);
     }
 
     @Test
