--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/TrafficCounters.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/TrafficCounters.java
@@ -46,7 +46,7 @@
      * @param in bytes received so far
      * @param out bytes sent so far
      */
-    public void show(String service, LongSupplier in, LongSupplier out) {
+    public void registerExternal(String service, LongSupplier in, LongSupplier out) {
         mRegistry.register(name(CONTROL, service, "in"), new ExternalCounter(in));
         mRegistry.register(name(CONTROL, service, "out"), new ExternalCounter(out));
     }
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/RpcServerTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/rpc/RpcServerTest.java
@@ -53,7 +53,7 @@
     @Test
     void registersExternalCounts() {
         MetricRegistry registry = new MetricRegistry();
-        new TrafficCounters(registry).show("ControlExchange", () -> 7, () -> 11);
+        new TrafficCounters(registry).registerExternal("ControlExchange", () -> 7, () -> 11);
         assertThat(externalCount(registry, "in")).isEqualTo(7);
         assertThat(externalCount(registry, "out")).isEqualTo(11);
     }
