--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
@@ -155,7 +155,7 @@
                         this::offer,
                         controls -> {
                             claims.setControls(controls);
-                            mExchangeClient.learn(controls);
+                            mExchangeClient.setLearnedAddresses(controls);
                         },
                         clock,
                         mLease);
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeClient.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/rpc/ExchangeClient.java
@@ -94,7 +94,7 @@
      *
      * @param addresses host:port, as reported by a control instance
      */
-    public synchronized void learn(List<String> addresses) {
+    public synchronized void setLearnedAddresses(List<String> addresses) {
         mNearestControl.setAddresses(mOrder.order(mConfiguredAddresses, addresses));
     }
 
