--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/StartOrder.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/StartOrder.java
@@ -31,7 +31,7 @@
      * @param self the program's own address
      * @param controls addresses of the control instances that the program knows
      */
-    public static Optional<Endpoint> beside(Endpoint self, List<Endpoint> controls) {
+    public static Optional<Endpoint> localControlInstance(Endpoint self, List<Endpoint> controls) {
         return controls.stream().filter(c -> c.host().equals(self.host())).findFirst();
     }
 
@@ -42,7 +42,7 @@
      * @param isReady checks whether the other program is ready
      * @return whether the other program became ready in time
      */
-    public static boolean await(BooleanSupplier isReady) {
+    public static boolean awaitReady(BooleanSupplier isReady) {
         long deadlineNanos = System.nanoTime() + MAX_WAIT.toNanos();
         while (!isReady.getAsBoolean()) {
             if (System.nanoTime() - deadlineNanos >= 0) {
--- a/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/StartOrderTest.java
+++ b/org.laurelweir.runtime/src/test/java/org/laurelweir/runtime/process/StartOrderTest.java
@@ -15,8 +15,8 @@
     void findsOnlyAControlInstanceOnTheSameInstance() {
         Endpoint near = Endpoint.parse("127.0.0.1:8229");
         Endpoint far = Endpoint.parse("127.0.0.10:8229");
-        assertThat(StartOrder.beside(SELF, List.of(far, near))).contains(near);
-        assertThat(StartOrder.beside(SELF, List.of(far))).isEmpty();
+        assertThat(StartOrder.localControlInstance(SELF, List.of(far, near))).contains(near);
+        assertThat(StartOrder.localControlInstance(SELF, List.of(far))).isEmpty();
     }
 
     @Test
@@ -24,12 +24,12 @@
         // Both programs start at once after a power loss. The router polls until control has a
         // leader and confirmed settings, then loads its classes.
         AtomicInteger polls = new AtomicInteger();
-        assertThat(StartOrder.await(() -> polls.incrementAndGet() == 3)).isTrue();
+        assertThat(StartOrder.awaitReady(() -> polls.incrementAndGet() == 3)).isTrue();
         assertThat(polls).hasValue(3);
     }
 
     @Test
     void timesOutIfControlIsNeverReady() {
-        assertThat(StartOrder.await(() -> false)).isFalse();
+        assertThat(StartOrder.awaitReady(() -> false)).isFalse();
     }
 }
