--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlEffects.java
@@ -96,7 +96,7 @@
             sLogger.atInfo().log("snapshot at %d taken: %d B", s.index(), state.length);
             mEvents.accept(new ControlEvent.ReplicaEvent(new SnapshotTaken(s.index(), state)));
         } catch (RuntimeException | Error e) {
-            Program.fail("the state can't be encoded for a snapshot", e);
+            Program.logAndHalt("the state can't be encoded for a snapshot", e);
         }
     }
 }
--- a/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
+++ b/org.laurelweir.control/src/main/java/org/laurelweir/control/ControlProgram.java
@@ -109,7 +109,7 @@
     }
 
     private static void backgroundFailed(Throwable failure) {
-        Program.endOnError("a task in the background failed", failure);
+        Program.haltOnError("a task in the background failed", failure);
         sLogger.atSevere().withCause(failure).log("a task in the background failed");
     }
 
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/BackendConnection.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/direct/BackendConnection.java
@@ -180,7 +180,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        Program.endOnError("a connection to a backend server failed", cause);
+        Program.haltOnError("a connection to a backend server failed", cause);
         String message = String.valueOf(cause.getMessage());
         if (cause instanceof IOException) {
             endExchange(x -> x.onConnectionLost(message));
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/http/CallerConnection.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/http/CallerConnection.java
@@ -199,7 +199,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        Program.endOnError("a caller's connection failed", cause);
+        Program.haltOnError("a caller's connection failed", cause);
         // A reset or a write timeout. In both cases the caller can't be reached.
         context.close();
     }
--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlExchange.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/rpc/ControlExchange.java
@@ -92,7 +92,7 @@
         try {
             apply(requestedAt, answer);
         } catch (RuntimeException | Error e) {
-            Program.endOnError("an exchange with control was not taken in", e);
+            Program.haltOnError("an exchange with control was not taken in", e);
             sLogger.atSevere().withCause(e).log("an exchange with control was not taken in");
             // Without an event the next exchange would never be sent, and the settings would get
             // stale.
--- a/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/Program.java
+++ b/org.laurelweir.runtime/src/main/java/org/laurelweir/runtime/process/Program.java
@@ -37,12 +37,12 @@
             sLogger.atSevere().withCause(e).log("%s failed", name);
             System.exit(exitCode(ResultCode.INTERNAL));
         } catch (Error e) {
-            fail(name + " failed", e);
+            logAndHalt(name + " failed", e);
         }
     }
 
     private static void handleUncaught(Thread thread, Throwable failure) {
-        endOnError("thread " + thread.getName() + " failed", failure);
+        haltOnError("thread " + thread.getName() + " failed", failure);
         sLogger.atSevere().withCause(failure).log("thread %s ended", thread.getName());
     }
 
@@ -54,9 +54,9 @@
      * @param what the thing that failed, for the log
      * @param failure the caught failure
      */
-    public static void endOnError(String what, Throwable failure) {
+    public static void haltOnError(String what, Throwable failure) {
         if (failure instanceof Error) {
-            fail(what, failure);
+            logAndHalt(what, failure);
         }
     }
 
@@ -66,7 +66,7 @@
      * @param what the thing that failed, for the log
      * @param failure the cause
      */
-    public static void fail(String what, Throwable failure) {
+    public static void logAndHalt(String what, Throwable failure) {
         try {
             sLogger.atSevere().withCause(failure).log("%s", what);
         } finally {
