--- a/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
+++ b/org.laurelweir.router/src/main/java/org/laurelweir/router/RouterProgram.java
@@ -115,7 +115,8 @@
         TrafficCounters traffic = new TrafficCounters(mRegistry);
         mChannels = Channels.builder(mLoops, traffic).build();
         mExchangeClient = new ExchangeClient(controls(), file.controlTimeout(), controlOrder());
-        traffic.registerExternal("ControlExchange", mExchangeClient::bytesReceived, mExchangeClient::bytesSent);
+        traffic.registerExternal(
+                "ControlExchange", mExchangeClient::bytesReceived, mExchangeClient::bytesSent);
         RouteResolver routes = new RouteResolver(mSettings, dialect, mLease, clock);
         mCallers =
                 new Callers(
--- a/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
+++ b/org.laurelweir.sidecar/src/main/java/org/laurelweir/sidecar/SidecarProgram.java
@@ -88,7 +88,8 @@
         DecisionRing ring = new DecisionRing(file.decisions());
         AttemptStreams streams = new AttemptStreams(this::offer);
         SidecarService service = new SidecarService(streams, ring, this::offer);
-        traffic.registerExternal("ControlExchange", mExchangeClient::bytesReceived, mExchangeClient::bytesSent);
+        traffic.registerExternal(
+                "ControlExchange", mExchangeClient::bytesReceived, mExchangeClient::bytesSent);
         mServer =
                 RpcServer.builder(mLoops, traffic)
                         .listen(file.listen().host(), file.listen().port())
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/PendingChatLookups.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/PendingChatLookups.java
@@ -64,8 +64,8 @@
      * @return the attempt whose look-up is complete, or null if other sidecars may still know the
      *     location
      */
-    Attempt onChatsLocated(long question, Map<Long, String> locations) {
-        Lookup lookup = mLookups.remove(question);
+    Attempt onChatsLocated(long requestId, Map<Long, String> locations) {
+        Lookup lookup = mLookups.remove(requestId);
         if (lookup == null) {
             return null;
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEffect.java
@@ -38,7 +38,7 @@
     /**
      * Asks another sidecar for chat locations.
      *
-     * @param question id of the request, which the reply repeats
+     * @param requestId id of the request, which the reply repeats
      * @param address the other sidecar's address
      * @param chats the keys of the chats
      */
--- a/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/admission/SidecarEvent.java
@@ -80,7 +80,7 @@
     /**
      * Another sidecar answered a request for chat locations.
      *
-     * @param question id of the request
+     * @param requestId id of the request
      * @param locations names of backend servers by chat key; without the chats whose location is
      *     unknown
      */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/Command.java
@@ -80,8 +80,8 @@
      * @param base the log position of the tree that the patch applies to
      * @param revision the operator's revision number of the new tree
      * @param author the name that the history records as the author
-     * @param difference the changes to the nodes
-     * @param source the patch to the operator's own text of the earlier tree
+     * @param treePatch the changes to the nodes
+     * @param sourcePatch the patch to the operator's own text of the earlier tree
      */
     record PatchSettings(
             Instant timestamp,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlConfig.java
@@ -72,7 +72,7 @@
         private final long mIncarnation;
         private final Map<String, String> mAddresses;
         private Duration mExchangeInterval = Duration.ofSeconds(1);
-        private Duration mShareInterval = Duration.ofMillis(500);
+        private Duration mPeerUpdateInterval = Duration.ofMillis(500);
         private ConsensusConfig mConsensus = ConsensusConfig.builder().build();
         private MembershipConfig mMembership;
         private ControlState.Limits mLimits = ControlState.Limits.DEFAULT;
@@ -89,9 +89,9 @@
          * Sets the interval of exchanges with sidecars and routers, and that of updates between
          * control instances.
          */
-        public Builder intervals(Duration exchange, Duration share) {
+        public Builder intervals(Duration exchange, Duration peerUpdate) {
             mExchangeInterval = exchange;
-            mShareInterval = share;
+            mPeerUpdateInterval = peerUpdate;
             return this;
         }
 
@@ -129,7 +129,7 @@
                     mIncarnation,
                     mAddresses,
                     mExchangeInterval,
-                    mShareInterval,
+                    mPeerUpdateInterval,
                     mConsensus.electionTimeout().multipliedBy(2),
                     mConsensus,
                     mMembership,
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEffect.java
@@ -127,7 +127,7 @@
     /**
      * Requests an update from a peer.
      *
-     * @param crashesSeen the version up to which this instance has the peer's crash records
+     * @param crashesVersion the version up to which this instance has the peer's crash records
      * @param withRouters whether to include the routers that exchange with the peer
      */
     record RequestPeerUpdate(
@@ -152,7 +152,7 @@
      * @param backends number of known backend servers, including recently departed ones
      * @param claims number of idempotency keys in use
      * @param quarantined number of quarantined requests
-     * @param requestsUnderWay number of requests that routers have reported as running at backend
+     * @param runningRequests number of requests that routers have reported as running at backend
      *     servers
      * @param settingsPosition the log position of the current settings
      * @param logBytes size of the log entries in memory
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlEvent.java
@@ -101,11 +101,15 @@
     /**
      * A peer requests an update.
      *
-     * @param crashesSeen the version up to which the peer has this instance's crash records
+     * @param crashesVersion the version up to which the peer has this instance's crash records
      * @param withRouters whether to include the routers that exchange with this instance
      */
     record PeerUpdateRequested(
-            long call, String peer, MembershipCursor cursor, long crashesVersion, boolean withRouters)
+            long call,
+            String peer,
+            MembershipCursor cursor,
+            long crashesVersion,
+            boolean withRouters)
             implements ControlEvent {}
 
     /** A peer answers a request for an update. */
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ControlReducer.java
@@ -34,7 +34,7 @@
 public final class ControlReducer implements Reducer<ControlEvent, ControlEffect> {
     private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-    private final DecisionLogger mNotes;
+    private final DecisionLogger mDecisionLogger;
     private final SharedMembership mMembership;
     private final LogReplica mReplica;
     private final ControlPeers mPeers;
@@ -44,7 +44,7 @@
     private final ReplicaRepair mReplicaRepair;
     private final PeerSharing mPeerSharing;
     private final DirectAnnouncements mDirectAnnouncements;
-    private final IgnoredAnnouncementLogger mPassedOver;
+    private final IgnoredAnnouncementLogger mIgnoredAnnouncementLogger;
     private final CrashSharing mCrashSharing;
     private final LoadSharing mLoadSharing;
     private Instant mNextReport = Instant.MIN;
@@ -59,9 +59,9 @@
      * @param seed seed for random election timeouts; must differ between instances
      */
     public ControlReducer(ControlConfig config, LogCodec codec, long seed) {
-        mNotes = new DecisionLogger(config.name());
-        mPassedOver = new IgnoredAnnouncementLogger(mNotes);
-        mReplica = new LogReplica(config, codec, seed, mNotes);
+        mDecisionLogger = new DecisionLogger(config.name());
+        mIgnoredAnnouncementLogger = new IgnoredAnnouncementLogger(mDecisionLogger);
+        mReplica = new LogReplica(config, codec, seed, mDecisionLogger);
         List<String> peers = new ArrayList<>(config.addresses().keySet());
         peers.remove(config.name());
         mMembership = new SharedMembership(config.membership(), peers, this::onBackendChanged);
@@ -71,7 +71,12 @@
         mLoadSharing = new LoadSharing(config, mMembership);
         mExchanges =
                 new ExchangeHandler(
-                        mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, mNotes);
+                        mMembership,
+                        mReplica,
+                        mRouters,
+                        mCrashSharing,
+                        mLoadSharing,
+                        mDecisionLogger);
         mQueries =
                 new QueryHandler(
                         mMembership, mReplica, mRouters, mCrashSharing, mLoadSharing, peerStatuses);
@@ -155,7 +160,7 @@
 
     private void onAnnounced(BackendAnnounced e) {
         DirectAnnouncements.Outcome outcome = mDirectAnnouncements.receive(mNow, e.backend());
-        mPassedOver.log(mNow, e.backend(), outcome, mEffects);
+        mIgnoredAnnouncementLogger.log(mNow, e.backend(), outcome, mEffects);
         mEffects.accept(new ControlEffect.AnswerAnnounced(e.call()));
     }
 
@@ -198,7 +203,7 @@
 
     private void onReleaseRequested(ReleaseRequested e) {
         if (mCrashSharing.release(mNow, e.key())) {
-            mNotes.quarantineReleased(mNow, e.key(), e.author(), mEffects);
+            mDecisionLogger.quarantineReleased(mNow, e.key(), e.author(), mEffects);
             mEffects.accept(new ControlEffect.AnswerReleased(e.call()));
         } else {
             String message = "request " + e.key().fingerprintText() + " is not quarantined";
@@ -210,10 +215,10 @@
 
     private void onBackendChanged(Backend backend, String reason, boolean receivedHere) {
         if (!receivedHere) {
-            mNotes.peerReportedBackend(mNow, backend, reason, mEffects);
+            mDecisionLogger.peerReportedBackend(mNow, backend, reason, mEffects);
             return;
         }
-        mNotes.backendChanged(mNow, backend, reason, mEffects);
+        mDecisionLogger.backendChanged(mNow, backend, reason, mEffects);
         if (backend.state() != Backend.State.SERVING) {
             mPeerSharing.announce(backend);
         }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/CrashSharing.java
@@ -20,14 +20,14 @@
  */
 final class CrashSharing {
     private final MembershipCursor mOwnRun;
-    private final QuarantineLogger mNotes = new QuarantineLogger(DecisionLogger.PROGRAM);
+    private final QuarantineLogger mQuarantineLogger = new QuarantineLogger(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final Map<String, Long> mPeerVersions = new HashMap<>();
     private final List<CrashRecord> mPendingForPeers = new ArrayList<>();
 
     CrashSharing(ControlConfig config) {
         mOwnRun = new MembershipCursor(config.name(), config.incarnation(), 0);
-        mCrashes = new CrashTable(config.name(), mNotes);
+        mCrashes = new CrashTable(config.name(), mQuarantineLogger);
     }
 
     /**
@@ -95,6 +95,6 @@
 
     /** Logs the changes of quarantined requests as decisions. */
     void logDecisions(Instant now, Consumer<? super ControlEffect> effects) {
-        mNotes.flush(now, d -> effects.accept(new ControlEffect.LogDecision(d)));
+        mQuarantineLogger.flush(now, d -> effects.accept(new ControlEffect.LogDecision(d)));
     }
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/ExchangeHandler.java
@@ -25,7 +25,7 @@
     private final RouterTable mRouters;
     private final CrashSharing mCrashSharing;
     private final LoadSharing mLoadSharing;
-    private final DecisionLogger mNotes;
+    private final DecisionLogger mDecisionLogger;
 
     ExchangeHandler(
             SharedMembership membership,
@@ -33,10 +33,10 @@
             RouterTable routers,
             CrashSharing crashSharing,
             LoadSharing loadSharing,
-            DecisionLogger notes) {
+            DecisionLogger decisionLogger) {
         mCrashSharing = crashSharing;
         mLoadSharing = loadSharing;
-        mNotes = notes;
+        mDecisionLogger = decisionLogger;
         mMembership = membership;
         mReplica = replica;
         mRouters = routers;
@@ -70,7 +70,7 @@
         mRouters.put(new RouterInstanceStatus(e.report(), e.settingsPosition(), now));
         SettingsDelta settings = settings(e.settingsPosition());
         if (settings.full()) {
-            mNotes.fullTreeSent(now, e.report().name(), settings, effects);
+            mDecisionLogger.fullTreeSent(now, e.report().name(), settings, effects);
         }
         effects.accept(
                 new AnswerExchange(
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/IgnoredAnnouncementLogger.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/IgnoredAnnouncementLogger.java
@@ -17,12 +17,12 @@
     /** Limits the log lines if another sender keeps sending announcements. */
     private static final Duration LOG_INTERVAL = Duration.ofSeconds(1);
 
-    private final DecisionLogger mNotes;
+    private final DecisionLogger mDecisionLogger;
     private final Map<Kind, Instant> mNextLogTime = new HashMap<>();
     private final Map<Kind, Integer> mCounts = new HashMap<>();
 
-    IgnoredAnnouncementLogger(DecisionLogger notes) {
-        mNotes = notes;
+    IgnoredAnnouncementLogger(DecisionLogger decisionLogger) {
+        mDecisionLogger = decisionLogger;
     }
 
     void log(Instant now, Backend b, Outcome outcome, Consumer<? super ControlEffect> effects) {
@@ -35,7 +35,8 @@
             return;
         }
         mNextLogTime.put(kind, now.plus(LOG_INTERVAL));
-        mNotes.announcementIgnored(now, b, outcome.name() + ", " + count + " so far", effects);
+        mDecisionLogger.announcementIgnored(
+                now, b, outcome.name() + ", " + count + " so far", effects);
     }
 
     private record Kind(Outcome outcome, Backend.State state) {}
--- a/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/coordination/LogReplica.java
@@ -32,7 +32,7 @@
     private final ControlState mState;
     private final ConsensusReducer mConsensus;
     private final StalenessDetector mStaleness;
-    private final DecisionLogger mNotes;
+    private final DecisionLogger mDecisionLogger;
     private final Map<Long, Command> mPendingCommands = new HashMap<>();
     private final Set<Long> mPendingMembershipChanges = new HashSet<>();
     private final Map<Long, Runnable> mPendingReads = new HashMap<>();
@@ -48,13 +48,13 @@
     private Consumer<? super ControlEffect> mEffects;
     private CommandResult mLastResult;
 
-    LogReplica(ControlConfig config, LogCodec codec, long seed, DecisionLogger notes) {
+    LogReplica(ControlConfig config, LogCodec codec, long seed, DecisionLogger decisionLogger) {
         mConfig = config;
         mCodec = codec;
         mState = new ControlState(config.limits());
         mConsensus = new ConsensusReducer(config.replica(), config.consensus(), seed);
         mStaleness = new StalenessDetector(mConsensus, config.staleAfter());
-        mNotes = notes;
+        mDecisionLogger = decisionLogger;
     }
 
     /** Returns the applied state. Callers must not modify it. */
@@ -192,11 +192,11 @@
             restore(i.snapshot());
         } else if (e instanceof ConsensusEffect.RoleChanged r) {
             mStaleness.onRoleChanged(r.role());
-            mNotes.roleChanged(mNow, r, mEffects);
+            mDecisionLogger.roleChanged(mNow, r, mEffects);
         } else if (e instanceof ConsensusEffect.LeadershipTransferEnded) {
             mEffects.accept(new ControlEffect.LeadershipTransferEnded());
         } else if (e instanceof ConsensusEffect.MembershipChanged m) {
-            mNotes.replicasChanged(mNow, m.membership(), mEffects);
+            mDecisionLogger.replicasChanged(mNow, m.membership(), mEffects);
         }
     }
 
@@ -213,7 +213,7 @@
             mConflictedReplaces.add(call);
             return;
         }
-        mNotes.applied(mNow, mPendingCommands.remove(call), mLastResult, mEffects);
+        mDecisionLogger.applied(mNow, mPendingCommands.remove(call), mLastResult, mEffects);
         mEffects.accept(new AnswerCommand(call, mLastResult));
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/membership/FlapDamper.java
@@ -9,8 +9,8 @@
 
 /**
  * Decides how long a backend server that disappears repeatedly is held back before it is announced
- * again. Without this, each restart of a backend server in a crash loop would move chats to it
- * and away again seconds later, and the chats would lose the caches that they have on other backend
+ * again. Without this, each restart of a backend server in a crash loop would move chats to it and
+ * away again seconds later, and the chats would lose the caches that they have on other backend
  * servers.
  */
 final class FlapDamper {
--- a/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineLogger.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/quarantine/QuarantineLogger.java
@@ -12,7 +12,7 @@
     private static final String RELEASED = "RELEASED";
 
     private final String mProgram;
-    private final List<Note> mNotes = new ArrayList<>();
+    private final List<Change> mChanges = new ArrayList<>();
 
     /**
      * Creates an empty collection.
@@ -25,19 +25,19 @@
 
     @Override
     public void changed(CrashRecord record, boolean quarantined) {
-        mNotes.add(new Note(record, quarantined));
+        mChanges.add(new Change(record, quarantined));
     }
 
     /** Passes the entries for all changes since the last call to a consumer. */
     public void flush(Instant now, Consumer<Decision> decisions) {
-        if (!mNotes.isEmpty()) {
-            mNotes.forEach(n -> decisions.accept(decision(now, n)));
-            mNotes.clear();
+        if (!mChanges.isEmpty()) {
+            mChanges.forEach(c -> decisions.accept(decision(now, c)));
+            mChanges.clear();
         }
     }
 
-    private Decision decision(Instant now, Note n) {
-        CrashRecord r = n.record();
+    private Decision decision(Instant now, Change c) {
+        CrashRecord r = c.record();
         List<String> servers = r.unexcusedServers();
         String fingerprint = r.key().fingerprintText();
         return Decision.builder(now, mProgram)
@@ -45,10 +45,10 @@
                 .service(r.service())
                 .candidates(servers)
                 .choice(
-                        n.quarantined() ? QUARANTINED : RELEASED,
+                        c.quarantined() ? QUARANTINED : RELEASED,
                         servers.size() + " backend servers ended under request " + fingerprint)
                 .build();
     }
 
-    private record Note(CrashRecord record, boolean quarantined) {}
+    private record Change(CrashRecord record, boolean quarantined) {}
 }
--- a/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/routing/RouterReducer.java
@@ -18,8 +18,8 @@
 public final class RouterReducer implements Reducer<RouterEvent, RouterEffect> {
     private final ExchangeScheduler mExchanges;
     private final Requests mRequests = new Requests();
-    private final MembershipChangeLogger mMembershipNotes = new MembershipChangeLogger();
-    private final Memberships mMemberships = new Memberships(mMembershipNotes::onChange);
+    private final MembershipChangeLogger mChangeLogger = new MembershipChangeLogger();
+    private final Memberships mMemberships = new Memberships(mChangeLogger::onChange);
     private final AccountLimits mLimits = new AccountLimits();
     private final Placements mPlacements;
     private final Outcomes mOutcomes;
@@ -29,11 +29,11 @@
     private final Streams mStreams;
     private final Timers mTimers;
     private final DirectRouting mDirect;
-    private final QuarantineLogger mQuarantineNotes = new QuarantineLogger(DecisionLogger.PROGRAM);
+    private final QuarantineLogger mQuarantineLogger = new QuarantineLogger(DecisionLogger.PROGRAM);
     private final CrashTable mCrashes;
     private final CrashSharing mCrashSharing;
     private final LoadEstimator mLoads = new LoadEstimator();
-    private final LoadDigestLogger mLoadNotes = new LoadDigestLogger(mLoads);
+    private final LoadDigestLogger mLoadDigestLogger = new LoadDigestLogger(mLoads);
     private int mRouterCount;
     private boolean mStopping;
 
@@ -44,7 +44,7 @@
      */
     public RouterReducer(RouterConfig config) {
         mExchanges = new ExchangeScheduler(config.exchangeInterval());
-        mCrashes = new CrashTable(config.name(), mQuarantineNotes);
+        mCrashes = new CrashTable(config.name(), mQuarantineLogger);
         mCrashSharing = new CrashSharing(mCrashes);
         mPlacements = new Placements(config, mMemberships);
         mDirect =
@@ -88,7 +88,7 @@
         } else {
             onRequestEvent(s, event);
         }
-        mQuarantineNotes.flush(now, d -> s.emit(new RouterEffect.LogDecision(d)));
+        mQuarantineLogger.flush(now, d -> s.emit(new RouterEffect.LogDecision(d)));
         if (mStopping && mRequests.isEmpty() && mDirect.isIdle()) {
             mStopping = false;
             s.emit(new RouterEffect.Stopped());
@@ -105,7 +105,7 @@
             mLoads.requestFullReport();
         }
         mMemberships.apply(s.now(), answer.membership());
-        mMembershipNotes.flush(s, mMemberships.cursor());
+        mChangeLogger.flush(s, mMemberships.cursor());
         mCrashSharing.onAnswered(s.now(), mMemberships.cursor(), answer.crashes());
         if (Memberships.hasChanges(answer.membership())) {
             mPlacements.prune();
@@ -124,11 +124,11 @@
 
     private void onTick(Step s) {
         mMemberships.onTick(s.now());
-        mMembershipNotes.flush(s, mMemberships.cursor());
+        mChangeLogger.flush(s, mMemberships.cursor());
         mTimers.onTick(s);
         stepDirect(s, new DirectEvent.Tick());
         mCrashes.expire(s.now());
-        mLoadNotes.onTick(s, mMemberships.cursor());
+        mLoadDigestLogger.onTick(s, mMemberships.cursor());
         mExchanges.onTick(s, mMemberships.cursor(), mCrashSharing, mLoads);
     }
 
--- a/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswer.java
+++ b/org.laurelweir/src/main/java/org/laurelweir/settings/RecordedAnswer.java
@@ -10,7 +10,8 @@
  * @param digest the digest of the requested changes, which detects another change with the same ID
  * @param answer the answer
  */
-public record RecordedAnswer(String changeId, Instant timestamp, String digest, SettingsAnswer answer) {
+public record RecordedAnswer(
+        String changeId, Instant timestamp, String digest, SettingsAnswer answer) {
     /** Returns the answer's estimated size in bytes, which is the same on every replica. */
     long estimatedBytes() {
         long bytes = SettingsNode.OVERHEAD_BYTES;
--- a/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/admission/ChatLocationsTest.java
@@ -120,9 +120,9 @@
         mSidecar.exchange(SidecarDriver.members(3), 0, false, 0);
         long chat = chatWithHome("engine-1");
         mSidecar.requestAttempt(Requests.request(1).chat(chat, true));
-        long question = mSidecar.take(SidecarEffect.LocateChats.class).get(0).requestId();
+        long requestId = mSidecar.take(SidecarEffect.LocateChats.class).get(0).requestId();
         mSidecar.step(new SidecarEvent.AttemptRevoked(1, ID, new BackendRef("engine-1", 1)));
-        mSidecar.step(new SidecarEvent.ChatsLocated(question, Map.of()));
+        mSidecar.step(new SidecarEvent.ChatsLocated(requestId, Map.of()));
         mSidecar.advance(Duration.ofSeconds(1));
         assertThat(mSidecar.take(SidecarEffect.StartEngineCall.class)).isEmpty();
     }
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/CrashGuardTest.java
@@ -8,8 +8,8 @@
 
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
-import org.laurelweir.direct.DirectEffect.AnswerError;
 import org.laurelweir.direct.DirectEffect.AnswerComplete;
+import org.laurelweir.direct.DirectEffect.AnswerError;
 import org.laurelweir.direct.DirectEffect.CancelCall;
 import org.laurelweir.direct.DirectEffect.LogDecision;
 import org.laurelweir.direct.DirectEvent.Failure;
--- a/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/direct/DirectRoutingPropertyTest.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.laurelweir.direct.DirectEffect.AnswerComplete;
 import org.laurelweir.direct.DirectEffect.AnswerEnd;
 import org.laurelweir.direct.DirectEffect.AnswerError;
-import org.laurelweir.direct.DirectEffect.AnswerComplete;
 import org.laurelweir.direct.DirectEffect.BeginCall;
 
 /**
--- a/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipNotesTest.java
+++ b/org.laurelweir/src/test/java/org/laurelweir/routing/MembershipChangeLoggerTest.java
@@ -13,11 +13,11 @@
 import org.laurelweir.membership.MembershipDelta;
 
 /** Tests the log lines about changes of a router's view of the backend servers. */
-class MembershipNotesTest {
+class MembershipChangeLoggerTest {
     private static final Instant NOW = Instant.EPOCH;
 
-    private final MembershipChangeLogger mNotes = new MembershipChangeLogger();
-    private final Memberships mMemberships = new Memberships(mNotes::onChange);
+    private final MembershipChangeLogger mChangeLogger = new MembershipChangeLogger();
+    private final Memberships mMemberships = new Memberships(mChangeLogger::onChange);
 
     private static Backend backend(int number, Backend.State state) {
         BackendRef ref = new BackendRef("w" + number, 0);
@@ -29,7 +29,7 @@
         mMemberships.apply(NOW, new MembershipDelta(cursor, full, backends));
         List<Decision> lines = new ArrayList<>();
         Step step = new Step(NOW, e -> lines.add(((RouterEffect.LogDecision) e).decision()));
-        mNotes.flush(step, mMemberships.cursor());
+        mChangeLogger.flush(step, mMemberships.cursor());
         return lines;
     }
 
