--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
@@ -67,7 +67,7 @@
     private void placeEarlier() {
         for (Turn turn : mTrace.earlier()) {
             Request r = mFleet.newRequest(turn);
-            Engine e = mFleet.engine(mScheme.earlierPlace(r));
+            Engine e = mFleet.engine(mScheme.initialEngine(r));
             e.cache().put(turn.chat().id(), turn.prompt());
         }
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Scheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Scheme.java
@@ -21,6 +21,6 @@
     /** Learns that an engine is dropped from the views, also if it is only out of sight. */
     default void onDrop(Engine engine) {}
 
-    /** Returns the name of the engine that a chat was on before the run began. */
-    String earlierPlace(Request request);
+    /** Returns the name of the engine that caches the chat's history when the run begins. */
+    String initialEngine(Request request);
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -31,31 +31,31 @@
 import org.laurelweir.placement.WorkEstimate;
 
 /**
- * The policy in use: the router sends a chat to its home, the sidecars find its seat, keep the
- * bound and send on what goes over it.
+ * Models the policy in use. The router sends a chat to its home. The sidecars find the chat
+ * location, apply the load bound and redirect requests that exceed it.
  */
 final class DirectoryScheme implements Scheme {
     private static final long MICROS_PER_MILLI = 1000;
-    private static final Duration GRACE = Duration.ofMillis(200);
+    private static final Duration DEADLINE_GRACE = Duration.ofMillis(200);
 
-    /** Servers with room that a sidecar hears of with a heartbeat. */
-    private static final int OPEN_SERVERS = 3;
+    /** Servers with room that each heartbeat names to a sidecar. */
+    private static final int OPEN_SERVERS_PER_HEARTBEAT = 3;
 
     private static final long RANDOM_SEED = 11;
 
     private final SplittableRandom mRandom = new SplittableRandom(RANDOM_SEED);
     private final Fleet mFleet;
     private final PlacementPolicy mRouterPolicy = new AffinityPolicy();
-    private final BoundPolicy mBound;
-    private final BoundConfig mConfig;
-    private final long mWait;
-    private final Map<Engine, Sidecar> mSidecars = new HashMap<>();
-    private final Map<Integer, RouterMemory> mRouters = new HashMap<>();
+    private final BoundPolicy mBoundPolicy;
+    private final BoundConfig mBoundConfig;
+    private final long mMaxWaitMicros;
+    private final Map<Engine, SidecarState> mSidecars = new HashMap<>();
+    private final Map<Integer, RouterState> mRouterStates = new HashMap<>();
 
     DirectoryScheme(Fleet fleet) {
         mFleet = fleet;
         Bound b = fleet.deployment().bound();
-        mConfig =
+        mBoundConfig =
                 new BoundConfig(
                         b.factor(),
                         b.headroom(),
@@ -63,37 +63,37 @@
                         b.capacityFloor(),
                         b.prefillWeight(),
                         b.maxRedirects());
-        mBound = new BoundPolicy(mConfig);
-        mWait = b.waitMillis() * MICROS_PER_MILLI;
-        hearOfOpenServers();
+        mBoundPolicy = new BoundPolicy(mBoundConfig);
+        mMaxWaitMicros = b.waitMillis() * MICROS_PER_MILLI;
+        scheduleOpenServerUpdates();
     }
 
-    /** Gives each sidecar, with its heartbeat, a few servers that lay under the mean. */
-    private void hearOfOpenServers() {
+    /** With each heartbeat, names to every sidecar a few servers whose work is below the mean. */
+    private void scheduleOpenServerUpdates() {
         mFleet.later(
                 mFleet.deployment().lags().loadMillis() * MICROS_PER_MILLI,
                 () -> {
                     for (int s = 0; s < mFleet.deployment().services().size(); s++) {
-                        drawOpenServers(s);
+                        updateOpenServers(s);
                     }
-                    hearOfOpenServers();
+                    scheduleOpenServerUpdates();
                 });
     }
 
-    private void drawOpenServers(int service) {
+    private void updateOpenServers(int service) {
         double mean = mFleet.reportedMean(service);
-        List<String> under = new ArrayList<>();
+        List<String> belowMean = new ArrayList<>();
         for (Engine e : mFleet.engines(service)) {
             if (e.isAlive() && !e.isDraining() && e.reportedWork() < mean) {
-                under.add(e.id());
+                belowMean.add(e.id());
             }
         }
         for (Engine e : mFleet.engines(service)) {
             List<String> drawn = new ArrayList<>();
-            for (int i = 0; i < OPEN_SERVERS && !under.isEmpty(); i++) {
-                drawn.add(under.get(mRandom.nextInt(under.size())));
+            for (int i = 0; i < OPEN_SERVERS_PER_HEARTBEAT && !belowMean.isEmpty(); i++) {
+                drawn.add(belowMean.get(mRandom.nextInt(belowMean.size())));
             }
-            sidecar(e).setOpen(drawn);
+            sidecar(e).setOpenServers(drawn);
         }
     }
 
@@ -102,11 +102,11 @@
         for (Candidate c : candidates(request)) {
             Engine e = mFleet.engine(c.id());
             if (e.isAlive()) {
-                memory(request).onSuccess(e.id());
+                routerState(request).onSuccess(e.id());
                 deliver(request, sidecar(e), true);
                 return;
             }
-            memory(request).onFailure(c.id(), mFleet.engines(e.service()).size());
+            routerState(request).onFailure(c.id(), mFleet.engines(e.service()).size());
             request.addHop();
             mFleet.control().addPerRequest(ControlBytes.FAILOVER);
         }
@@ -116,49 +116,52 @@
     private List<Candidate> candidates(Request request) {
         int service = request.turn().chat().service();
         ServiceView view = mFleet.routerView(request.turn().router(), service);
-        return mRouterPolicy.place(request.placement(), view, memory(request)).candidates();
+        return mRouterPolicy.place(request.placement(), view, routerState(request)).candidates();
     }
 
-    private RouterMemory memory(Request request) {
-        return mRouters.computeIfAbsent(request.turn().router(), r -> new RouterMemory(mFleet));
+    private RouterState routerState(Request request) {
+        return mRouterStates.computeIfAbsent(request.turn().router(), r -> new RouterState(mFleet));
     }
 
-    private Sidecar sidecar(Engine engine) {
-        return mSidecars.computeIfAbsent(engine, Sidecar::new);
+    private SidecarState sidecar(Engine engine) {
+        return mSidecars.computeIfAbsent(engine, SidecarState::new);
     }
 
-    /** Takes a request at a sidecar. */
-    private void deliver(Request request, Sidecar at, boolean firstStop) {
+    /** Handles a request that arrives at a sidecar. */
+    private void deliver(Request request, SidecarState at, boolean firstStop) {
         request.visited().add(at.engine());
-        ChatLocation seat = findSeat(request, at, firstStop);
-        if (seat instanceof ChatLocation.AskPeers ask) {
-            seat = ask(request, at, ask);
+        ChatLocation location = locateChat(request, at, firstStop);
+        if (location instanceof ChatLocation.AskPeers ask) {
+            location = askPeers(request, at, ask);
         }
-        if (seat instanceof ChatLocation.Remote elsewhere) {
-            Engine to = mFleet.engine(elsewhere.server());
+        if (location instanceof ChatLocation.Remote remote) {
+            Engine to = mFleet.engine(remote.server());
             if (to.isAlive() && !request.visited().contains(to)) {
                 redirect(request, to);
                 return;
             }
         }
-        decide(request, at);
+        applyBound(request, at);
     }
 
-    private ChatLocation findSeat(Request request, Sidecar at, boolean firstStop) {
+    private ChatLocation locateChat(Request request, SidecarState at, boolean firstStop) {
         ChatLocationQuery query =
                 new ChatLocationQuery(
                         request.turn().chat().key(),
                         BoundPolicy.hasCacheAffinity(request.workAt(at.engine())),
                         firstStop,
-                        at.joinedLately(mFleet.now()));
-        return at.lookup().locate(query, mFleet.sidecarView(at.engine()));
+                        at.isRecentlyJoined(mFleet.now()));
+        return at.locator().locate(query, mFleet.sidecarView(at.engine()));
     }
 
-    /** Asks the servers that may know the seat; one that has more of the history is the seat. */
-    private ChatLocation ask(Request request, Sidecar at, ChatLocation.AskPeers ask) {
+    /**
+     * Asks the servers that may know the chat location. The location is the server that caches the
+     * most of the chat's history, this server if none caches more.
+     */
+    private ChatLocation askPeers(Request request, SidecarState at, ChatLocation.AskPeers ask) {
         request.addHop();
         ChatKey chat = request.turn().chat().key();
-        int most = request.workAt(at.engine()).cachedTokens();
+        int maxCached = request.workAt(at.engine()).cachedTokens();
         Engine best = at.engine();
         for (Candidate c : ask.candidates()) {
             Engine asked = mFleet.engine(c.id());
@@ -168,9 +171,9 @@
             String entry = sidecar(asked).directory().find(chat);
             Engine holder = entry == null ? asked : mFleet.engine(entry);
             int cached = request.workAt(holder).cachedTokens();
-            if (holder.isAlive() && cached > most) {
+            if (holder.isAlive() && cached > maxCached) {
                 best = holder;
-                most = cached;
+                maxCached = cached;
             }
         }
         return best == at.engine() ? ChatLocation.LOCAL : new ChatLocation.Remote(best.id());
@@ -182,16 +185,17 @@
         deliver(request, sidecar(to), false);
     }
 
-    /** Keeps the bound beside the engine. */
-    private void decide(Request request, Sidecar at) {
+    /** Applies the load bound at the engine's sidecar. */
+    private void applyBound(Request request, SidecarState at) {
         Engine e = at.engine();
-        Engine next = next(request, e);
+        Engine next = redirectTarget(request, e);
         if (e.isDraining()) {
-            sendOnOrReject(request, next);
+            redirectOrReject(request, next);
             return;
         }
         double mean = mFleet.reportedMean(e.service());
-        BoundDecision decision = mBound.decide(query(request, e, next != null), e.work(), mean);
+        BoundDecision decision =
+                mBoundPolicy.decide(boundQuery(request, e, next != null), e.work(), mean);
         switch (decision) {
             case ADMIT -> admit(request, at);
             case WAIT -> hold(request, at);
@@ -200,42 +204,42 @@
         }
     }
 
-    private BoundQuery query(Request request, Engine engine, boolean hasNext) {
+    private BoundQuery boundQuery(Request request, Engine engine, boolean hasNext) {
         WorkEstimate work = request.workAt(engine);
         return new BoundQuery(
                 work,
                 request.redirects(),
                 hasNext,
                 request.isWaited(),
-                reachable(request, work, engine));
+                isDeadlineReachable(request, work, engine));
     }
 
-    private boolean reachable(Request request, WorkEstimate work, Engine engine) {
+    private boolean isDeadlineReachable(Request request, WorkEstimate work, Engine engine) {
         long now = mFleet.now();
-        long own = engine.prefillMicros(work.uncachedTokens());
-        long first = engine.firstTokenAt(work.uncachedTokens(), now);
+        long prefill = engine.prefillMicros(work.uncachedTokens());
+        long firstToken = engine.firstTokenAt(work.uncachedTokens(), now);
         long left = request.turn().at() + request.turn().deadline() - now;
         return FirstTokenDeadline.isReachable(
-                Duration.of(first - now - own, ChronoUnit.MICROS),
-                Duration.of(own, ChronoUnit.MICROS),
+                Duration.of(firstToken - now - prefill, ChronoUnit.MICROS),
+                Duration.of(prefill, ChronoUnit.MICROS),
                 Duration.of(left, ChronoUnit.MICROS),
-                GRACE);
+                DEADLINE_GRACE);
     }
 
-    private void sendOnOrReject(Request request, Engine next) {
-        if (next == null || request.redirects() > mConfig.maxRedirects()) {
+    private void redirectOrReject(Request request, Engine next) {
+        if (next == null || request.redirects() > mBoundConfig.maxRedirects()) {
             mFleet.reject(request);
             return;
         }
         redirect(request, next);
     }
 
-    /** Returns where a request would be sent on to, or null. */
-    private Engine next(Request request, Engine from) {
+    /** Returns the engine that a request would be redirected to, or null if there is none. */
+    private Engine redirectTarget(Request request, Engine from) {
         Set<String> visited = new HashSet<>();
         request.visited().forEach(e -> visited.add(e.id()));
         ServiceView view = mFleet.sidecarView(from);
-        List<String> open = sidecar(from).open();
+        List<String> open = sidecar(from).openServers();
         while (true) {
             Candidate c = RedirectPolicy.choose(request.turn().chat().key(), view, open, visited);
             if (c == null || mFleet.engine(c.id()).isAlive()) {
@@ -245,7 +249,7 @@
         }
     }
 
-    private void admit(Request request, Sidecar at) {
+    private void admit(Request request, SidecarState at) {
         ChatKey chat = request.turn().chat().key();
         Engine e = at.engine();
         Candidate home = mFleet.sidecarView(e).ranking().home(chat);
@@ -255,41 +259,41 @@
         } else {
             sidecar(homeEngine).directory().put(chat, e.id());
         }
-        at.held().onAdmit(chat, home);
-        memory(request).onSeat(chat, e.id(), home);
+        at.heldChats().onAdmit(chat, home);
+        routerState(request).onChatLocated(chat, e.id(), home);
         mFleet.control().addPerRequest(ControlBytes.ANSWER_HINT);
         mFleet.start(request, e);
     }
 
-    private void hold(Request request, Sidecar at) {
-        at.waiting().add(request);
+    private void hold(Request request, SidecarState at) {
+        at.waitingRequests().add(request);
         mFleet.later(
-                mWait,
+                mMaxWaitMicros,
                 () -> {
-                    if (at.waiting().remove(request)) {
+                    if (at.waitingRequests().remove(request)) {
                         request.setWaited();
-                        decide(request, at);
+                        applyBound(request, at);
                     }
                 });
     }
 
     @Override
     public void onEnd(Engine engine, Request request) {
-        Sidecar at = sidecar(engine);
-        int tries = at.waiting().size();
-        for (int i = 0; i < tries; i++) {
-            Request first = at.waiting().poll();
-            if (!fits(first, engine)) {
-                at.waiting().addFirst(first);
+        SidecarState at = sidecar(engine);
+        int waiting = at.waitingRequests().size();
+        for (int i = 0; i < waiting; i++) {
+            Request first = at.waitingRequests().poll();
+            if (!isAdmissible(first, engine)) {
+                at.waitingRequests().addFirst(first);
                 return;
             }
             admit(first, at);
         }
     }
 
-    private boolean fits(Request request, Engine engine) {
+    private boolean isAdmissible(Request request, Engine engine) {
         double mean = mFleet.reportedMean(engine.service());
-        return mBound.decide(query(request, engine, false), engine.work(), mean)
+        return mBoundPolicy.decide(boundQuery(request, engine, false), engine.work(), mean)
                 == BoundDecision.ADMIT;
     }
 
@@ -298,39 +302,47 @@
         sidecar(engine).onJoin(mFleet.now());
     }
 
-    /** Hands the directory over: each entry to the chat's next home. */
+    /** Hands each directory entry over to the chat's next home. */
     @Override
     public void onDrain(Engine engine) {
         ServiceView view = mFleet.sidecarView(engine);
         sidecar(engine)
                 .directory()
                 .forEach(
-                        (chat, seat) -> {
+                        (chat, location) -> {
                             List<Candidate> next = view.ranking().topWithout(chat, engine.id(), 1);
                             if (!next.isEmpty()) {
                                 Engine e = mFleet.engine(next.get(0).id());
-                                sidecar(e).directory().put(chat, seat);
+                                sidecar(e).directory().put(chat, location);
                             }
                         });
     }
 
-    /** The others tell the new homes of the chats that they hold for the one that left. */
+    /**
+     * The other servers tell the new homes which chats they cache whose home was the departed
+     * server.
+     */
     @Override
     public void onDrop(Engine engine) {
         for (Engine e : mFleet.engines(engine.service())) {
             if (e.isAlive()) {
                 ServiceView view = mFleet.latestView(e.service());
-                sidecar(e).held().onLeave(engine.id(), view, (home, chat) -> tell(home, chat, e));
+                sidecar(e)
+                        .heldChats()
+                        .onLeave(
+                                engine.id(),
+                                view,
+                                (home, chat) -> recordChatLocation(home, chat, e));
             }
         }
     }
 
-    private void tell(Candidate home, ChatKey chat, Engine holder) {
+    private void recordChatLocation(Candidate home, ChatKey chat, Engine holder) {
         sidecar(mFleet.engine(home.id())).directory().put(chat, holder.id());
     }
 
     @Override
-    public String earlierPlace(Request request) {
+    public String initialEngine(Request request) {
         return candidates(request).get(0).id();
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/AllKnowing.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/OracleScheme.java
@@ -6,39 +6,40 @@
 import org.laurelweir.benchmarks.measure.fleet.Scheme;
 
 /**
- * Sees every cache and load as it is, and gives a chat to the engine with the most of its history,
- * whatever that carries; else to the one with the least work. The bound for cache reuse.
+ * Reads the current cache and work of every engine, without lag. It places a chat on the engine
+ * that caches the most tokens of its history, however loaded that engine is; among equals, on the
+ * engine with the least work. Its cache reuse is the upper bound for the other policies.
  */
-final class AllKnowing implements Scheme {
+final class OracleScheme implements Scheme {
     private final Fleet mFleet;
 
-    AllKnowing(Fleet fleet) {
+    OracleScheme(Fleet fleet) {
         mFleet = fleet;
     }
 
     @Override
     public void onArrival(Request request) {
-        mFleet.start(request, best(request));
+        mFleet.start(request, bestEngine(request));
     }
 
-    private Engine best(Request request) {
+    private Engine bestEngine(Request request) {
         Engine best = null;
-        int most = -1;
+        int maxCached = -1;
         for (Engine e : mFleet.engines(request.turn().chat().service())) {
             if (!e.isAlive() || e.isDraining()) {
                 continue;
             }
             int cached = e.cache().peek(request.turn().chat().id());
-            if (cached > most || cached == most && e.work() < best.work()) {
+            if (cached > maxCached || cached == maxCached && e.work() < best.work()) {
                 best = e;
-                most = cached;
+                maxCached = cached;
             }
         }
         return best;
     }
 
     @Override
-    public String earlierPlace(Request request) {
+    public String initialEngine(Request request) {
         var engines = mFleet.engines(request.turn().chat().service());
         long hash = request.turn().chat().key().hash();
         return engines.get((int) Long.remainderUnsigned(hash, engines.size())).id();
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Policy.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Policy.java
@@ -9,22 +9,22 @@
 import org.laurelweir.placement.PlacementHints;
 import org.laurelweir.placement.PlacementPolicy;
 
-/** The policies that are compared in one run. */
+/** The placement policies that the measure program compares. */
 public enum Policy {
-    /** The less loaded of two at random. */
+    /** The less loaded of two servers drawn at random. */
     RANDOM_OF_TWO("random of two", Policy::randomOfTwo),
-    /** The least loaded by broadcast reports. */
-    LEAST_LOADED("least loaded", fleet -> broadcast(fleet, Choices.leastLoaded())),
-    /** The first by rendezvous hash. */
+    /** The server with the least load by broadcast reports. */
+    LEAST_LOADED("least loaded", fleet -> broadcast(fleet, BaselinePolicies.leastLoaded())),
+    /** The first server by rendezvous hash. */
     RENDEZVOUS("rendezvous", Policy::rendezvous),
-    /** The first by rendezvous hash under a multiple of the mean, by broadcast reports. */
+    /** The first server by rendezvous hash whose reported load is under a multiple of the mean. */
     BOUNDED_LOAD("bounded load", Policy::boundedLoad),
-    /** Directory, bound and redirect. */
+    /** The policy in use: chat directory, load bound and redirects, as a model of its own. */
     DIRECTORY("directory (ours)", DirectoryScheme::new),
-    /** The same as the sidecars' reducers do it today. */
+    /** The policy in use, run by the sidecars' production reducers. */
     REDUCERS("sidecar reducers (ours)", ReducerScheme::new),
-    /** Sees everything. */
-    ALL_KNOWING("all-knowing", AllKnowing::new);
+    /** An oracle that reads the true cache and load of every engine. */
+    ALL_KNOWING("all-knowing", OracleScheme::new);
 
     private static final int RANDOM_SEED = 7;
     private static final int PROBES = 2;
@@ -41,7 +41,7 @@
         return mTitle;
     }
 
-    /** Returns the policy for one run's fleet. */
+    /** Creates the policy's scheme for the fleet of one run. */
     public Scheme newScheme(Fleet fleet) {
         return mScheme.apply(fleet);
     }
@@ -54,16 +54,16 @@
                         return fleet.engine(id).work();
                     }
                 };
-        PlacementPolicy policy = new RandomOfTwo(RANDOM_SEED);
+        PlacementPolicy policy = new RandomOfTwoPolicy(RANDOM_SEED);
         return new RouterScheme(fleet, policy, r -> exact, PROBES * ControlBytes.PROBE);
     }
 
     private static Scheme rendezvous(Fleet fleet) {
-        return new RouterScheme(fleet, Choices.rendezvous(), r -> PlacementHints.NONE, 0);
+        return new RouterScheme(fleet, BaselinePolicies.rendezvous(), r -> PlacementHints.NONE, 0);
     }
 
     private static Scheme boundedLoad(Fleet fleet) {
-        return broadcast(fleet, Choices.boundedLoad(fleet.deployment().bound().factor()));
+        return broadcast(fleet, BaselinePolicies.boundedLoad(fleet.deployment().bound().factor()));
     }
 
     private static Scheme broadcast(Fleet fleet, PlacementPolicy policy) {
@@ -75,7 +75,7 @@
         return new RouterScheme(fleet, policy, loads::get, 0);
     }
 
-    /** Each router hears of every server at each period. */
+    /** Broadcasts every server's load to every router, once a period. */
     private static void broadcastEvery(Fleet fleet, List<ReportedLoads> loads) {
         fleet.later(
                 fleet.deployment().lags().loadMillis() * 1000L,
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RandomOfTwo.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RandomOfTwoPolicy.java
@@ -11,22 +11,23 @@
 import org.laurelweir.placement.PlacementRequest;
 import org.laurelweir.placement.ServiceView;
 
-/** The less loaded of two servers drawn at random, each asked for its load. */
-final class RandomOfTwo implements PlacementPolicy {
-    private final Function<ServiceView, List<Candidate>> mOpen = Choices.open();
+/** Draws two servers at random, asks both for their load and picks the less loaded one. */
+final class RandomOfTwoPolicy implements PlacementPolicy {
+    private final Function<ServiceView, List<Candidate>> mOpenCandidates =
+            BaselinePolicies.openCandidates();
     private final SplittableRandom mRandom;
 
-    RandomOfTwo(long seed) {
+    RandomOfTwoPolicy(long seed) {
         mRandom = new SplittableRandom(seed);
     }
 
     @Override
     public Placement place(PlacementRequest request, ServiceView view, PlacementHints hints) {
-        List<Candidate> all = mOpen.apply(view);
-        Candidate one = all.get(mRandom.nextInt(all.size()));
-        Candidate two = all.get(mRandom.nextInt(all.size()));
-        boolean first = hints.runningWork(one.id()) <= hints.runningWork(two.id());
-        List<Candidate> order = first ? List.of(one, two) : List.of(two, one);
+        List<Candidate> open = mOpenCandidates.apply(view);
+        Candidate first = open.get(mRandom.nextInt(open.size()));
+        Candidate second = open.get(mRandom.nextInt(open.size()));
+        boolean firstIsLess = hints.runningWork(first.id()) <= hints.runningWork(second.id());
+        List<Candidate> order = firstIsLess ? List.of(first, second) : List.of(second, first);
         return new Placement(order, PlacementReason.LOAD, view.version());
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
@@ -26,32 +26,33 @@
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.WorkEstimate;
 
-/** One sidecar's reducer with the engine beside it. */
+/** One engine with its sidecar's reducer. */
 final class ReducerNode {
     private static final long TICK_MICROS = 250_000;
-    private static final int QUEUE_REQUESTS = 64;
-    private static final long QUEUE_BYTES = 16L << 20;
+    private static final int MAX_QUEUED_REQUESTS = 64;
+    private static final long MAX_QUEUED_BYTES = 16L << 20;
 
-    /** Short, since each tick looks at every attempt whose output is kept. */
-    private static final Duration OUTPUT_KEPT = Duration.ofSeconds(1);
+    /** Short, since every tick scans all attempts whose output is kept. */
+    private static final Duration OUTPUT_RETENTION = Duration.ofSeconds(1);
 
-    private static final Duration NEVER = Duration.ofDays(1);
+    /** Longer than any run. */
+    private static final Duration UNREACHED_TIMEOUT = Duration.ofDays(1);
 
     private final Fleet mFleet;
     private final Engine mEngine;
     private final double mMeanCeiling;
-    private final BiConsumer<ReducerNode, SidecarEffect> mPerform;
+    private final BiConsumer<ReducerNode, SidecarEffect> mEffectHandler;
     private final SidecarReducer mReducer;
 
     ReducerNode(
             Fleet fleet,
             Engine engine,
             double ceiling,
-            BiConsumer<ReducerNode, SidecarEffect> perform) {
+            BiConsumer<ReducerNode, SidecarEffect> effectHandler) {
         mMeanCeiling = ceiling / fleet.deployment().bound().factor();
         mFleet = fleet;
         mEngine = engine;
-        mPerform = perform;
+        mEffectHandler = effectHandler;
         Candidate c = engine.candidate();
         mReducer =
                 new SidecarReducer(
@@ -80,20 +81,20 @@
                         b.prefillWeight(),
                         b.maxRedirects()),
                 new SidecarSettings.QueueLimits(
-                        QUEUE_REQUESTS, QUEUE_BYTES, Duration.ofMillis(b.waitMillis())),
-                new SidecarSettings.OutputLimits(Long.MAX_VALUE, Long.MAX_VALUE, OUTPUT_KEPT),
-                NEVER,
-                NEVER,
+                        MAX_QUEUED_REQUESTS, MAX_QUEUED_BYTES, Duration.ofMillis(b.waitMillis())),
+                new SidecarSettings.OutputLimits(Long.MAX_VALUE, Long.MAX_VALUE, OUTPUT_RETENTION),
+                UNREACHED_TIMEOUT,
+                UNREACHED_TIMEOUT,
                 (int) mFleet.deployment().chats().output().mean(),
                 mFleet.deployment().engine().cacheTokens(),
                 Set.of());
     }
 
-    /** Gives the reducer an event; a crashed one takes none. */
+    /** Passes an event to the reducer, unless the engine has crashed. */
     void step(SidecarEvent event) {
         if (mEngine.isAlive()) {
             Instant now = Instant.EPOCH.plus(mFleet.now(), ChronoUnit.MICROS);
-            mReducer.step(now, event, effect -> mPerform.accept(this, effect));
+            mReducer.step(now, event, effect -> mEffectHandler.accept(this, effect));
         }
     }
 
@@ -108,27 +109,27 @@
                 });
     }
 
-    void answered(AttemptId attempt) {
+    void onAnswerHead(AttemptId attempt) {
         step(new SidecarEvent.EngineHeadReceived(attempt, 200, List.of()));
     }
 
-    void finished(Request request) {
+    void onFinished(Request request) {
         WorkEstimate work = request.placement().work();
         Frame.Usage usage = new Frame.Usage(work.promptTokens(), 0, request.turn().output());
         step(new SidecarEvent.EngineFinished(request.attempt(), usage));
     }
 
-    /** Answers the reducer's exchange as a control instance would. */
-    void exchange(MembershipCursor cursor) {
+    /** Answers the reducer's exchange in place of a control instance. */
+    void onExchange(MembershipCursor cursor) {
         ServiceView view = mFleet.sidecarView(mEngine);
-        MembershipCursor now = new MembershipCursor("control", 1, view.version());
-        boolean same = now.equals(cursor);
+        MembershipCursor latest = new MembershipCursor("control", 1, view.version());
+        boolean unchanged = latest.equals(cursor);
         List<Backend> backends =
-                same ? List.of() : view.candidates().stream().map(this::backend).toList();
+                unchanged ? List.of() : view.candidates().stream().map(this::backend).toList();
         double mean = Math.min(mMeanCeiling, mFleet.reportedMean(mEngine.service()));
         step(
                 new SidecarEvent.ExchangeAnswered(
-                        new MembershipDelta(now, !same, backends),
+                        new MembershipDelta(latest, !unchanged, backends),
                         List.of(new ServiceLoad(service(), mean, view.size())),
                         true,
                         mEngine.isDraining(),
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -24,41 +24,49 @@
 import org.laurelweir.placement.ServiceView;
 
 /**
- * The sidecars' own reducers, one beside each engine, behind the routers' policy: what they emit is
- * done to the fleet, and what the fleet does comes back to them as events.
+ * Runs the sidecars' production reducers, one for each engine, with the routers' production policy.
+ * It applies the effects of the reducers to the fleet and passes the events of the fleet to the
+ * reducers.
  */
 final class ReducerScheme implements Scheme {
-    /** One way between two processes of a region. */
+    /** One-way latency between two processes of a region. */
     private static final long MESSAGE_MICROS = 1000;
 
-    private static final Duration TIME_LEFT = Duration.ofMinutes(10);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMinutes(10);
 
     private final Fleet mFleet;
     private final Function<Request, String> mAccount;
-    private final double mCeiling;
+    private final double mWorkCeiling;
     private final PlacementPolicy mRouterPolicy = new AffinityPolicy();
     private final Map<Engine, ReducerNode> mNodes = new HashMap<>();
-    private final Map<Integer, RouterMemory> mRouters = new HashMap<>();
-    private final Long2ObjectHashMap<Request> mStreams = new Long2ObjectHashMap<>();
-    private final Map<Long, AnswerTo> mCalls = new HashMap<>();
-    private long mCount;
+    private final Map<Integer, RouterState> mRouterStates = new HashMap<>();
+    private final Long2ObjectHashMap<Request> mRequestsByStream = new Long2ObjectHashMap<>();
+    private final Map<Long, PendingLookup> mPendingLookups = new HashMap<>();
+    private long mLastId;
 
-    /** Who gets an answer about chats. */
-    private record AnswerTo(ReducerNode asker, long question) {}
+    /**
+     * A request for chat locations that waits for its answer.
+     *
+     * @param asker the sidecar that gets the answer
+     * @param question the asker's number of the request
+     */
+    private record PendingLookup(ReducerNode asker, long question) {}
 
     ReducerScheme(Fleet fleet) {
         this(fleet, request -> request.placement().account(), Double.POSITIVE_INFINITY);
     }
 
     /**
-     * The same, with the client account that the sidecars are told of each request, and with a
-     * ceiling on the work of one engine: the mean that the sidecars hear is cut so that the set
-     * multiple of it is no more.
+     * Creates a scheme with a ceiling on the work of one engine. The mean work reported to the
+     * sidecars is capped so that the bound's factor times the mean is at most the ceiling.
+     *
+     * @param account the client account that the sidecars see for a request
+     * @param ceiling in work units; infinite for none
      */
     ReducerScheme(Fleet fleet, Function<Request, String> account, double ceiling) {
         mFleet = fleet;
         mAccount = account;
-        mCeiling = ceiling;
+        mWorkCeiling = ceiling;
         for (int s = 0; s < fleet.deployment().services().size(); s++) {
             fleet.engines(s).forEach(this::node);
         }
@@ -66,11 +74,11 @@
 
     private ReducerNode node(Engine engine) {
         return mNodes.computeIfAbsent(
-                engine, e -> new ReducerNode(mFleet, e, mCeiling, this::perform));
+                engine, e -> new ReducerNode(mFleet, e, mWorkCeiling, this::performEffect));
     }
 
-    private RouterMemory memory(Request request) {
-        return mRouters.computeIfAbsent(request.turn().router(), r -> new RouterMemory(mFleet));
+    private RouterState routerState(Request request) {
+        return mRouterStates.computeIfAbsent(request.turn().router(), r -> new RouterState(mFleet));
     }
 
     @Override
@@ -78,11 +86,11 @@
         for (Candidate c : candidates(request)) {
             Engine e = mFleet.engine(c.id());
             if (e.isAlive()) {
-                memory(request).onSuccess(e.id());
+                routerState(request).onSuccess(e.id());
                 deliver(request, e);
                 return;
             }
-            memory(request).onFailure(c.id(), mFleet.engines(e.service()).size());
+            routerState(request).onFailure(c.id(), mFleet.engines(e.service()).size());
             request.addHop();
             mFleet.control().addPerRequest(ControlBytes.FAILOVER);
         }
@@ -92,17 +100,17 @@
     private List<Candidate> candidates(Request request) {
         int service = request.turn().chat().service();
         ServiceView view = mFleet.routerView(request.turn().router(), service);
-        return mRouterPolicy.place(request.placement(), view, memory(request)).candidates();
+        return mRouterPolicy.place(request.placement(), view, routerState(request)).candidates();
     }
 
     private void deliver(Request request, Engine to) {
-        long stream = ++mCount;
-        mStreams.put(stream, request);
-        AttemptRequest attempt = attempt(request, stream, to.candidate().ref());
+        long stream = ++mLastId;
+        mRequestsByStream.put(stream, request);
+        AttemptRequest attempt = newAttempt(request, stream, to.candidate().ref());
         node(to).step(new SidecarEvent.AttemptRequested(stream, attempt));
     }
 
-    private AttemptRequest attempt(Request request, long stream, BackendRef target) {
+    private AttemptRequest newAttempt(Request request, long stream, BackendRef target) {
         Turn turn = request.turn();
         String router = "router-" + turn.router();
         return new AttemptRequest(
@@ -115,7 +123,7 @@
                 new AttemptRequest.Call("POST", "/", List.of(), new byte[0], true),
                 true,
                 "",
-                TIME_LEFT,
+                REQUEST_TIMEOUT,
                 0,
                 new AttemptRequest.Cost(turn.prompt(), request.placement().work().outputTokens()),
                 request.redirects(),
@@ -123,54 +131,56 @@
                 Duration.ZERO);
     }
 
-    /** Does what a reducer wants done. */
-    private void perform(ReducerNode from, SidecarEffect effect) {
+    /** Applies an effect of a reducer to the fleet. */
+    private void performEffect(ReducerNode from, SidecarEffect effect) {
         if (effect instanceof SidecarEffect.StartEngineCall e) {
             start(from, e.request().id());
         } else if (effect instanceof SidecarEffect.SendFrame e) {
             if (e.frame().frame() instanceof Frame.Refused refused) {
-                refused(e.stream(), refused);
+                onRefused(e.stream(), refused);
             }
         } else if (effect instanceof SidecarEffect.SendExchange e) {
-            mFleet.later(MESSAGE_MICROS, () -> from.exchange(e.cursor()));
+            mFleet.later(MESSAGE_MICROS, () -> from.onExchange(e.cursor()));
         } else if (effect instanceof SidecarEffect.LocateChats e) {
-            ask(from, e);
+            sendLookup(from, e);
         } else if (effect instanceof SidecarEffect.AnswerLocateChats e) {
-            AnswerTo to = mCalls.remove(e.call());
-            tell(to.asker(), new SidecarEvent.ChatsLocated(to.question(), e.locations()));
+            PendingLookup lookup = mPendingLookups.remove(e.call());
+            sendEvent(
+                    lookup.asker(),
+                    new SidecarEvent.ChatsLocated(lookup.question(), e.locations()));
         } else if (effect instanceof SidecarEffect.HandOverChats e) {
             ReducerNode to = node(mFleet.engine(e.address()));
-            tell(to, new SidecarEvent.ChatsHandedOver(from.engine().id(), e.locations()));
+            sendEvent(to, new SidecarEvent.ChatsHandedOver(from.engine().id(), e.locations()));
         }
     }
 
-    private void tell(ReducerNode to, SidecarEvent event) {
+    private void sendEvent(ReducerNode to, SidecarEvent event) {
         mFleet.later(MESSAGE_MICROS, () -> to.step(event));
     }
 
-    private void ask(ReducerNode from, SidecarEffect.LocateChats ask) {
-        long call = ++mCount;
-        mCalls.put(call, new AnswerTo(from, ask.question()));
-        tell(
+    private void sendLookup(ReducerNode from, SidecarEffect.LocateChats ask) {
+        long call = ++mLastId;
+        mPendingLookups.put(call, new PendingLookup(from, ask.question()));
+        sendEvent(
                 node(mFleet.engine(ask.address())),
                 new SidecarEvent.LocateChatsRequested(call, ask.chats()));
     }
 
     private void start(ReducerNode at, AttemptId attempt) {
-        Request request = mStreams.remove(attempt.request());
+        Request request = mRequestsByStream.remove(attempt.request());
         request.setAttempt(attempt);
         Candidate home =
                 mFleet.sidecarView(at.engine()).ranking().home(request.turn().chat().key());
-        memory(request).onSeat(request.turn().chat().key(), at.engine().id(), home);
+        routerState(request).onChatLocated(request.turn().chat().key(), at.engine().id(), home);
         mFleet.control().addPerRequest(ControlBytes.ANSWER_HINT);
         mFleet.start(request, at.engine());
-        // The head comes first, or the reducer takes the end for a failure.
-        mFleet.later(0, () -> at.answered(attempt));
+        // An end without an earlier head is a failure to the reducer.
+        mFleet.later(0, () -> at.onAnswerHead(attempt));
     }
 
-    /** Follows a redirect, as a router does, or gives up. */
-    private void refused(long stream, Frame.Refused refused) {
-        Request request = mStreams.remove(stream);
+    /** Follows a redirect as a router does, or rejects the request. */
+    private void onRefused(long stream, Frame.Refused refused) {
+        Request request = mRequestsByStream.remove(stream);
         Engine to = mFleet.engine(refused.redirectTo());
         if (to == null || !to.isAlive()) {
             mFleet.reject(request);
@@ -178,10 +188,10 @@
         }
         request.addRedirect();
         mFleet.control().addPerRequest(ControlBytes.REDIRECT);
-        mFleet.later(MESSAGE_MICROS, () -> arriveRedirected(request, to));
+        mFleet.later(MESSAGE_MICROS, () -> deliverRedirected(request, to));
     }
 
-    private void arriveRedirected(Request request, Engine to) {
+    private void deliverRedirected(Request request, Engine to) {
         if (to.isAlive()) {
             deliver(request, to);
         } else {
@@ -191,7 +201,7 @@
 
     @Override
     public void onEnd(Engine engine, Request request) {
-        node(engine).finished(request);
+        node(engine).onFinished(request);
     }
 
     @Override
@@ -200,7 +210,7 @@
     }
 
     @Override
-    public String earlierPlace(Request request) {
+    public String initialEngine(Request request) {
         return candidates(request).get(0).id();
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReportedLoads.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReportedLoads.java
@@ -6,39 +6,39 @@
 import org.laurelweir.placement.PlacementHints;
 
 /**
- * What a router knows where every server's load is broadcast: the reports, one to two periods old,
- * and what it has sent itself since.
+ * One router's load hints where every server's load is broadcast to all routers: the reported work,
+ * one to two periods old, plus the work that this router itself has sent since.
  */
 final class ReportedLoads implements PlacementHints {
     private final Fleet mFleet;
-    private final long mPeriod;
-    private Map<String, Double> mSent = new HashMap<>();
-    private Map<String, Double> mSentBefore = new HashMap<>();
-    private long mEpoch;
+    private final long mPeriodMicros;
+    private Map<String, Double> mSentThisPeriod = new HashMap<>();
+    private Map<String, Double> mSentLastPeriod = new HashMap<>();
+    private long mPeriodNumber;
 
     ReportedLoads(Fleet fleet) {
         mFleet = fleet;
-        mPeriod = fleet.deployment().lags().loadMillis() * 1000L;
+        mPeriodMicros = fleet.deployment().lags().loadMillis() * 1000L;
     }
 
     @Override
     public double runningWork(String id) {
         return mFleet.engine(id).reportedWork()
-                + mSent.getOrDefault(id, 0.0)
-                + mSentBefore.getOrDefault(id, 0.0);
+                + mSentThisPeriod.getOrDefault(id, 0.0)
+                + mSentLastPeriod.getOrDefault(id, 0.0);
     }
 
     void noteSent(String id, double work) {
-        mSent.merge(id, work, Double::sum);
+        mSentThisPeriod.merge(id, work, Double::sum);
     }
 
-    /** Forgets what the reports include by now. */
+    /** Drops the sent work that the latest reports already include. */
     void rotate() {
-        long epoch = mFleet.now() / mPeriod;
-        if (epoch != mEpoch) {
-            mSentBefore = mSent;
-            mSent = new HashMap<>();
-            mEpoch = epoch;
+        long period = mFleet.now() / mPeriodMicros;
+        if (period != mPeriodNumber) {
+            mSentLastPeriod = mSentThisPeriod;
+            mSentThisPeriod = new HashMap<>();
+            mPeriodNumber = period;
         }
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterScheme.java
@@ -12,8 +12,8 @@
 import org.laurelweir.placement.PlacementPolicy;
 
 /**
- * Routers that decide alone: the first candidate that can be reached takes the request, whatever it
- * carries.
+ * Routers that place requests without sidecars. A router sends a request to the first candidate
+ * that is alive and not draining, whatever that server's load.
  */
 final class RouterScheme implements Scheme {
     private final Fleet mFleet;
@@ -24,8 +24,8 @@
     /**
      * Creates a scheme.
      *
-     * @param hints what each router knows of load
-     * @param bytesPerRequest control bytes that the policy spends on each request
+     * @param hints the load hints of a router, by its index
+     * @param bytesPerRequest control bytes that the policy costs for each request
      */
     RouterScheme(
             Fleet fleet,
@@ -71,7 +71,7 @@
     }
 
     @Override
-    public String earlierPlace(Request request) {
+    public String initialEngine(Request request) {
         return candidates(request, 0).get(0).id();
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterMemory.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterState.java
@@ -10,30 +10,33 @@
 import org.laurelweir.placement.Outliers;
 import org.laurelweir.placement.PlacementHints;
 
-/** What a router remembers from the answers that it relayed. */
-final class RouterMemory implements PlacementHints {
-    private static final int MAX_SEATS = 20_000;
+/**
+ * A router's placement hints, learned from the answers that it relays: chat locations and failing
+ * servers.
+ */
+final class RouterState implements PlacementHints {
+    private static final int MAX_CHAT_LOCATIONS = 20_000;
 
     private final Fleet mFleet;
-    private final ChatDirectory mSeats = new ChatDirectory(MAX_SEATS);
+    private final ChatDirectory mChatLocations = new ChatDirectory(MAX_CHAT_LOCATIONS);
     private final Outliers mOutliers = new Outliers(OutlierConfig.DEFAULT);
 
-    RouterMemory(Fleet fleet) {
+    RouterState(Fleet fleet) {
         mFleet = fleet;
     }
 
     private Instant now() {
         long micros = mFleet.now();
-        long second = TimeUnit.SECONDS.toMicros(1);
-        return Instant.ofEpochSecond(micros / second, micros % second * 1000);
+        long microsPerSecond = TimeUnit.SECONDS.toMicros(1);
+        return Instant.ofEpochSecond(micros / microsPerSecond, micros % microsPerSecond * 1000);
     }
 
-    /** Remembers only chats that are not at home; for the others the ranking says as much. */
-    void onSeat(ChatKey chat, String id, Candidate home) {
+    /** Stores the chat's location unless it is the home, which the ranking already gives. */
+    void onChatLocated(ChatKey chat, String id, Candidate home) {
         if (home != null && home.id().equals(id)) {
-            mSeats.remove(chat);
+            mChatLocations.remove(chat);
         } else {
-            mSeats.put(chat, id);
+            mChatLocations.put(chat, id);
         }
     }
 
@@ -47,7 +50,7 @@
 
     @Override
     public String lastServer(ChatKey chat) {
-        return mSeats.find(chat);
+        return mChatLocations.find(chat);
     }
 
     @Override
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/package-info.java
@@ -1,2 +1,5 @@
-/** The policies compared: the baselines, the all-knowing one and the one in use. */
+/**
+ * The placement policies that the measure program compares: baselines, an oracle that sees the true
+ * state of the fleet, and the policy in use.
+ */
 package org.laurelweir.benchmarks.measure.policy;
