--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/AccountMisses.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/AccountMisses.java
@@ -6,8 +6,8 @@
 /**
  * Missed deadlines by client account. A rejected request counts as missed.
  *
- * @param figures of one run
- * @param surging index of the account that surges, which the others' figures leave out
+ * @param figures the measurements of one run
+ * @param surging index of the surging account, which the totals of the others exclude
  */
 record AccountMisses(Figures figures, int surging) {
     private IntStream others() {
@@ -15,7 +15,7 @@
     }
 
     long missed(int account) {
-        return figures.arrivalsByAccount()[account] - figures.metByAccount()[account];
+        return figures.arrivalsByAccount()[account] - figures.deadlinesMetByAccount()[account];
     }
 
     long rejected(int account) {
@@ -23,7 +23,7 @@
     }
 
     /** Returns the share of an account's requests that missed their deadline. */
-    double share(int account) {
+    double missedShare(int account) {
         long arrived = figures.arrivalsByAccount()[account];
         return arrived == 0 ? 0 : (double) missed(account) / arrived;
     }
@@ -40,12 +40,12 @@
         return others().mapToLong(this::rejected).sum();
     }
 
-    double othersShare() {
+    double othersMissedShare() {
         return (double) othersMissed() / othersArrived();
     }
 
-    /** Returns the largest share among the others. */
-    double worstShare() {
-        return others().mapToDouble(this::share).max().orElse(0);
+    /** Returns the largest share of missed deadlines among the other accounts. */
+    double worstMissedShare() {
+        return others().mapToDouble(this::missedShare).max().orElse(0);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/Deployment.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/Deployment.java
@@ -11,21 +11,21 @@
 import org.laurelweir.lib.ResultCode;
 
 /**
- * What is measured: a deployment and its workload, from a YAML file.
+ * A deployment and its workload, read from a YAML file.
  *
  * @param name shown in tables and file names
- * @param routers instances that callers reach, each with its own view
- * @param requestsPerSecond over all routers, without surges
- * @param minutes virtual length of the run
- * @param warmUpMinutes part of it that is not counted
- * @param services what callers ask for
+ * @param routers router instances, each with its own view of the fleet
+ * @param requestsPerSecond requests per second over all routers, without surges
+ * @param minutes length of the run in virtual time
+ * @param warmUpMinutes start of the run whose requests are not counted
+ * @param services the services that callers request
  * @param accounts client accounts
  * @param chats how chats grow and return
- * @param engine what one backend server can do
- * @param bound the limits that the policies keep
- * @param lags how late routers and sidecars learn of changes
+ * @param engine the capacity of one backend server
+ * @param bound the load bound and its limits
+ * @param lags delays until routers and sidecars see changes
  * @param churn engines that leave, join and flap
- * @param surges client accounts that send more for a while
+ * @param surges temporary load increases of client accounts
  */
 public record Deployment(
         String name,
@@ -53,9 +53,9 @@
     public record ServiceSpec(String name, int workers, double share, double dossierShare) {}
 
     /**
-     * Client accounts; the i-th has a share in proportion to i to the power of -skew.
+     * Client accounts. The i-th account's share of the requests is proportional to i^-skew.
      *
-     * @param count how many
+     * @param count number of accounts
      * @param skew 0 for equal shares
      */
     public record Accounts(int count, double skew) {}
@@ -63,14 +63,14 @@
     /**
      * Chats.
      *
-     * @param meanTurns turns of a chat, geometric
-     * @param user tokens that a caller adds at a turn
+     * @param meanTurns mean number of turns of a chat, geometrically distributed
+     * @param user tokens that a caller adds in a turn
      * @param output tokens of an answer
      * @param opening tokens that a chat without a dossier opens with
      * @param dossier tokens of a dossier
-     * @param pauses between a chat's turns, a mixture
-     * @param deadlineMillis to the first token
-     * @param dossierDeadlineMillis to the first token of a turn that brings a dossier
+     * @param pauses pauses between a chat's turns, a mixture of distributions
+     * @param deadlineMillis time from arrival to the first token
+     * @param dossierDeadlineMillis the same for a turn with a dossier
      */
     public record Chats(
             double meanTurns,
@@ -86,7 +86,7 @@
      * A log-normal number of tokens.
      *
      * @param median its median
-     * @param sigma deviation of its logarithm
+     * @param sigma standard deviation of its logarithm
      */
     public record Tokens(double median, double sigma) {
         /** Returns the mean. */
@@ -96,11 +96,11 @@
     }
 
     /**
-     * A Pareto number of tokens, cut off.
+     * A number of tokens with a truncated Pareto distribution.
      *
      * @param least the smallest
      * @param most the largest
-     * @param alpha the tail's exponent
+     * @param alpha exponent of the tail
      */
     public record Dossier(double least, double most, double alpha) {}
 
@@ -109,7 +109,7 @@
      *
      * @param share its part of the pauses
      * @param medianSeconds the median
-     * @param sigma deviation of the logarithm
+     * @param sigma standard deviation of the logarithm
      */
     public record Pause(double share, double medianSeconds, double sigma) {
         /** Returns the mean in seconds. */
@@ -121,11 +121,11 @@
     /**
      * An engine.
      *
-     * @param cacheTokens tokens that its prefix cache holds, least recently used out first
-     * @param prefillTokensPerSecond prompt tokens computed a second
-     * @param chunkTokens prompt tokens computed at once; shorter prompts pass between the chunks
-     * @param millisPerToken between output tokens when it runs nothing else
-     * @param millisPerTokenPerRunning added for each other running request
+     * @param cacheTokens tokens that its prefix cache holds, with LRU eviction
+     * @param prefillTokensPerSecond prompt tokens computed per second
+     * @param chunkTokens prompt tokens of a chunk; shorter prompts run between the chunks
+     * @param millisPerToken time per output token of a single running request
+     * @param millisPerTokenPerRunning time added per output token for each other running request
      * @param maxRunning requests in its batch; more wait in the engine
      */
     public record EngineSpec(
@@ -139,13 +139,13 @@
     /**
      * Limits; see {@link org.laurelweir.placement.BoundConfig}.
      *
-     * @param factor the set multiple of the mean
+     * @param factor the multiple of the mean work that an engine may carry
      * @param headroom share of the factor that admission leaves unused
      * @param openFactor the multiple for requests without cached history
-     * @param capacityFloor the least bound in work units
+     * @param capacityFloor smallest bound, in work units
      * @param prefillWeight cost of an uncached prompt token in output tokens
-     * @param maxRedirects how often a request may be sent on
-     * @param waitMillis how long a sidecar holds a request
+     * @param maxRedirects how often a request may be redirected
+     * @param waitMillis how long a sidecar holds a request back at most
      */
     public record Bound(
             double factor,
@@ -157,26 +157,26 @@
             int waitMillis) {}
 
     /**
-     * Lags.
+     * Delays until changes become visible.
      *
-     * @param routerMillis the longest until a router sees a membership change
-     * @param sidecarMillis the longest until a sidecar sees it
-     * @param detectMillis until a crash is noticed
-     * @param loadMillis between reports of load; what is known is one to two reports old
+     * @param routerMillis maximum delay until a router sees a membership change
+     * @param sidecarMillis maximum delay until a sidecar sees it
+     * @param detectMillis delay until a crash is detected
+     * @param loadMillis period of load reports; known loads are one to two periods old
      */
     public record Lags(int routerMillis, int sidecarMillis, int detectMillis, int loadMillis) {}
 
     /**
-     * Churn.
+     * Engines that leave, join and flap.
      *
      * @param startMinute when it begins
-     * @param minutes how long it goes on
+     * @param minutes how long it lasts
      * @param replacedShare share of each service's engines that leave and are replaced, at least
      *     one each
      * @param crashShare share of those that crash; the others drain
-     * @param flaps engines that vanish from the views for a while and come back, a service
-     * @param flapSeconds the longest absence
-     * @param replaceSeconds until the replacement joins, with an empty cache
+     * @param flaps engines of each service that leave the views for a while and return
+     * @param flapSeconds maximum absence from the views
+     * @param replaceSeconds delay until the replacement joins, with an empty cache
      */
     public record Churn(
             double startMinute,
@@ -192,9 +192,9 @@
      *
      * @param account index of the client account
      * @param startMinute when it begins
-     * @param minutes how long it goes on
-     * @param factor the account's requests in multiples of its usual ones
-     * @param dossierShare share that bring a dossier
+     * @param minutes how long it lasts
+     * @param factor the account's request rate in multiples of its usual rate
+     * @param dossierShare share of the chats that open with a dossier
      */
     public record Surge(
             int account, double startMinute, double minutes, double factor, double dossierShare) {}
@@ -202,8 +202,8 @@
     /**
      * Reads a deployment.
      *
-     * @param name a file that ends in .yaml, or the name of one that comes with the program
-     * @throws LaurelweirException if it is missing or has an unknown key
+     * @param name path of a file that ends in .yaml, or the name of a bundled deployment
+     * @throws LaurelweirException if it is missing, unreadable or has an unknown key
      */
     public static Deployment read(String name) {
         YAMLMapper mapper =
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/FairShares.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/FairShares.java
@@ -11,16 +11,16 @@
 import org.laurelweir.benchmarks.measure.workload.TraceGenerator;
 
 /**
- * What one client account's tenfold surge does to the others. The same arrivals are played with and
- * without it, without churn; only requests from the surge's start to two minutes after its end
- * count.
+ * Measures the effect of one client account's tenfold surge on the other accounts. The same
+ * arrivals run with and without the surge, without churn. Only requests from the surge's start to
+ * two minutes after its end count.
  */
 final class FairShares {
-    private static final double START_MINUTE = 10;
+    private static final double SURGE_START_MINUTE = 10;
     private static final double SURGE_MINUTES = 3;
-    private static final double MINUTES = 15;
-    private static final double FACTOR = 10;
-    private static final int[] SURGING = {3, 0};
+    private static final double RUN_MINUTES = 15;
+    private static final double SURGE_FACTOR = 10;
+    private static final int[] SURGING_ACCOUNTS = {3, 0};
 
     private final List<String> mDeployments;
     private final long mSeed;
@@ -34,8 +34,8 @@
     String table() {
         StringBuilder out = new StringBuilder();
         for (String name : mDeployments) {
-            Deployment d = cut(Deployment.read(name));
-            for (int account : SURGING) {
+            Deployment d = withoutSurges(Deployment.read(name));
+            for (int account : SURGING_ACCOUNTS) {
                 append(out, d, account);
             }
         }
@@ -43,7 +43,7 @@
     }
 
     private void append(StringBuilder out, Deployment d, int account) {
-        double load = 1 + SurgeTrace.share(d.accounts(), account) * (FACTOR - 1);
+        double load = 1 + SurgeTrace.accountShare(d.accounts(), account) * (SURGE_FACTOR - 1);
         out.append(
                 String.format(
                         Locale.ROOT,
@@ -64,24 +64,24 @@
         out.append('\n');
     }
 
-    /** Plays a run; a negative account for none that surges. */
+    /** Executes a run in which an account surges; no account surges if it is negative. */
     Figures play(Deployment d, FairScheme scheme, int account) {
         Trace trace = TraceGenerator.generate(d, mSeed);
         if (account >= 0) {
-            Surge s = new Surge(account, START_MINUTE, SURGE_MINUTES, FACTOR, 0);
+            Surge s = new Surge(account, SURGE_START_MINUTE, SURGE_MINUTES, SURGE_FACTOR, 0);
             trace = SurgeTrace.add(trace, d, s, mSeed);
         }
         return new Run(d, trace, List.of(), scheme::newScheme, mSeed).play();
     }
 
-    /** Returns a deployment without its own surges, counted from this surge on. */
-    static Deployment cut(Deployment d) {
+    /** Returns a deployment without its own surges, whose warm-up ends when the surge starts. */
+    static Deployment withoutSurges(Deployment d) {
         return new Deployment(
                 d.name(),
                 d.routers(),
                 d.requestsPerSecond(),
-                MINUTES,
-                START_MINUTE,
+                RUN_MINUTES,
+                SURGE_START_MINUTE,
                 d.services(),
                 d.accounts(),
                 d.chats(),
@@ -100,10 +100,10 @@
                 run,
                 m.othersArrived(),
                 m.othersMissed(),
-                m.othersShare(),
+                m.othersMissedShare(),
                 m.othersRejected(),
-                m.worstShare(),
-                m.share(m.surging()),
+                m.worstMissedShare(),
+                m.missedShare(m.surging()),
                 m.rejected(m.surging()));
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/Main.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/Main.java
@@ -10,7 +10,7 @@
 
     private Main() {}
 
-    /** Runs the command; exits with 2 on wrong use. */
+    /** Runs the command; exits with status 2 on a usage error. */
     public static void main(String[] args) {
         try {
             MeasureCommand command = SingleCommand.singleCommand(MeasureCommand.class).parse(args);
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/MeasureCommand.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/MeasureCommand.java
@@ -29,7 +29,7 @@
 import org.laurelweir.benchmarks.measure.workload.Trace;
 import org.laurelweir.benchmarks.measure.workload.TraceGenerator;
 
-/** Plays every deployment against every policy and writes a table, JSON and plots. */
+/** Runs every policy on every deployment and writes a table, JSON and plots. */
 @Command(name = "measure", description = "Compares placement policies on generated arrivals")
 public final class MeasureCommand {
     @AirlineModule private HelpOption<MeasureCommand> mHelp;
@@ -68,11 +68,11 @@
         }
         ExecutorService pool = Executors.newFixedThreadPool(mThreads);
         try {
-            List<Supplier<Comparison>> started = new ArrayList<>();
+            List<Supplier<Comparison>> comparisons = new ArrayList<>();
             for (String name : mDeployments) {
-                started.add(start(Deployment.read(name), pool));
+                comparisons.add(startRuns(Deployment.read(name), pool));
             }
-            started.forEach(s -> report(s.get()));
+            comparisons.forEach(s -> report(s.get()));
         } finally {
             pool.shutdown();
         }
@@ -85,8 +85,8 @@
         PlotReport.write(comparison, folder);
     }
 
-    /** Starts all runs of a deployment and returns what waits for them. */
-    private Supplier<Comparison> start(Deployment deployment, ExecutorService pool) {
+    /** Starts all runs of a deployment and returns a supplier that waits for their results. */
+    private Supplier<Comparison> startRuns(Deployment deployment, ExecutorService pool) {
         Trace trace = TraceGenerator.generate(deployment, mSeed);
         List<MembershipEvent> churn = ChurnPlan.generate(deployment, mSeed);
         Map<Policy, Future<Figures>> runs = new EnumMap<>(Policy.class);
@@ -97,12 +97,12 @@
         }
         return () -> {
             Map<Policy, Figures> figures = new EnumMap<>(Policy.class);
-            runs.forEach((p, run) -> figures.put(p, result(run)));
+            runs.forEach((p, run) -> figures.put(p, awaitResult(run)));
             return new Comparison(deployment, mSeed, figures);
         };
     }
 
-    /** The all-knowing one always plays: the others are measured against it. */
+    /** Returns the selected policies and the oracle, which the others are compared with. */
     private Set<Policy> policies() {
         if (mPolicies.isEmpty()) {
             return EnumSet.allOf(Policy.class);
@@ -112,7 +112,7 @@
         return policies;
     }
 
-    private static Figures result(Future<Figures> run) {
+    private static Figures awaitResult(Future<Figures> run) {
         try {
             return run.get();
         } catch (InterruptedException | ExecutionException e) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ChurnPlan.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ChurnPlan.java
@@ -9,10 +9,10 @@
 import org.laurelweir.benchmarks.measure.Deployment.Churn;
 import org.laurelweir.benchmarks.measure.fleet.MembershipEvent.Kind;
 
-/** Which engines leave, join and flap in a run, and when. */
+/** Plans which engines leave, join and flap in a run, and when. */
 public final class ChurnPlan {
-    private static final double MICROS = 1e6;
-    private static final int MINUTE = 60;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int SECONDS_PER_MINUTE = 60;
     private static final long DRAIN_MICROS = 60_000_000L;
 
     private final Deployment mDeployment;
@@ -36,7 +36,10 @@
         return plan.mEvents;
     }
 
-    /** Returns the name of a service's i-th engine; those from the number of workers on join. */
+    /**
+     * Returns the name of a service's i-th engine. Engines whose index is at least the number of
+     * workers join during the run.
+     */
     public static String engineName(String service, int i) {
         return service + "-" + i;
     }
@@ -44,42 +47,42 @@
     private void addService(int service) {
         Churn churn = mDeployment.churn();
         Deployment.ServiceSpec spec = mDeployment.services().get(service);
-        List<Integer> order = new ArrayList<>();
+        List<Integer> indices = new ArrayList<>();
         for (int i = 0; i < spec.workers(); i++) {
-            order.add(i);
+            indices.add(i);
         }
-        Collections.shuffle(order, mRandom);
+        Collections.shuffle(indices, mRandom);
         int replaced = (int) Math.max(1, Math.round(churn.replacedShare() * spec.workers()));
         for (int i = 0; i < replaced; i++) {
             boolean crash = i < Math.round(churn.crashShare() * replaced);
             String joins = engineName(spec.name(), spec.workers() + i);
-            addReplacement(service, engineName(spec.name(), order.get(i)), joins, crash);
+            addReplacement(service, engineName(spec.name(), indices.get(i)), joins, crash);
         }
         for (int i = 0; i < churn.flaps(); i++) {
-            addFlap(service, engineName(spec.name(), order.get((replaced + i) % order.size())));
+            addFlap(service, engineName(spec.name(), indices.get((replaced + i) % indices.size())));
         }
     }
 
     private void addReplacement(int service, String leaves, String joins, boolean crash) {
-        long at = moment();
+        long at = randomMicros();
         long dropped = at + (crash ? mDeployment.lags().detectMillis() * 1000L : DRAIN_MICROS);
-        long joined = at + mDeployment.churn().replaceSeconds() * (long) MICROS;
+        long joined = at + mDeployment.churn().replaceSeconds() * (long) MICROS_PER_SECOND;
         mEvents.add(new MembershipEvent(at, crash ? Kind.CRASH : Kind.DRAIN, service, leaves));
         mEvents.add(new MembershipEvent(dropped, Kind.DROP, service, leaves));
         mEvents.add(new MembershipEvent(joined, Kind.JOIN, service, joins));
     }
 
     private void addFlap(int service, String engine) {
-        long at = moment();
+        long at = randomMicros();
         double seconds = 1 + mRandom.nextDouble() * (mDeployment.churn().flapSeconds() - 1);
         mEvents.add(new MembershipEvent(at, Kind.VANISH, service, engine));
-        long back = at + (long) (seconds * MICROS);
+        long back = at + (long) (seconds * MICROS_PER_SECOND);
         mEvents.add(new MembershipEvent(back, Kind.RETURN, service, engine));
     }
 
-    private long moment() {
+    private long randomMicros() {
         Churn churn = mDeployment.churn();
         double minute = churn.startMinute() + mRandom.nextDouble() * churn.minutes();
-        return (long) (minute * MINUTE * MICROS);
+        return (long) (minute * SECONDS_PER_MINUTE * MICROS_PER_SECOND);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ControlBytes.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ControlBytes.java
@@ -1,21 +1,24 @@
 package org.laurelweir.benchmarks.measure.fleet;
 
 /**
- * Sizes of the messages that a router sends and receives for control, in bytes with HTTP/2 frame
- * and gRPC prefix (9 and 5 bytes) and with headers as HPACK leaves them on a warm connection.
- * Bodies of requests are not control.
+ * Counts the control bytes that routers send and receive. The message sizes include the HTTP/2
+ * frame header (9 bytes), the gRPC prefix (5 bytes) and the headers as HPACK compresses them on a
+ * warm connection. Request bodies don't count as control bytes.
  */
 public final class ControlBytes {
-    /** One exchange a second with a control instance, both ways: position, lease, digest. */
+    /**
+     * One exchange with a control instance, both ways: position, lease, load digest. Each router
+     * has one a second.
+     */
     public static final int EXCHANGE = 200;
 
-    /** One change of a view: name, incarnation, address, data centre, weight. */
+    /** One membership change: name, incarnation, address, data centre, weight. */
     public static final int VIEW_CHANGE = 88;
 
-    /** One server's load in a broadcast: index and amount. */
+    /** One server's entry in a load broadcast: its index and its load. */
     public static final int LOAD_ENTRY = 12;
 
-    /** Asking one server for its load, both ways. */
+    /** A query for one server's load, both ways. */
     public static final int PROBE = 128;
 
     /** The sidecar's load and incarnation in the head of an answer. */
@@ -31,31 +34,31 @@
     private long mPerWorker;
     private long mPerRequest;
 
-    /** Counts bytes that are spent whatever the load and the size. */
+    /** Counts bytes that depend neither on the number of servers nor on the number of requests. */
     void addPerSecond(long bytes) {
         mPerSecond += bytes;
     }
 
-    /** Counts bytes that grow with the number of backend servers. */
+    /** Counts bytes that scale with the number of backend servers. */
     public void addPerWorker(long bytes) {
         mPerWorker += bytes;
     }
 
-    /** Counts bytes that grow with the requests. */
+    /** Counts bytes that scale with the number of requests. */
     public void addPerRequest(long bytes) {
         mPerRequest += bytes;
     }
 
-    /** Returns all bytes of all routers. */
+    /** Returns the control bytes of all routers together. */
     public long total() {
         return mPerSecond + mPerWorker + mPerRequest;
     }
 
     /**
-     * Returns all bytes of all routers if there were more workers and requests to each router.
+     * Returns the control bytes of all routers together, extrapolated to another size.
      *
-     * @param workerFactor how many times as many workers
-     * @param requestFactor how many times as many requests a router
+     * @param workerFactor backend servers there over backend servers here
+     * @param requestFactor requests a router there over requests a router here
      */
     public double scaled(double workerFactor, double requestFactor) {
         return mPerSecond + mPerWorker * workerFactor + mPerRequest * requestFactor;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Engine.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Engine.java
@@ -9,12 +9,13 @@
 import org.laurelweir.placement.Candidate;
 
 /**
- * One backend server's engine. Prompts are computed one after the other, short ones between the
- * chunks of long ones; answers are generated side by side, each token the slower the more requests
- * ran when it began. Requests over the batch's size wait inside the engine.
+ * Models one backend server's engine. Prompts are computed one after the other; short prompts run
+ * between the chunks of long ones. Answers are generated concurrently; the time per token of an
+ * answer grows with the number of requests that run when it begins. Requests over the batch size
+ * wait in the engine.
  */
 public final class Engine {
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final double MICROS_PER_MILLI = 1e3;
 
     private final EngineSpec mSpec;
@@ -24,10 +25,10 @@
     private final Set<Request> mRunning = new LinkedHashSet<>();
     private final Deque<Request> mBacklog = new ArrayDeque<>();
     private double mWork;
-    private double mLatestReport;
+    private double mLatestReportedWork;
     private double mReportedWork;
-    private long mShortFreeAt;
-    private long mLongFreeAt;
+    private long mShortPromptsFreeAt;
+    private long mLongPromptsFreeAt;
     private boolean mAlive = true;
     private boolean mDraining;
 
@@ -59,7 +60,7 @@
         return mWork;
     }
 
-    /** Returns the work that the last report but one said: reports reach others late. */
+    /** Returns the work in the last report but one, since reports reach the others late. */
     public double reportedWork() {
         return mReportedWork;
     }
@@ -82,15 +83,15 @@
     }
 
     void report() {
-        mReportedWork = mLatestReport;
-        mLatestReport = mWork;
+        mReportedWork = mLatestReportedWork;
+        mLatestReportedWork = mWork;
     }
 
     void setDraining() {
         mDraining = true;
     }
 
-    /** Stops at once; returns the requests that were in it. */
+    /** Stops the engine at once. Returns the requests that ran or waited in it. */
     Set<Request> crash() {
         mAlive = false;
         Set<Request> lost = new LinkedHashSet<>(mRunning);
@@ -107,56 +108,56 @@
         mBacklog.add(request);
     }
 
-    /** Returns the next request that the batch has room for, or null. */
-    Request next() {
+    /** Removes and returns the next waiting request if the batch has room, else null. */
+    Request pollStartable() {
         return mRunning.size() < mSpec.maxRunning() ? mBacklog.poll() : null;
     }
 
-    /** Returns when the first token of a request would come that began now. */
+    /** Returns the time of the first token, in microseconds, of a request that would begin now. */
     public long firstTokenAt(int uncached, long now) {
-        long from = Math.max(now, mShortFreeAt);
+        long from = Math.max(now, mShortPromptsFreeAt);
         if (uncached > mSpec.chunkTokens()) {
-            from = Math.max(from, mLongFreeAt);
+            from = Math.max(from, mLongPromptsFreeAt);
         }
         return from + prefillMicros(uncached) + (long) tokenMicros();
     }
 
-    /** Returns how long a prompt takes on its own. */
+    /** Returns how many microseconds the uncached tokens of a prompt take on an idle engine. */
     public long prefillMicros(int uncached) {
-        return (long) (uncached / mSpec.prefillTokensPerSecond() * MICROS);
+        return (long) (uncached / mSpec.prefillTokensPerSecond() * MICROS_PER_SECOND);
     }
 
     private double tokenMicros() {
-        double slowed = mSpec.millisPerTokenPerRunning() * mRunning.size();
-        return (mSpec.millisPerToken() + slowed) * MICROS_PER_MILLI;
+        double slowdown = mSpec.millisPerTokenPerRunning() * mRunning.size();
+        return (mSpec.millisPerToken() + slowdown) * MICROS_PER_MILLI;
     }
 
-    /** Begins a request and returns when it ends. */
+    /** Begins a request and returns the time at which it ends, in microseconds. */
     long begin(Request request, int uncached, long now) {
         double perToken = tokenMicros();
         long first = firstTokenAt(uncached, now);
-        takePrefill(uncached, first - (long) perToken);
+        occupyPrefill(uncached, first - (long) perToken);
         mRunning.add(request);
-        request.setStarted(request.units(), first);
+        request.setStarted(request.workUnits(), first);
         return first + (long) (request.turn().output() * perToken);
     }
 
-    /** Notes until when the prompts take the engine; a short one puts off the long ones. */
-    private void takePrefill(int uncached, long until) {
+    /** Reserves the engine for a prompt's computation. A short prompt delays the long ones. */
+    private void occupyPrefill(int uncached, long until) {
         if (uncached > mSpec.chunkTokens()) {
-            mLongFreeAt = until;
+            mLongPromptsFreeAt = until;
             return;
         }
-        mShortFreeAt = until;
-        mLongFreeAt += prefillMicros(uncached);
+        mShortPromptsFreeAt = until;
+        mLongPromptsFreeAt += prefillMicros(uncached);
     }
 
-    /** Ends a request; returns whether it was still running. */
+    /** Ends a request and caches its history. Returns false if it was not running. */
     boolean end(Request request) {
         if (!mRunning.remove(request)) {
             return false;
         }
-        mWork = requests() == 0 ? 0 : mWork - request.units();
+        mWork = requests() == 0 ? 0 : mWork - request.workUnits();
         mCache.put(request.turn().chat().id(), request.turn().prompt() + request.turn().output());
         return true;
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Figures.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Figures.java
@@ -5,39 +5,40 @@
 import org.HdrHistogram.Histogram;
 import org.laurelweir.benchmarks.measure.Deployment;
 
-/** What one run measured. Requests that arrived in the warm-up are not counted. */
+/** The measurements of one run. Requests that arrive in the warm-up are not counted. */
 public final class Figures {
-    private static final double MICROS = 1e6;
-    private static final int MINUTE = 60;
-    private static final long LONGEST = 3_600_000_000L;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final int SECONDS_PER_MINUTE = 60;
+    private static final long MAX_FIRST_TOKEN_MICROS = 3_600_000_000L;
 
     private final Deployment mDeployment;
-    private final long mFrom;
-    private final Reuse mReuse;
+    private final long mWarmUpEndMicros;
+    private final CacheReuse mReuse;
     private final Histogram mHops = new Histogram(2);
-    private final Histogram mFirstToken = new Histogram(LONGEST, 2);
+    private final Histogram mFirstToken = new Histogram(MAX_FIRST_TOKEN_MICROS, 2);
     private final long[] mArrivals;
     private final long[] mRejections;
-    private final long[] mMet;
+    private final long[] mDeadlinesMet;
     private final double[] mSkew;
     private int mSamples;
     private long mStarts;
-    private long mStartsOver;
-    private long mCut;
-    private ControlBytes mControl;
+    private long mStartsOverFactor;
+    private long mCutAnswers;
+    private ControlBytes mControlBytes;
 
     Figures(Deployment deployment) {
         mDeployment = deployment;
-        mFrom = (long) (deployment.warmUpMinutes() * MINUTE * MICROS);
-        mReuse = new Reuse(deployment);
+        mWarmUpEndMicros =
+                (long) (deployment.warmUpMinutes() * SECONDS_PER_MINUTE * MICROS_PER_SECOND);
+        mReuse = new CacheReuse(deployment);
         mArrivals = new long[deployment.accounts().count()];
         mRejections = new long[deployment.accounts().count()];
-        mMet = new long[deployment.accounts().count()];
-        mSkew = new double[(int) (deployment.minutes() * MINUTE) + 1];
+        mDeadlinesMet = new long[deployment.accounts().count()];
+        mSkew = new double[(int) (deployment.minutes() * SECONDS_PER_MINUTE) + 1];
     }
 
     private boolean isCounted(Request request) {
-        return request.turn().at() >= mFrom;
+        return request.turn().at() >= mWarmUpEndMicros;
     }
 
     void onArrival(Request request, long now) {
@@ -46,20 +47,28 @@
         }
     }
 
-    /** Notes an admission and whether it took the engine over the set multiple of the mean. */
+    /**
+     * Records that an engine started a request.
+     *
+     * @param cached prompt tokens found in the engine's cache
+     * @param skew the engine's work over the mean, with this request
+     */
     void onStart(Request request, int cached, double skew, long now) {
         if (!isCounted(request)) {
             return;
         }
         mStarts++;
         if (skew > mDeployment.bound().factor()) {
-            mStartsOver++;
+            mStartsOverFactor++;
         }
         mHops.recordValue(request.hops());
         addReuse(request, cached, now);
     }
 
-    /** A rejected turn found nothing cached: else a policy would gain by rejecting the misses. */
+    /**
+     * Counts a returning turn. A rejected turn counts with no cached tokens, since a policy could
+     * otherwise raise its reuse by rejecting cache misses.
+     */
     private void addReuse(Request request, int cached, long now) {
         if (request.turn().history() > 0) {
             mReuse.add(request.turn().prompt(), cached, now);
@@ -70,26 +79,26 @@
         if (!isCounted(request)) {
             return;
         }
-        mFirstToken.recordValue(Math.min(LONGEST, at - request.turn().at()));
-        if (isMet(request)) {
-            mMet[request.turn().chat().account()]++;
+        mFirstToken.recordValue(Math.min(MAX_FIRST_TOKEN_MICROS, at - request.turn().at()));
+        if (isDeadlineMet(request)) {
+            mDeadlinesMet[request.turn().chat().account()]++;
         }
     }
 
-    private static boolean isMet(Request request) {
+    private static boolean isDeadlineMet(Request request) {
         return request.firstTokenAt() - request.turn().at() <= request.turn().deadline();
     }
 
-    /** Takes back a first token that a crash came before. */
+    /** Uncounts a met deadline whose first token a crash prevented. */
     void onRetry(Request request) {
-        if (isCounted(request) && isMet(request)) {
-            mMet[request.turn().chat().account()]--;
+        if (isCounted(request) && isDeadlineMet(request)) {
+            mDeadlinesMet[request.turn().chat().account()]--;
         }
     }
 
-    void onCut(Request request, long now) {
+    void onAnswerCut(Request request, long now) {
         if (isCounted(request)) {
-            mCut++;
+            mCutAnswers++;
         }
     }
 
@@ -100,7 +109,7 @@
         }
     }
 
-    /** Notes the skew of this second: the largest over the services. */
+    /** Records the skew of the current second, the largest over the services. */
     void sample(Fleet fleet) {
         double skew = 0;
         for (int s = 0; s < mDeployment.services().size(); s++) {
@@ -117,9 +126,9 @@
     }
 
     /**
-     * Returns an engine's work over the mean, by the rounding of {@link
-     * org.laurelweir.placement.LoadBound}: the mean counts as no less than the floor over the
-     * factor, and an engine with one request is never over it.
+     * Returns an engine's work over the mean, with the rules of {@link
+     * org.laurelweir.placement.LoadBound}: the mean counts as at least the floor over the factor,
+     * and the skew of an engine with fewer than two requests is 0.
      */
     double skew(Engine engine, double mean) {
         if (!engine.isAlive() || engine.isDraining() || engine.requests() < 2) {
@@ -143,29 +152,30 @@
     }
 
     void finish(ControlBytes control) {
-        mControl = control;
+        mControlBytes = control;
     }
 
-    public Reuse reuse() {
+    public CacheReuse reuse() {
         return mReuse;
     }
 
     /** Returns the skew of each second after the warm-up. */
     public double[] skew() {
-        return Arrays.copyOfRange(mSkew, Math.min(mSamples, (int) (mFrom / MICROS)), mSamples);
+        return Arrays.copyOfRange(
+                mSkew, Math.min(mSamples, (int) (mWarmUpEndMicros / MICROS_PER_SECOND)), mSamples);
     }
 
-    /** Returns the share of admissions after which their engine was over the set multiple. */
-    public double startsOver() {
-        return (double) mStartsOver / mStarts;
+    /** Returns the share of started requests that took their engine over the bound's factor. */
+    public double startedOverFactor() {
+        return (double) mStartsOverFactor / mStarts;
     }
 
-    /** Returns the mean of the hops over the one that every request takes. */
+    /** Returns the mean hops a request, beyond the one hop that every request takes. */
     public double meanHops() {
         return mHops.getMean();
     }
 
-    /** Returns the 99th percentile of added hops. */
+    /** Returns the 99th percentile of the hops beyond the first. */
     public long p99Hops() {
         return mHops.getValueAtPercentile(99);
     }
@@ -175,17 +185,17 @@
         return mFirstToken.getValueAtPercentile(percentile) / 1000.0;
     }
 
-    /** Returns the share of all arrivals whose first token came by its deadline. */
+    /** Returns the share of all arrivals whose first token met its deadline. */
     public double deadlinesMet() {
-        return (double) Arrays.stream(mMet).sum() / arrivals();
+        return (double) Arrays.stream(mDeadlinesMet).sum() / arrivals();
     }
 
-    /** Returns the requests that arrived. */
+    /** Returns the number of requests that arrived. */
     public long arrivals() {
         return Arrays.stream(mArrivals).sum();
     }
 
-    /** Returns the requests that were answered as not run, by client account. */
+    /** Returns the rejected requests, by client account. */
     public long[] rejections() {
         return mRejections.clone();
     }
@@ -195,35 +205,36 @@
         return mArrivals.clone();
     }
 
-    /** Returns the requests whose first token came by its deadline, by client account. */
-    public long[] metByAccount() {
-        return mMet.clone();
+    /** Returns the requests whose first token met its deadline, by client account. */
+    public long[] deadlinesMetByAccount() {
+        return mDeadlinesMet.clone();
     }
 
-    /** Returns the answers that a crash cut after their first token. */
-    public long cut() {
-        return mCut;
+    /** Returns the number of answers that a crash cut off after their first token. */
+    public long cutAnswers() {
+        return mCutAnswers;
     }
 
-    /** Returns the control bytes a second a router. */
-    public double controlPerRouter() {
-        return mControl.total() / routerSeconds();
+    /** Returns the control bytes per second and router. */
+    public double controlBytesPerRouter() {
+        return mControlBytes.total() / routerSeconds();
     }
 
     /**
-     * Returns the control bytes a second a router at another size.
+     * Returns the control bytes per second and router, extrapolated to another size.
      *
      * @param workers backend servers there
-     * @param requestsPerRouter requests a second a router there
+     * @param requestsPerRouter requests per second and router there
      */
-    public double controlPerRouterAt(int workers, double requestsPerRouter) {
+    public double controlBytesPerRouterAt(int workers, double requestsPerRouter) {
         double own = mDeployment.requestsPerSecond() / mDeployment.routers();
         double scaled =
-                mControl.scaled((double) workers / mDeployment.workers(), requestsPerRouter / own);
+                mControlBytes.scaled(
+                        (double) workers / mDeployment.workers(), requestsPerRouter / own);
         return scaled / routerSeconds();
     }
 
     private double routerSeconds() {
-        return mDeployment.routers() * mDeployment.minutes() * MINUTE;
+        return mDeployment.routers() * mDeployment.minutes() * SECONDS_PER_MINUTE;
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Fleet.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Fleet.java
@@ -10,22 +10,22 @@
 import org.laurelweir.placement.ViewChange;
 import org.laurelweir.placement.WorkEstimate;
 
-/** The engines of a deployment and what routers and sidecars know of them. */
+/** The engines of a deployment and the views that routers and sidecars have of them. */
 public final class Fleet {
     private static final long MICROS_PER_MILLI = 1000;
-    private static final int SIDECARS = 1 << 20;
+    private static final int SIDECAR_SEED_OFFSET = 1 << 20;
 
     private final Deployment mDeployment;
     private final Map<String, Engine> mEngines = new LinkedHashMap<>();
-    private final List<List<Engine>> mByService = new ArrayList<>();
+    private final List<List<Engine>> mEnginesByService = new ArrayList<>();
     private final List<ViewTimeline> mTimelines = new ArrayList<>();
-    private final List<List<ViewTimeline.Observer>> mRouters = new ArrayList<>();
-    private final Map<Engine, ViewTimeline.Observer> mSidecars = new LinkedHashMap<>();
-    private final double[] mMeans;
+    private final List<List<ViewTimeline.Observer>> mRouterObservers = new ArrayList<>();
+    private final Map<Engine, ViewTimeline.Observer> mSidecarObservers = new LinkedHashMap<>();
+    private final double[] mReportedMeans;
     private final Timers mTimers = new Timers();
-    private final ControlBytes mControl = new ControlBytes();
+    private final ControlBytes mControlBytes = new ControlBytes();
     private final Figures mFigures;
-    private final int mExpectedOutput;
+    private final int mExpectedOutputTokens;
     private final long mSeed;
     private Scheme mScheme;
     private long mNow;
@@ -34,16 +34,16 @@
         mDeployment = deployment;
         mFigures = figures;
         mSeed = seed;
-        mMeans = new double[deployment.services().size()];
-        mExpectedOutput = (int) deployment.chats().output().mean();
-        for (int s = 0; s < mMeans.length; s++) {
+        mReportedMeans = new double[deployment.services().size()];
+        mExpectedOutputTokens = (int) deployment.chats().output().mean();
+        for (int s = 0; s < mReportedMeans.length; s++) {
             addService(s);
         }
     }
 
     private void addService(int service) {
         Deployment.ServiceSpec spec = mDeployment.services().get(service);
-        mByService.add(new ArrayList<>());
+        mEnginesByService.add(new ArrayList<>());
         List<ViewChange> joins = new ArrayList<>();
         for (int i = 0; i < spec.workers(); i++) {
             Engine e = newEngine(ChurnPlan.engineName(spec.name(), i), service);
@@ -56,21 +56,21 @@
         for (int r = 0; r < mDeployment.routers(); r++) {
             routers.add(timeline.newObserver(lag, mSeed + r * 31L + service));
         }
-        mRouters.add(routers);
-        mByService.get(service).forEach(this::addSidecar);
+        mRouterObservers.add(routers);
+        mEnginesByService.get(service).forEach(this::addSidecar);
     }
 
     private Engine newEngine(String id, int service) {
         Engine e = new Engine(mDeployment.engine(), id, service);
         mEngines.put(id, e);
-        mByService.get(service).add(e);
+        mEnginesByService.get(service).add(e);
         return e;
     }
 
     private void addSidecar(Engine engine) {
         long lag = mDeployment.lags().sidecarMillis() * MICROS_PER_MILLI;
-        long seed = mSeed + SIDECARS + mSidecars.size();
-        mSidecars.put(engine, mTimelines.get(engine.service()).newObserver(lag, seed));
+        long seed = mSeed + SIDECAR_SEED_OFFSET + mSidecarObservers.size();
+        mSidecarObservers.put(engine, mTimelines.get(engine.service()).newObserver(lag, seed));
     }
 
     public Deployment deployment() {
@@ -82,8 +82,8 @@
         return mNow;
     }
 
-    public ControlBytes control() {
-        return mControl;
+    public ControlBytes controlBytes() {
+        return mControlBytes;
     }
 
     Figures figures() {
@@ -99,68 +99,70 @@
         return mEngines.get(id);
     }
 
-    /** Returns all engines that a service ever had. */
+    /** Returns all engines of a service, with those that have left. */
     public List<Engine> engines(int service) {
-        return mByService.get(service);
+        return mEnginesByService.get(service);
     }
 
-    /** Returns what a router sees of a service. */
+    /** Returns a router's current view of a service. */
     public ServiceView routerView(int router, int service) {
-        return mRouters.get(service).get(router).view(mNow);
+        return mRouterObservers.get(service).get(router).view(mNow);
     }
 
-    /** Returns the view that all will have seen once the lags are over. */
+    /** Returns the newest view of a service, without lag. */
     public ServiceView latestView(int service) {
         return mTimelines.get(service).latest();
     }
 
-    /** Returns what the sidecar beside an engine sees of its service. */
+    /** Returns the current view that an engine's sidecar has of its service. */
     public ServiceView sidecarView(Engine engine) {
-        return mSidecars.get(engine).view(mNow);
+        return mSidecarObservers.get(engine).view(mNow);
     }
 
-    /** Returns the mean work of a service's engines as last heard, one to two reports old. */
+    /**
+     * Returns the mean work of a service's engines as last reported, one to two report periods old.
+     */
     public double reportedMean(int service) {
-        return mMeans[service];
+        return mReportedMeans[service];
     }
 
-    /** Runs an action later. */
-    public void later(long micros, Runnable action) {
+    /** Runs an action after a delay in microseconds of virtual time. */
+    public void schedule(long micros, Runnable action) {
         mTimers.add(mNow + micros, action);
     }
 
-    /** Gives a request to an engine, where it stays. */
+    /** Assigns a request to an engine for good. */
     public void start(Request request, Engine engine) {
         WorkEstimate work = request.workAt(engine);
         engine.accept(request, work.units(mDeployment.bound().prefillWeight()));
         double skew = mFigures.skew(engine, Figures.mean(engines(engine.service())));
         mFigures.onStart(request, work.cachedTokens(), skew, mNow);
-        beginNext(engine);
+        startQueued(engine);
     }
 
-    /** Answers a request that it was not run. */
+    /** Rejects a request; its caller learns that it was not run. */
     public void reject(Request request) {
         mFigures.onReject(request, mNow);
     }
 
-    private void beginNext(Engine engine) {
-        for (Request r = engine.next(); r != null; r = engine.next()) {
-            Request begun = r;
+    private void startQueued(Engine engine) {
+        for (Request r = engine.pollStartable(); r != null; r = engine.pollStartable()) {
+            Request started = r;
             long end = engine.begin(r, r.workAt(engine).uncachedTokens(), mNow);
             mFigures.onFirstToken(r, r.firstTokenAt(), mNow);
-            mTimers.add(end, () -> end(begun, engine));
+            mTimers.add(end, () -> end(started, engine));
         }
     }
 
     private void end(Request request, Engine engine) {
         if (engine.end(request)) {
-            beginNext(engine);
+            startQueued(engine);
             mScheme.onEnd(engine, request);
         }
     }
 
     Request newRequest(Turn turn) {
-        return new Request(turn, mExpectedOutput);
+        return new Request(turn, mExpectedOutputTokens);
     }
 
     void setScheme(Scheme scheme) {
@@ -171,33 +173,34 @@
         mNow = now;
     }
 
-    /** Takes every engine's report. */
+    /** Collects the load reports of all engines. */
     void report() {
-        for (int s = 0; s < mMeans.length; s++) {
-            List<Engine> present = mByService.get(s).stream().filter(Engine::isAlive).toList();
-            present.forEach(Engine::report);
-            mMeans[s] = present.stream().mapToDouble(Engine::reportedWork).average().orElse(0);
+        for (int s = 0; s < mReportedMeans.length; s++) {
+            List<Engine> alive = mEnginesByService.get(s).stream().filter(Engine::isAlive).toList();
+            alive.forEach(Engine::report);
+            mReportedMeans[s] =
+                    alive.stream().mapToDouble(Engine::reportedWork).average().orElse(0);
         }
     }
 
-    /** Lets something happen to an engine. */
-    void change(MembershipEvent event) {
+    /** Applies a membership event to its engine and to the views. */
+    void apply(MembershipEvent event) {
         ViewTimeline timeline = mTimelines.get(event.service());
         Engine e = mEngines.get(event.engine());
         switch (event.kind()) {
             case JOIN -> join(event, timeline);
             case DRAIN -> {
                 e.setDraining();
-                see(timeline, new ViewChange.Drain(e.id()));
+                publish(timeline, new ViewChange.Drain(e.id()));
                 mScheme.onDrain(e);
             }
             case CRASH -> crash(e);
             case RETURN -> {
-                see(timeline, new ViewChange.Join(e.candidate()));
+                publish(timeline, new ViewChange.Join(e.candidate()));
                 mScheme.onJoin(e);
             }
             default -> {
-                see(timeline, new ViewChange.Leave(e.id()));
+                publish(timeline, new ViewChange.Leave(e.id()));
                 mScheme.onDrop(e);
             }
         }
@@ -206,19 +209,19 @@
     private void join(MembershipEvent event, ViewTimeline timeline) {
         Engine e = newEngine(event.engine(), event.service());
         addSidecar(e);
-        see(timeline, new ViewChange.Join(e.candidate()));
+        publish(timeline, new ViewChange.Join(e.candidate()));
         mScheme.onJoin(e);
     }
 
     private void crash(Engine engine) {
         for (Request r : engine.crash()) {
             if (r.firstTokenAt() <= mNow) {
-                mFigures.onCut(r, mNow);
+                mFigures.onAnswerCut(r, mNow);
                 continue;
             }
-            // Nothing of the answer has been sent, so the router tries elsewhere.
+            // No part of the answer has been sent, so the router can retry on another engine.
             mFigures.onRetry(r);
-            later(
+            schedule(
                     mDeployment.lags().detectMillis() * MICROS_PER_MILLI,
                     () -> {
                         r.restart();
@@ -227,8 +230,8 @@
         }
     }
 
-    private void see(ViewTimeline timeline, ViewChange change) {
+    private void publish(ViewTimeline timeline, ViewChange change) {
         timeline.change(mNow, change);
-        mControl.addPerWorker((long) ControlBytes.VIEW_CHANGE * mDeployment.routers());
+        mControlBytes.addPerWorker((long) ControlBytes.VIEW_CHANGE * mDeployment.routers());
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/MembershipEvent.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/MembershipEvent.java
@@ -1,27 +1,27 @@
 package org.laurelweir.benchmarks.measure.fleet;
 
 /**
- * Something that happens to an engine.
+ * A change of one engine's membership or state.
  *
- * @param at microseconds
- * @param kind what happens
- * @param service index of its service
- * @param engine its name
+ * @param at microseconds since the run began
+ * @param kind the kind of change
+ * @param service index of the engine's service
+ * @param engine name of the engine
  */
 public record MembershipEvent(long at, Kind kind, int service, String engine) {
-    /** What can happen to an engine. */
+    /** The kinds of changes. */
     public enum Kind {
-        /** It joins with an empty cache. */
+        /** The engine joins with an empty cache. */
         JOIN,
-        /** It takes no new work and leaves when its requests have ended. */
+        /** The engine drains: it takes no new work and leaves when its requests have ended. */
         DRAIN,
-        /** It stops without notice; its requests are lost. */
+        /** The engine stops without notice; its requests are lost. */
         CRASH,
-        /** It vanishes from the views but runs on. */
+        /** The engine is removed from the views but keeps running. */
         VANISH,
-        /** It is seen again. */
+        /** The engine is added to the views again after VANISH. */
         RETURN,
-        /** The views drop it, after a crash or a drain. */
+        /** The engine is removed from the views after a crash or a drain. */
         DROP
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/PrefixCache.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/PrefixCache.java
@@ -2,13 +2,13 @@
 
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** An engine's prefix cache: tokens of each chat's history, the least recently used out first. */
+/** An engine's prefix cache: the tokens of each chat's history, with LRU eviction. */
 public final class PrefixCache {
     private final long mCapacity;
     private final Int2ObjectHashMap<Entry> mEntries = new Int2ObjectHashMap<>();
 
-    /** Ends of the order of use: its next is the least recently used entry. */
-    private final Entry mEnds = new Entry(-1);
+    /** Sentinel of the circular list; its next entry is the least recently used one. */
+    private final Entry mSentinel = new Entry(-1);
 
     private long mUsed;
 
@@ -16,13 +16,15 @@
         mCapacity = capacity;
     }
 
-    /** Returns how many tokens of a chat are cached; asking is not a use. */
+    /** Returns how many tokens of a chat are cached. This does not count as a use. */
     public int peek(int chat) {
         Entry e = mEntries.get(chat);
         return e == null ? 0 : e.mTokens;
     }
 
-    /** Keeps a chat's history as the most recently used. */
+    /**
+     * Stores a chat's history as the most recently used entry and evicts others over the capacity.
+     */
     public void put(int chat, int tokens) {
         Entry e = mEntries.get(chat);
         if (e == null) {
@@ -33,9 +35,9 @@
         }
         mUsed += tokens - e.mTokens;
         e.mTokens = tokens;
-        e.linkBefore(mEnds);
-        while (mUsed > mCapacity && mEnds.mNext != e) {
-            evict(mEnds.mNext);
+        e.linkBefore(mSentinel);
+        while (mUsed > mCapacity && mSentinel.mNext != e) {
+            evict(mSentinel.mNext);
         }
     }
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Request.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Request.java
@@ -7,16 +7,16 @@
 import org.laurelweir.placement.PlacementRequest;
 import org.laurelweir.placement.WorkEstimate;
 
-/** One turn on its way through the fleet. */
+/** A turn's request and its progress through the fleet. */
 public final class Request {
     private final Turn mTurn;
     private final PlacementRequest mPlacement;
     private final List<Engine> mVisited = new ArrayList<>(4);
     private int mRedirects;
     private int mHops;
-    private boolean mWaited;
+    private boolean mHasWaited;
     private long mFirstTokenAt;
-    private double mUnits;
+    private double mWorkUnits;
     private AttemptId mAttempt;
 
     Request(Turn turn, int expectedOutput) {
@@ -32,18 +32,18 @@
         return mTurn;
     }
 
-    /** Returns what a policy is told of the request. */
+    /** Returns the request as placement policies see it. */
     public PlacementRequest placement() {
         return mPlacement;
     }
 
-    /** Returns the work estimate at an engine, with what it has cached. */
+    /** Returns the work estimate at an engine, with the tokens cached there. */
     public WorkEstimate workAt(Engine engine) {
         int cached = Math.min(engine.cache().peek(mTurn.chat().id()), mTurn.prompt());
         return mPlacement.work().withCached(cached);
     }
 
-    /** Returns the engines that it has been sent to, in order. */
+    /** Returns the engines that the request was sent to, in order. */
     public List<Engine> visited() {
         return mVisited;
     }
@@ -58,7 +58,7 @@
         mHops++;
     }
 
-    /** Counts a hop over the one that every request takes: a redirect, a question, a failover. */
+    /** Counts a hop beyond the first: a redirect, a query or a failover. */
     public void addHop() {
         mHops++;
     }
@@ -67,22 +67,22 @@
         return mHops;
     }
 
-    /** Returns whether a sidecar has held it already. */
-    public boolean isWaited() {
-        return mWaited;
+    /** Returns whether a sidecar has already held the request back for the wait time. */
+    public boolean hasWaited() {
+        return mHasWaited;
     }
 
-    /** Notes that a sidecar held it. */
+    /** Records that a sidecar held the request back. */
     public void setWaited() {
-        mWaited = true;
+        mHasWaited = true;
     }
 
-    /** Returns the attempt that runs it, where the scheme names one. */
+    /** Returns the id of the running attempt, or null if the scheme sets none. */
     public AttemptId attempt() {
         return mAttempt;
     }
 
-    /** Notes the attempt that runs it. */
+    /** Sets the id of the running attempt. */
     public void setAttempt(AttemptId attempt) {
         mAttempt = attempt;
     }
@@ -91,19 +91,19 @@
         return mFirstTokenAt;
     }
 
-    double units() {
-        return mUnits;
+    double workUnits() {
+        return mWorkUnits;
     }
 
     void setStarted(double units, long firstTokenAt) {
-        mUnits = units;
+        mWorkUnits = units;
         mFirstTokenAt = firstTokenAt;
     }
 
-    /** Begins again at the router after its engine failed before the first token. */
+    /** Resets the request for a retry by the router after a crash before the first token. */
     void restart() {
         mRedirects = 0;
-        mWaited = false;
+        mHasWaited = false;
         mVisited.clear();
         mHops++;
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
@@ -6,26 +6,26 @@
 import org.laurelweir.benchmarks.measure.workload.Trace;
 import org.laurelweir.benchmarks.measure.workload.Turn;
 
-/** Plays a trace and a churn plan against one scheme. */
+/** Runs a trace and a churn plan against one scheme, in virtual time. */
 public final class Run {
-    private static final long SECOND = 1_000_000L;
+    private static final long MICROS_PER_SECOND = 1_000_000L;
     private static final long MICROS_PER_MILLI = 1000;
 
     private final Trace mTrace;
-    private final List<MembershipEvent> mChurn;
+    private final List<MembershipEvent> mChurnEvents;
     private final Fleet mFleet;
     private final Scheme mScheme;
     private final Figures mFigures;
-    private final long mEnd;
+    private final long mEndMicros;
 
     /**
      * Prepares a run.
      *
-     * @param deployment what runs
+     * @param deployment the fleet and its workload
      * @param trace the arrivals
-     * @param churn what happens to engines
-     * @param scheme makes the scheme for the run's fleet
-     * @param seed for the lags
+     * @param churn the membership events of the engines
+     * @param scheme creates the scheme for the run's fleet
+     * @param seed of the lags with which changes become visible
      */
     public Run(
             Deployment deployment,
@@ -34,23 +34,23 @@
             Function<Fleet, Scheme> scheme,
             long seed) {
         mTrace = trace;
-        mChurn = churn;
+        mChurnEvents = churn;
         mFigures = new Figures(deployment);
         mFleet = new Fleet(deployment, mFigures, seed);
         mScheme = scheme.apply(mFleet);
         mFleet.setScheme(mScheme);
-        mEnd = (long) (deployment.minutes() * 60 * SECOND);
+        mEndMicros = (long) (deployment.minutes() * 60 * MICROS_PER_SECOND);
     }
 
-    /** Plays it and returns what was measured. */
+    /** Executes the run and returns its measurements. */
     public Figures play() {
-        placeEarlier();
-        for (MembershipEvent e : mChurn) {
-            mFleet.timers().add(e.at(), () -> mFleet.change(e));
+        fillCaches();
+        for (MembershipEvent e : mChurnEvents) {
+            mFleet.timers().add(e.at(), () -> mFleet.apply(e));
         }
-        long load = mFleet.deployment().lags().loadMillis() * MICROS_PER_MILLI;
-        repeat(load, mFleet::report);
-        repeat(SECOND, this::sample);
+        long loadPeriod = mFleet.deployment().lags().loadMillis() * MICROS_PER_MILLI;
+        repeat(loadPeriod, mFleet::report);
+        repeat(MICROS_PER_SECOND, this::sample);
         for (Turn turn : mTrace.turns()) {
             runTimers(turn.at());
             mFleet.advance(turn.at());
@@ -58,14 +58,16 @@
             mFigures.onArrival(r, turn.at());
             mScheme.onArrival(r);
         }
-        runTimers(mEnd);
-        mFigures.finish(mFleet.control());
+        runTimers(mEndMicros);
+        mFigures.finish(mFleet.controlBytes());
         return mFigures;
     }
 
-    /** Fills the caches as the scheme would have, without load. */
-    private void placeEarlier() {
-        for (Turn turn : mTrace.earlier()) {
+    /**
+     * Fills the caches with the histories of earlier turns, on the engines that the scheme names.
+     */
+    private void fillCaches() {
+        for (Turn turn : mTrace.precedingTurns()) {
             Request r = mFleet.newRequest(turn);
             Engine e = mFleet.engine(mScheme.initialEngine(r));
             e.cache().put(turn.chat().id(), turn.prompt());
@@ -80,7 +82,7 @@
     }
 
     private void repeat(long period, Runnable action) {
-        mFleet.later(
+        mFleet.schedule(
                 period,
                 () -> {
                     action.run();
@@ -91,6 +93,6 @@
     private void sample() {
         mFigures.sample(mFleet);
         long routers = mFleet.deployment().routers();
-        mFleet.control().addPerSecond(ControlBytes.EXCHANGE * routers);
+        mFleet.controlBytes().addPerSecond(ControlBytes.EXCHANGE * routers);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Scheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Scheme.java
@@ -1,24 +1,24 @@
 package org.laurelweir.benchmarks.measure.fleet;
 
 /**
- * What is compared: how a request gets from a router to an engine. A scheme sees the fleet through
- * the views, reports and engines that it would have in truth, and ends each request by {@link
- * Fleet#start} or {@link Fleet#reject}.
+ * A way to get a request from a router to an engine; the measure program compares schemes. A scheme
+ * uses only the views, reports and engines that it could see in a real fleet. It finishes every
+ * request by {@link Fleet#start} or {@link Fleet#reject}.
  */
 public interface Scheme {
-    /** Takes a request at its router. */
+    /** Handles a request that arrives at its router. */
     void onArrival(Request request);
 
-    /** Learns that an engine has ended a request. */
+    /** Called when an engine has ended a request. */
     default void onEnd(Engine engine, Request request) {}
 
-    /** Learns that an engine joined, with an empty cache, or came back after a flap. */
+    /** Called when an engine joins with an empty cache, or returns after a flap. */
     default void onJoin(Engine engine) {}
 
-    /** Learns, as the sidecar beside it, that an engine is to drain. */
+    /** Called at the engine's sidecar when the engine starts to drain. */
     default void onDrain(Engine engine) {}
 
-    /** Learns that an engine is dropped from the views, also if it is only out of sight. */
+    /** Called when an engine is removed from the views, even if it keeps running. */
     default void onDrop(Engine engine) {}
 
     /** Returns the name of the engine that caches the chat's history when the run begins. */
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Timers.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Timers.java
@@ -19,7 +19,7 @@
         mQueue.add(new Timer(at, mCount++, action));
     }
 
-    /** Returns when the next action is due, or the largest time if there is none. */
+    /** Returns the time at which the next action is due, or Long.MAX_VALUE if there is none. */
     long nextAt() {
         return mQueue.isEmpty() ? Long.MAX_VALUE : mQueue.peek().at();
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ViewTimeline.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/ViewTimeline.java
@@ -6,7 +6,7 @@
 import org.laurelweir.placement.ServiceView;
 import org.laurelweir.placement.ViewChange;
 
-/** The views of one service in the order of the control log, and who sees which when. */
+/** The views of one service in the order of the control log, and when each observer sees them. */
 public final class ViewTimeline {
     private final List<ServiceView> mViews = new ArrayList<>();
     private final List<Long> mTimes = new ArrayList<>();
@@ -34,34 +34,34 @@
         return new Observer(maxLag, seed);
     }
 
-    /** One process's sight of the service. */
+    /** One process's delayed view of the service. */
     final class Observer {
         private final long mMaxLag;
         private final SplittableRandom mRandom;
-        private int mSeen;
+        private int mSeenIndex;
         private long mNextAt;
-        private boolean mNextKnown;
+        private boolean mNextDrawn;
 
         private Observer(long maxLag, long seed) {
             mMaxLag = maxLag;
             mRandom = new SplittableRandom(seed);
         }
 
-        /** Returns what it sees; time never goes back between calls. */
+        /** Returns the view visible at a time, which must not decrease between calls. */
         ServiceView view(long now) {
-            while (mSeen + 1 < mViews.size()) {
-                if (!mNextKnown) {
+            while (mSeenIndex + 1 < mViews.size()) {
+                if (!mNextDrawn) {
                     long lag = mMaxLag == 0 ? 0 : mRandom.nextLong(mMaxLag);
-                    mNextAt = Math.max(mNextAt, mTimes.get(mSeen + 1) + lag);
-                    mNextKnown = true;
+                    mNextAt = Math.max(mNextAt, mTimes.get(mSeenIndex + 1) + lag);
+                    mNextDrawn = true;
                 }
                 if (mNextAt > now) {
                     break;
                 }
-                mSeen++;
-                mNextKnown = false;
+                mSeenIndex++;
+                mNextDrawn = false;
             }
-            return mViews.get(mSeen);
+            return mViews.get(mSeenIndex);
         }
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/package-info.java
@@ -1,2 +1,5 @@
-/** Engines, what is known of them and how late, and the loop of events in virtual time. */
+/**
+ * The simulated fleet: engines, the delayed views that routers and sidecars have of them, and the
+ * event loop in virtual time.
+ */
 package org.laurelweir.benchmarks.measure.fleet;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The measure program: drives the placement decisions with generated arrivals in virtual time and
- * compares policies on the same arrivals. It models engines and what routers know, not a network.
+ * The measure program: runs placement policies on the same generated arrivals in virtual time and
+ * compares them. It models engines and the views of routers and sidecars, but no network.
  */
 package org.laurelweir.benchmarks.measure;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/DirectoryScheme.java
@@ -70,7 +70,7 @@
 
     /** With each heartbeat, names to every sidecar a few servers whose work is below the mean. */
     private void scheduleOpenServerUpdates() {
-        mFleet.later(
+        mFleet.schedule(
                 mFleet.deployment().lags().loadMillis() * MICROS_PER_MILLI,
                 () -> {
                     for (int s = 0; s < mFleet.deployment().services().size(); s++) {
@@ -108,7 +108,7 @@
             }
             routerState(request).onFailure(c.id(), mFleet.engines(e.service()).size());
             request.addHop();
-            mFleet.control().addPerRequest(ControlBytes.FAILOVER);
+            mFleet.controlBytes().addPerRequest(ControlBytes.FAILOVER);
         }
         mFleet.reject(request);
     }
@@ -181,7 +181,7 @@
 
     private void redirect(Request request, Engine to) {
         request.addRedirect();
-        mFleet.control().addPerRequest(ControlBytes.REDIRECT);
+        mFleet.controlBytes().addPerRequest(ControlBytes.REDIRECT);
         deliver(request, sidecar(to), false);
     }
 
@@ -210,7 +210,7 @@
                 work,
                 request.redirects(),
                 hasNext,
-                request.isWaited(),
+                request.hasWaited(),
                 isDeadlineReachable(request, work, engine));
     }
 
@@ -261,13 +261,13 @@
         }
         at.heldChats().onAdmit(chat, home);
         routerState(request).onChatLocated(chat, e.id(), home);
-        mFleet.control().addPerRequest(ControlBytes.ANSWER_HINT);
+        mFleet.controlBytes().addPerRequest(ControlBytes.ANSWER_HINT);
         mFleet.start(request, e);
     }
 
     private void hold(Request request, SidecarState at) {
         at.waitingRequests().add(request);
-        mFleet.later(
+        mFleet.schedule(
                 mMaxWaitMicros,
                 () -> {
                     if (at.waitingRequests().remove(request)) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Policy.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/Policy.java
@@ -77,12 +77,12 @@
 
     /** Broadcasts every server's load to every router, once a period. */
     private static void broadcastEvery(Fleet fleet, List<ReportedLoads> loads) {
-        fleet.later(
+        fleet.schedule(
                 fleet.deployment().lags().loadMillis() * 1000L,
                 () -> {
                     loads.forEach(ReportedLoads::rotate);
                     long entries = (long) loads.size() * fleet.deployment().workers();
-                    fleet.control().addPerWorker(entries * ControlBytes.LOAD_ENTRY);
+                    fleet.controlBytes().addPerWorker(entries * ControlBytes.LOAD_ENTRY);
                     broadcastEvery(fleet, loads);
                 });
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerNode.java
@@ -99,7 +99,7 @@
     }
 
     private void tick() {
-        mFleet.later(
+        mFleet.schedule(
                 TICK_MICROS,
                 () -> {
                     step(new SidecarEvent.Tick());
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/ReducerScheme.java
@@ -92,7 +92,7 @@
             }
             routerState(request).onFailure(c.id(), mFleet.engines(e.service()).size());
             request.addHop();
-            mFleet.control().addPerRequest(ControlBytes.FAILOVER);
+            mFleet.controlBytes().addPerRequest(ControlBytes.FAILOVER);
         }
         mFleet.reject(request);
     }
@@ -140,7 +140,7 @@
                 onRefused(e.stream(), refused);
             }
         } else if (effect instanceof SidecarEffect.SendExchange e) {
-            mFleet.later(MESSAGE_MICROS, () -> from.onExchange(e.cursor()));
+            mFleet.schedule(MESSAGE_MICROS, () -> from.onExchange(e.cursor()));
         } else if (effect instanceof SidecarEffect.LocateChats e) {
             sendLookup(from, e);
         } else if (effect instanceof SidecarEffect.AnswerLocateChats e) {
@@ -155,7 +155,7 @@
     }
 
     private void sendEvent(ReducerNode to, SidecarEvent event) {
-        mFleet.later(MESSAGE_MICROS, () -> to.step(event));
+        mFleet.schedule(MESSAGE_MICROS, () -> to.step(event));
     }
 
     private void sendLookup(ReducerNode from, SidecarEffect.LocateChats ask) {
@@ -172,10 +172,10 @@
         Candidate home =
                 mFleet.sidecarView(at.engine()).ranking().home(request.turn().chat().key());
         routerState(request).onChatLocated(request.turn().chat().key(), at.engine().id(), home);
-        mFleet.control().addPerRequest(ControlBytes.ANSWER_HINT);
+        mFleet.controlBytes().addPerRequest(ControlBytes.ANSWER_HINT);
         mFleet.start(request, at.engine());
         // An end without an earlier head is a failure to the reducer.
-        mFleet.later(0, () -> at.onAnswerHead(attempt));
+        mFleet.schedule(0, () -> at.onAnswerHead(attempt));
     }
 
     /** Follows a redirect as a router does, or rejects the request. */
@@ -187,8 +187,8 @@
             return;
         }
         request.addRedirect();
-        mFleet.control().addPerRequest(ControlBytes.REDIRECT);
-        mFleet.later(MESSAGE_MICROS, () -> deliverRedirected(request, to));
+        mFleet.controlBytes().addPerRequest(ControlBytes.REDIRECT);
+        mFleet.schedule(MESSAGE_MICROS, () -> deliverRedirected(request, to));
     }
 
     private void deliverRedirected(Request request, Engine to) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterScheme.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/policy/RouterScheme.java
@@ -40,7 +40,7 @@
 
     @Override
     public void onArrival(Request request) {
-        mFleet.control().addPerRequest(mBytesPerRequest);
+        mFleet.controlBytes().addPerRequest(mBytesPerRequest);
         int router = request.turn().router();
         for (Candidate c : candidates(request, router)) {
             Engine e = mFleet.engine(c.id());
@@ -50,7 +50,7 @@
                 return;
             }
             request.addHop();
-            mFleet.control().addPerRequest(ControlBytes.FAILOVER);
+            mFleet.controlBytes().addPerRequest(ControlBytes.FAILOVER);
         }
         mFleet.reject(request);
     }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/Comparison.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/Comparison.java
@@ -7,26 +7,26 @@
 import org.laurelweir.benchmarks.measure.policy.Policy;
 
 /**
- * All policies on one deployment.
+ * The measurements of all policies on one deployment.
  *
- * @param deployment what was played
+ * @param deployment the fleet and its workload
  * @param seed of the arrivals, the churn and the lags
- * @param figures by policy
+ * @param figures measurements by policy
  */
 public record Comparison(Deployment deployment, long seed, Map<Policy, Figures> figures) {
-    /** Workers of the two-year size, from the developers' page. */
+    /** Backend servers at the two-year target size, from the developers' page. */
     static final int TARGET_WORKERS = 3800;
 
-    /** Requests a second of each of the 360 routers of the two-year size. */
-    static final double TARGET_REQUESTS = 11000.0 / 360;
+    /** Requests per second of each of the 360 routers at the two-year target size. */
+    static final double TARGET_REQUESTS_PER_ROUTER = 11000.0 / 360;
 
-    /** Client accounts with fewer requests are left out of shares by account. */
-    private static final int FEWEST_ARRIVALS = 200;
+    /** Client accounts with fewer requests are left out of {@link #worstRejectionShare}. */
+    private static final int MIN_ARRIVALS = 200;
 
-    /** Returns a policy's cache reuse against the all-knowing one's, while engines are replaced. */
-    double churnReuseOfBest(Policy policy) {
-        double best = figures.get(Policy.ALL_KNOWING).reuse().churnShare();
-        return figures.get(policy).reuse().churnShare() / best;
+    /** Returns a policy's cache reuse during churn, as a share of the oracle's. */
+    double churnReuseOfOracle(Policy policy) {
+        double oracle = figures.get(Policy.ALL_KNOWING).reuse().churnShare();
+        return figures.get(policy).reuse().churnShare() / oracle;
     }
 
     static double percentile(double[] values, double percent) {
@@ -35,17 +35,20 @@
         }
         double[] sorted = values.clone();
         Arrays.sort(sorted);
-        int at = (int) Math.ceil(percent / 100 * sorted.length) - 1;
-        return sorted[Math.max(0, at)];
+        int rank = (int) Math.ceil(percent / 100 * sorted.length) - 1;
+        return sorted[Math.max(0, rank)];
     }
 
-    /** Returns the largest share of its requests that any but a tiny account had rejected. */
+    /**
+     * Returns the largest share of rejected requests of any client account with at least {@link
+     * #MIN_ARRIVALS} requests.
+     */
     static double worstRejectionShare(Figures f) {
         long[] rejected = f.rejections();
         long[] arrived = f.arrivalsByAccount();
         double worst = 0;
         for (int i = 0; i < rejected.length; i++) {
-            if (arrived[i] >= FEWEST_ARRIVALS) {
+            if (arrived[i] >= MIN_ARRIVALS) {
                 worst = Math.max(worst, (double) rejected[i] / arrived[i]);
             }
         }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/JsonReport.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/JsonReport.java
@@ -7,8 +7,8 @@
 import java.io.UncheckedIOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import org.laurelweir.benchmarks.measure.fleet.CacheReuse;
 import org.laurelweir.benchmarks.measure.fleet.Figures;
-import org.laurelweir.benchmarks.measure.fleet.Reuse;
 
 /** Writes a comparison as measure.json. */
 public final class JsonReport {
@@ -17,7 +17,7 @@
 
     private JsonReport() {}
 
-    /** Writes the file, replacing an older one. */
+    /** Writes the file into the folder and replaces an existing one. */
     public static void write(Comparison c, Path folder) {
         ObjectNode root = MAPPER.createObjectNode();
         root.put("seed", c.seed());
@@ -27,7 +27,7 @@
                 .forEach(
                         (p, f) -> {
                             ObjectNode node = figures(f);
-                            node.put("churnReuseOfAllKnowing", c.churnReuseOfBest(p));
+                            node.put("churnReuseOfAllKnowing", c.churnReuseOfOracle(p));
                             policies.set(p.title(), node);
                         });
         try {
@@ -47,20 +47,21 @@
         node.put("skewP50", Comparison.percentile(skew, 50));
         node.put("skewP99", Comparison.percentile(skew, 99));
         node.put("skewMax", Comparison.percentile(skew, 100));
-        node.put("admittedOverFactor", f.startsOver());
-        node.put("controlBytesPerSecond", f.controlPerRouter());
+        node.put("admittedOverFactor", f.startedOverFactor());
+        node.put("controlBytesPerSecond", f.controlBytesPerRouter());
         node.put(
                 "controlBytesPerSecondAtTarget",
-                f.controlPerRouterAt(Comparison.TARGET_WORKERS, Comparison.TARGET_REQUESTS));
+                f.controlBytesPerRouterAt(
+                        Comparison.TARGET_WORKERS, Comparison.TARGET_REQUESTS_PER_ROUTER));
         node.put("addedHops", f.meanHops());
         node.put("addedHopsP99", f.p99Hops());
         node.put("deadlinesMet", f.deadlinesMet());
         node.put("firstTokenP50Millis", f.firstTokenMillis(50));
         node.put("firstTokenP95Millis", f.firstTokenMillis(95));
-        node.put("cutByCrash", f.cut());
+        node.put("cutByCrash", f.cutAnswers());
         node.set("rejectionsByAccount", MAPPER.valueToTree(f.rejections()));
         node.set("arrivalsByAccount", MAPPER.valueToTree(f.arrivalsByAccount()));
-        node.put("reuseStepSeconds", Reuse.STEP_SECONDS);
+        node.put("reuseStepSeconds", CacheReuse.STEP_SECONDS);
         node.set("reuseSeries", MAPPER.valueToTree(f.reuse().series()));
         node.set("skewSeries", MAPPER.valueToTree(skew));
         return node;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/PlotReport.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/PlotReport.java
@@ -8,35 +8,37 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.function.Function;
+import org.laurelweir.benchmarks.measure.fleet.CacheReuse;
 import org.laurelweir.benchmarks.measure.fleet.Figures;
-import org.laurelweir.benchmarks.measure.fleet.Reuse;
 
-/** Writes a plot for each measure: lines over time for reuse and skew, bars for the rest. */
+/** Writes an SVG plot for each measurement: lines over time for reuse and skew, else bars. */
 public final class PlotReport {
     private static final int SKEW_STEP_SECONDS = 10;
-    private static final int MINUTE = 60;
+    private static final int SECONDS_PER_MINUTE = 60;
 
     private PlotReport() {}
 
-    /** Writes the SVG files, replacing older ones. */
+    /** Writes the SVG files into the folder and replaces existing ones. */
     public static void write(Comparison c, Path folder) {
-        double warm = c.deployment().warmUpMinutes();
+        double warmUp = c.deployment().warmUpMinutes();
         Map<String, String> plots = new LinkedHashMap<>();
         plots.put(
                 "reuse",
                 lines(
                         c,
                         "Share of prompt tokens found cached on returning turns, over minutes",
-                        new SvgPlot.Scale(0, (double) Reuse.STEP_SECONDS / MINUTE),
+                        new SvgPlot.Scale(0, (double) CacheReuse.STEP_SECONDS / SECONDS_PER_MINUTE),
                         f -> f.reuse().series()));
         plots.put(
                 "skew",
                 lines(
                         c,
                         "Busiest engine over the mean, largest in 10 s, over minutes",
-                        new SvgPlot.Scale(warm, (double) SKEW_STEP_SECONDS / MINUTE),
+                        new SvgPlot.Scale(warmUp, (double) SKEW_STEP_SECONDS / SECONDS_PER_MINUTE),
                         f -> largest(f.skew(), SKEW_STEP_SECONDS)));
-        plots.put("control", bars(c, "Control bytes a second a router", Figures::controlPerRouter));
+        plots.put(
+                "control",
+                bars(c, "Control bytes a second a router", Figures::controlBytesPerRouter));
         plots.put("hops", bars(c, "Added hops a request", Figures::meanHops));
         plots.put("deadlines", bars(c, "Share of deadlines met", Figures::deadlinesMet));
         plots.put("rejections", rejections(c));
@@ -80,10 +82,10 @@
     }
 
     private static double[] largest(double[] values, int step) {
-        double[] largest = new double[(values.length + step - 1) / step];
+        double[] maxima = new double[(values.length + step - 1) / step];
         for (int i = 0; i < values.length; i++) {
-            largest[i / step] = Math.max(largest[i / step], values[i]);
+            maxima[i / step] = Math.max(maxima[i / step], values[i]);
         }
-        return largest;
+        return maxima;
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/SvgPlot.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/SvgPlot.java
@@ -13,7 +13,7 @@
     private static final int TOP = 40;
     private static final int PLOT_WIDTH = 640;
     private static final int PLOT_HEIGHT = 330;
-    private static final int LEGEND = LEFT + PLOT_WIDTH + 20;
+    private static final int LEGEND_X = LEFT + PLOT_WIDTH + 20;
     private static final int LEGEND_STEP = 20;
     private static final int TICKS = 5;
     private static final List<String> COLOURS =
@@ -22,7 +22,7 @@
     private final StringBuilder mOut = new StringBuilder();
 
     /**
-     * What the x axis means.
+     * The scale of the x axis.
      *
      * @param first x of the first value
      * @param step x from one value to the next
@@ -42,7 +42,7 @@
         mOut.append(String.format(Locale.ROOT, format, values));
     }
 
-    /** Returns a plot with one line a series; values that are NaN are left out. */
+    /** Returns a plot with one line for each series. NaN values are left out. */
     static String lines(String title, Scale scale, Map<String, double[]> series) {
         SvgPlot plot = new SvgPlot(title);
         double[] all = series.values().stream().flatMapToDouble(Arrays::stream).toArray();
@@ -59,7 +59,7 @@
         return plot.end();
     }
 
-    /** Returns a plot with a group of bars a series. */
+    /** Returns a plot with a group of bars for each series. */
     static String bars(String title, Map<String, double[]> series) {
         SvgPlot plot = new SvgPlot(title);
         double high = series.values().stream().flatMapToDouble(Arrays::stream).max().orElse(1);
@@ -123,8 +123,8 @@
     private void legend(int i, String name) {
         int y = TOP + LEGEND_STEP * i;
         String colour = COLOURS.get(i % COLOURS.size());
-        add("<rect x='%d' y='%d' width='12' height='12' fill='%s'/>%n", LEGEND, y, colour);
-        add("<text x='%d' y='%d'>%s</text>%n", LEGEND + LEGEND_STEP, y + 11, name);
+        add("<rect x='%d' y='%d' width='12' height='12' fill='%s'/>%n", LEGEND_X, y, colour);
+        add("<text x='%d' y='%d'>%s</text>%n", LEGEND_X + LEGEND_STEP, y + 11, name);
     }
 
     private String end() {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/TableReport.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/TableReport.java
@@ -12,31 +12,37 @@
 public final class TableReport {
     private static final List<Column> COLUMNS =
             List.of(
-                    new Column("reuse", "%.4f", (c, p) -> of(c, p).reuse().share()),
-                    new Column("in churn", "%.4f", (c, p) -> of(c, p).reuse().churnShare()),
-                    new Column("of all-knowing", "%.4f", Comparison::churnReuseOfBest),
+                    new Column("reuse", "%.4f", (c, p) -> figures(c, p).reuse().share()),
+                    new Column("in churn", "%.4f", (c, p) -> figures(c, p).reuse().churnShare()),
+                    new Column("of all-knowing", "%.4f", Comparison::churnReuseOfOracle),
                     new Column("skew p50", "%.3f", (c, p) -> skew(c, p, 50)),
                     new Column("p99", "%.3f", (c, p) -> skew(c, p, 99)),
                     new Column("max", "%.3f", (c, p) -> skew(c, p, 100)),
-                    new Column("admitted over factor", "%.4f", (c, p) -> of(c, p).startsOver()),
-                    new Column("control B/s", "%.0f", (c, p) -> of(c, p).controlPerRouter()),
+                    new Column(
+                            "admitted over factor",
+                            "%.4f",
+                            (c, p) -> figures(c, p).startedOverFactor()),
+                    new Column(
+                            "control B/s", "%.0f", (c, p) -> figures(c, p).controlBytesPerRouter()),
                     new Column("at 3,800 workers", "%.0f", TableReport::controlAtTarget),
-                    new Column("added hops", "%.3f", (c, p) -> of(c, p).meanHops()),
-                    new Column("rejected", "%.0f", (c, p) -> rejected(of(c, p))),
+                    new Column("added hops", "%.3f", (c, p) -> figures(c, p).meanHops()),
+                    new Column("rejected", "%.0f", (c, p) -> rejected(figures(c, p))),
                     new Column(
                             "worst account",
                             "%.4f",
-                            (c, p) -> Comparison.worstRejectionShare(of(c, p))),
-                    new Column("deadlines met", "%.4f", (c, p) -> of(c, p).deadlinesMet()),
+                            (c, p) -> Comparison.worstRejectionShare(figures(c, p))),
+                    new Column("deadlines met", "%.4f", (c, p) -> figures(c, p).deadlinesMet()),
                     new Column(
-                            "first token p95 ms", "%.0f", (c, p) -> of(c, p).firstTokenMillis(95)));
+                            "first token p95 ms",
+                            "%.0f",
+                            (c, p) -> figures(c, p).firstTokenMillis(95)));
 
     private TableReport() {}
 
     private record Column(
             String title, String format, BiFunction<Comparison, Policy, Double> value) {}
 
-    /** Returns the table of a comparison. */
+    /** Returns the comparison as a table with one row for each policy. */
     public static String table(Comparison c) {
         StringBuilder out = new StringBuilder();
         out.append(
@@ -65,16 +71,18 @@
         return cells.stream().collect(Collectors.joining(" | ", "| " + first + " | ", " |\n"));
     }
 
-    private static Figures of(Comparison c, Policy p) {
+    private static Figures figures(Comparison c, Policy p) {
         return c.figures().get(p);
     }
 
     private static double skew(Comparison c, Policy p, double percent) {
-        return Comparison.percentile(of(c, p).skew(), percent);
+        return Comparison.percentile(figures(c, p).skew(), percent);
     }
 
     private static double controlAtTarget(Comparison c, Policy p) {
-        return of(c, p).controlPerRouterAt(Comparison.TARGET_WORKERS, Comparison.TARGET_REQUESTS);
+        return figures(c, p)
+                .controlBytesPerRouterAt(
+                        Comparison.TARGET_WORKERS, Comparison.TARGET_REQUESTS_PER_ROUTER);
     }
 
     private static double rejected(Figures f) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/report/package-info.java
@@ -1,2 +1,2 @@
-/** Tables, JSON and plots of what was measured. */
+/** Writes the measurements as tables, JSON and plots. */
 package org.laurelweir.benchmarks.measure.report;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Chat.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Chat.java
@@ -3,10 +3,10 @@
 import org.laurelweir.placement.ChatKey;
 
 /**
- * A chat.
+ * A chat of the generated workload.
  *
- * @param id counts from 0
- * @param key its hash
+ * @param id number of the chat, from 0
+ * @param key hash that placement uses
  * @param service index of its service
  * @param account index of its client account
  */
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Samples.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Sampler.java
@@ -7,11 +7,11 @@
 import org.laurelweir.benchmarks.measure.Deployment.Pause;
 import org.laurelweir.benchmarks.measure.Deployment.Tokens;
 
-/** Draws from the distributions of a workload. */
-final class Samples {
+/** Draws random values from the distributions of a workload. */
+final class Sampler {
     private final SplittableRandom mRandom;
 
-    Samples(SplittableRandom random) {
+    Sampler(SplittableRandom random) {
         mRandom = random;
     }
 
@@ -19,7 +19,7 @@
         return mRandom.nextDouble();
     }
 
-    int below(int bound) {
+    int uniformInt(int bound) {
         return mRandom.nextInt(bound);
     }
 
@@ -27,7 +27,7 @@
         return -Math.log(1 - mRandom.nextDouble()) / rate;
     }
 
-    /** Returns how many times an event of a probability fails to come before it comes. */
+    /** Returns the number of failures before the first success, with a success probability. */
     int geometric(double probability) {
         return (int) (Math.log(1 - mRandom.nextDouble()) / Math.log(1 - probability));
     }
@@ -53,16 +53,19 @@
         return last.medianSeconds() * Math.exp(last.sigma() * gaussian());
     }
 
-    /** Returns a pause as one met at a given moment: the longer, the likelier to be met. */
+    /**
+     * Returns the length of a pause that covers a random moment. Long pauses cover more moments, so
+     * the distribution is length-biased.
+     */
     double lengthBiased(Pause p) {
         double median = p.medianSeconds() * Math.exp(p.sigma() * p.sigma());
         return median * Math.exp(p.sigma() * gaussian());
     }
 
-    /** Returns an index by cumulated shares. */
-    int pick(double[] upTo) {
-        int at = Arrays.binarySearch(upTo, mRandom.nextDouble());
-        return Math.min(upTo.length - 1, at < 0 ? -at - 1 : at + 1);
+    /** Returns a random index, weighted by cumulative shares that end at 1. */
+    int pickIndex(double[] cumulativeShares) {
+        int at = Arrays.binarySearch(cumulativeShares, mRandom.nextDouble());
+        return Math.min(cumulativeShares.length - 1, at < 0 ? -at - 1 : at + 1);
     }
 
     private double gaussian() {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/SurgeTrace.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/SurgeTrace.java
@@ -8,17 +8,19 @@
 import org.laurelweir.placement.ChatKey;
 
 /**
- * Adds one client account's surge to a trace and leaves every other turn as it was, so that two
- * runs differ in nothing but the surge.
+ * Adds one client account's surge to a trace. All other turns stay the same, so that two runs
+ * differ only in the surge.
  */
 public final class SurgeTrace {
     private static final double MICROS_PER_MINUTE = 60e6;
 
     private SurgeTrace() {}
 
-    /** Returns the trace with a surge of new chats of one turn; the same for the same seed. */
+    /**
+     * Returns the trace with a surge of new single-turn chats. Equal arguments give equal results.
+     */
     public static Trace add(Trace trace, Deployment deployment, Surge surge, long seed) {
-        int firstId = trace.turns().size() + trace.earlier().size();
+        int firstId = trace.turns().size() + trace.precedingTurns().size();
         long start = (long) (surge.startMinute() * MICROS_PER_MINUTE);
         List<Turn> turns = new ArrayList<>(trace.turns());
         for (Turn t : TraceGenerator.generate(surgeOnly(deployment, surge), seed).turns()) {
@@ -36,16 +38,16 @@
                             t.deadline()));
         }
         turns.sort(Comparator.comparingLong(Turn::at).thenComparingInt(t -> t.chat().id()));
-        return new Trace(trace.earlier(), turns);
+        return new Trace(trace.precedingTurns(), turns);
     }
 
     private static Deployment surgeOnly(Deployment d, Surge surge) {
-        double more = share(d.accounts(), surge.account()) * (surge.factor() - 1);
+        double addedShare = accountShare(d.accounts(), surge.account()) * (surge.factor() - 1);
         Deployment.Chats c = d.chats();
         return new Deployment(
                 d.name(),
                 d.routers(),
-                d.requestsPerSecond() * more,
+                d.requestsPerSecond() * addedShare,
                 surge.minutes(),
                 0,
                 d.services(),
@@ -66,8 +68,8 @@
                 List.of());
     }
 
-    /** Returns an account's share of the usual requests. */
-    public static double share(Deployment.Accounts accounts, int account) {
+    /** Returns an account's share of the requests without surges. */
+    public static double accountShare(Deployment.Accounts accounts, int account) {
         double sum = 0;
         for (int i = 1; i <= accounts.count(); i++) {
             sum += Math.pow(i, -accounts.skew());
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Trace.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/Trace.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * Everything that callers do in one run.
+ * The requests of all callers in one run.
  *
- * @param earlier the last turn before the run of each chat that may return, the oldest first
+ * @param precedingTurns the last turn before the run of each chat that may return, oldest first
  * @param turns the arrivals in order of time
  */
-public record Trace(List<Turn> earlier, List<Turn> turns) {}
+public record Trace(List<Turn> precedingTurns, List<Turn> turns) {}
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/workload/package-info.java
@@ -1,2 +1,2 @@
-/** Generated arrivals: chats that return, dossiers, client accounts and surges. */
+/** Generates arrivals: returning chats, dossiers (long openings), client accounts and surges. */
 package org.laurelweir.benchmarks.measure.workload;
--- a/org.laurelweir.benchmarks/src/test/java/org/laurelweir/benchmarks/measure/FairSharesTest.java
+++ b/org.laurelweir.benchmarks/src/test/java/org/laurelweir/benchmarks/measure/FairSharesTest.java
@@ -10,7 +10,7 @@
 import org.laurelweir.benchmarks.measure.workload.TraceGenerator;
 import org.laurelweir.benchmarks.measure.workload.Turn;
 
-/** Runs with one client account's surge. */
+/** Runs in which one client account surges. */
 class FairSharesTest {
     private static final long SEED = 5;
     private static final int ACCOUNT = 3;
@@ -22,10 +22,10 @@
     }
 
     @Test
-    void surgeAddsItsAccountsRequestsAndLeavesTheOthersAlone() {
-        Deployment d = FairShares.cut(Deployment.read("fjordvik"));
+    void surgeAddsOnlyRequestsOfItsAccount() {
+        Deployment d = FairShares.withoutSurges(Deployment.read("fjordvik"));
         Trace usual = TraceGenerator.generate(d, SEED);
-        int firstAdded = usual.turns().size() + usual.earlier().size();
+        int firstAdded = usual.turns().size() + usual.precedingTurns().size();
         Surge surge = new Surge(ACCOUNT, 10, 3, 10, 0);
         List<Turn> surged = SurgeTrace.add(usual, d, surge, SEED).turns();
         List<Turn> others = surged.stream().filter(t -> t.chat().id() < firstAdded).toList();
@@ -37,7 +37,8 @@
                             assertThat(t.chat().account()).isEqualTo(ACCOUNT);
                             assertThat(t.at()).isBetween(600_000_000L, 780_000_000L);
                         });
-        double expected = 9 * SurgeTrace.share(d.accounts(), ACCOUNT) * d.requestsPerSecond() * 180;
+        double expected =
+                9 * SurgeTrace.accountShare(d.accounts(), ACCOUNT) * d.requestsPerSecond() * 180;
         assertThat(added.size() / expected).isBetween(0.9, 1.1);
     }
 }
--- a/org.laurelweir.benchmarks/src/test/java/org/laurelweir/benchmarks/measure/RunTest.java
+++ b/org.laurelweir.benchmarks/src/test/java/org/laurelweir/benchmarks/measure/RunTest.java
@@ -16,7 +16,7 @@
 import org.laurelweir.benchmarks.measure.workload.TraceGenerator;
 import org.laurelweir.benchmarks.measure.workload.Turn;
 
-/** Runs of the measure program on a deployment that comes with it. */
+/** Runs the measure program on its bundled deployments. */
 class RunTest {
     private static final long SEED = 5;
 
@@ -41,7 +41,7 @@
         assertThat(other.reuse().series()).isEqualTo(one.reuse().series());
         assertThat(other.skew()).isEqualTo(one.skew());
         assertThat(other.rejections()).isEqualTo(one.rejections());
-        assertThat(other.controlPerRouter()).isEqualTo(one.controlPerRouter());
+        assertThat(other.controlBytesPerRouter()).isEqualTo(one.controlBytesPerRouter());
     }
 
     @ParameterizedTest
@@ -55,10 +55,10 @@
     }
 
     @Test
-    void reuseComesNearTheAllKnowingOneUnderTheFactor() {
+    void reuseIsCloseToTheOracleAndSkewStaysBelowTheFactor() {
         Figures ours = play(Policy.DIRECTORY);
-        double best = play(Policy.ALL_KNOWING).reuse().churnShare();
-        assertThat(ours.reuse().churnShare() / best).isGreaterThan(0.95);
+        double oracle = play(Policy.ALL_KNOWING).reuse().churnShare();
+        assertThat(ours.reuse().churnShare() / oracle).isGreaterThan(0.95);
         assertThat(Arrays.stream(ours.skew()).boxed())
                 .allSatisfy(s -> assertThat(s).isLessThan(mDeployment.bound().factor()));
     }
