--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/RankingBenchmark.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/RankingBenchmark.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Ranks the first three of a service's backend servers for one chat, in each way weighed. */
+/** Measures the ranking of a service's first three backend servers for a chat, by each method. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -30,15 +30,15 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 3, time = 1)
 public class RankingBenchmark {
-    private static final int RANKS = 3;
+    private static final int MAX_CANDIDATES = 3;
     private static final int RING_POINTS = 128;
-    private static final long STEP = 0x9E3779B97F4A7C15L;
+    private static final long CHAT_KEY_STEP = 0x9E3779B97F4A7C15L;
 
-    /** Backend servers of the service. */
+    /** Number of backend servers of the service. */
     @Param({"100", "1000", "4000"})
     public int servers;
 
-    /** The way of ranking. */
+    /** The ranking method. */
     @Param({"multiprobe", "rendezvous", "weightedRendezvous", "ring"})
     public String way;
 
@@ -63,10 +63,10 @@
         return way.equals("multiprobe") ? Ranking.of(all)::top : new RendezvousRanker(all);
     }
 
-    /** Ranks three servers for another chat at each call. */
+    /** Ranks three servers, for a different chat at each call. */
     @Benchmark
     public List<Candidate> top() {
-        mChat += STEP;
-        return mRanker.top(new ChatKey(mChat), RANKS);
+        mChat += CHAT_KEY_STEP;
+        return mRanker.top(new ChatKey(mChat), MAX_CANDIDATES);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Fleet.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Fleet.java
@@ -184,7 +184,7 @@
     }
 
     /** Applies a membership event to its engine and to the views. */
-    void apply(MembershipEvent event) {
+    void applyEvent(MembershipEvent event) {
         ViewTimeline timeline = mTimelines.get(event.service());
         Engine e = mEngines.get(event.engine());
         switch (event.kind()) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/measure/fleet/Run.java
@@ -46,7 +46,7 @@
     public Figures play() {
         fillCaches();
         for (MembershipEvent e : mChurnEvents) {
-            mFleet.timers().add(e.at(), () -> mFleet.apply(e));
+            mFleet.timers().add(e.at(), () -> mFleet.applyEvent(e));
         }
         long loadPeriod = mFleet.deployment().lags().loadMillis() * MICROS_PER_MILLI;
         repeat(loadPeriod, mFleet::report);
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks of the decisions: time and bytes allocated per step. */
+/** JMH benchmarks of placement decisions: time and allocated bytes per decision. */
 package org.laurelweir.benchmarks;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/Ranker.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/Ranker.java
@@ -4,14 +4,14 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
 
-/** A way of ranking backend servers for a chat. */
+/** Ranks backend servers for a chat. */
 @FunctionalInterface
 public interface Ranker {
     /**
-     * Returns the first in rank.
+     * Returns the servers that rank first, best first.
      *
      * @param chat the chat
-     * @param k how many at most
+     * @param k maximum number of servers
      */
     List<Candidate> top(ChatKey chat, int k);
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/RendezvousRanker.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/RendezvousRanker.java
@@ -9,17 +9,17 @@
 import org.laurelweir.placement.ChatKey;
 
 /**
- * Plain weighted rendezvous hashing: a score for every server at every request, over hashes of the
- * servers' names that are computed once.
+ * Weighted rendezvous hashing. Every request computes a score for every server, from hashes of the
+ * server names that are computed once.
  */
 public final class RendezvousRanker implements Ranker {
-    private static final double UNIT = 0x1.0p-53;
+    private static final double TO_UNIT_INTERVAL = 0x1.0p-53;
 
     private final List<Candidate> mCandidates;
     private final long[] mSeeds;
     private final boolean mWeighted;
 
-    /** Prepares the hashes. */
+    /** Creates a ranker and computes the hashes of the server names. */
     public RendezvousRanker(Collection<Candidate> candidates) {
         mCandidates = candidates.stream().sorted(Comparator.comparing(Candidate::id)).toList();
         mSeeds =
@@ -31,16 +31,16 @@
 
     @Override
     public List<Candidate> top(ChatKey chat, int k) {
-        int wanted = Math.min(k, mSeeds.length);
-        double[] scores = new double[wanted];
-        int[] owners = new int[wanted];
+        int maxCount = Math.min(k, mSeeds.length);
+        double[] scores = new double[maxCount];
+        int[] owners = new int[maxCount];
         int count = 0;
         for (int i = 0; i < mSeeds.length; i++) {
             double score = score(chat.hash(), i);
-            if (count == wanted && score <= scores[count - 1]) {
+            if (count == maxCount && score <= scores[count - 1]) {
                 continue;
             }
-            int at = count < wanted ? count++ : count - 1;
+            int at = count < maxCount ? count++ : count - 1;
             while (at > 0 && scores[at - 1] < score) {
                 scores[at] = scores[at - 1];
                 owners[at] = owners[at - 1];
@@ -57,7 +57,7 @@
     }
 
     private double score(long chat, int i) {
-        double unit = ((mix(chat ^ mSeeds[i]) >>> 11) + 0.5) * UNIT;
+        double unit = ((mix(chat ^ mSeeds[i]) >>> 11) + 0.5) * TO_UNIT_INTERVAL;
         return mWeighted ? -mCandidates.get(i).weight() / Math.log(unit) : unit;
     }
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/RingRanker.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/RingRanker.java
@@ -9,17 +9,20 @@
 import org.laurelweir.placement.Candidate;
 import org.laurelweir.placement.ChatKey;
 
-/** A consistent-hash ring: the chat's one point, and the next different servers on the ring. */
+/**
+ * Consistent hashing on a ring. A chat has one point; the servers that follow it on the ring rank
+ * first, each counted once.
+ */
 public final class RingRanker implements Ranker {
     private final List<Candidate> mCandidates;
     private final long[] mPoints;
     private final int[] mOwners;
 
     /**
-     * Builds the ring.
+     * Creates a ranker and builds the ring.
      *
      * @param candidates the servers
-     * @param pointsPerServer points of each
+     * @param pointsPerServer number of points of each server on the ring
      */
     public RingRanker(Collection<Candidate> candidates, int pointsPerServer) {
         mCandidates = candidates.stream().sorted(Comparator.comparing(Candidate::id)).toList();
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/ranking/package-info.java
@@ -1,2 +1,2 @@
-/** The ways of ranking backend servers that were weighed against the one in use. */
+/** Ranking methods that are compared with the one in use. */
 package org.laurelweir.benchmarks.ranking;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlDriver.java
@@ -28,19 +28,19 @@
 import org.laurelweir.wire.CommandCodec;
 
 /**
- * Drives the reducer of one of seven control instances: it hears a seventh of the backend servers
- * itself and knows the others from its peers.
+ * Passes events to the reducer of one of seven control instances. A seventh of the backend servers
+ * exchange with this instance; it learns of the others from its peers.
  */
 final class ControlDriver {
     static final int INSTANCES = 7;
     static final int ROUTERS = 360;
 
     private static final Duration TICK = Duration.ofMillis(20);
-    private static final int TICKS_A_SECOND = 50;
-    private static final int SHARES_A_SECOND = 2;
+    private static final int TICKS_PER_SECOND = 50;
+    private static final int PEER_EXCHANGES_PER_SECOND = 2;
 
     private final ControlReducer mControl;
-    private final List<Backend> mHeard = new ArrayList<>();
+    private final List<Backend> mOwnBackends = new ArrayList<>();
     private Instant mNow = Instant.EPOCH;
     private MembershipCursor mCursor = MembershipCursor.NONE;
     private long mPeerVersion = 1;
@@ -48,10 +48,11 @@
     ControlDriver(int backends) {
         Map<String, String> addresses = new TreeMap<>();
         for (int i = 1; i <= INSTANCES; i++) {
-            addresses.put(name(i), "10.3.0." + i + ":7000");
+            addresses.put(instanceName(i), "10.3.0." + i + ":7000");
         }
-        ReplicaId self = new ReplicaId(name(1), 1);
-        ControlConfig config = ControlConfig.builder(self, Samples.RUN, addresses).build();
+        ReplicaId self = new ReplicaId(instanceName(1), 1);
+        ControlConfig config =
+                ControlConfig.builder(self, SampleData.INCARNATION, addresses).build();
         mControl = new ControlReducer(config, new CommandCodec(), 1);
         step(
                 new ControlEvent.ReplicaEvent(
@@ -59,57 +60,58 @@
         fill(backends);
     }
 
-    private static String name(int instance) {
+    private static String instanceName(int instance) {
         return "control-" + instance;
     }
 
     private void fill(int backends) {
         List<Announcement> others = new ArrayList<>();
         for (int i = 0; i < backends; i++) {
-            Backend b = Samples.backend(i, Samples.service(i / INSTANCES), 1);
+            Backend b = SampleData.backend(i, SampleData.service(i / INSTANCES), 1);
             if (i % INSTANCES == 0) {
-                mHeard.add(b);
+                mOwnBackends.add(b);
             } else {
-                others.add(new Announcement(b, name(1 + i % INSTANCES)));
+                others.add(new Announcement(b, instanceName(1 + i % INSTANCES)));
             }
         }
         step(new ControlEvent.PeerAnnounced(others, List.of(), PeerLoads.NONE));
-        mHeard.forEach(this::hear);
+        mOwnBackends.forEach(this::exchange);
     }
 
     private void step(ControlEvent event) {
-        mControl.step(mNow, event, this::take);
+        mControl.step(mNow, event, this::onEffect);
     }
 
-    private void take(ControlEffect effect) {
+    private void onEffect(ControlEffect effect) {
         if (effect instanceof ControlEffect.AnswerExchange a) {
             mCursor = a.membership().cursor();
         }
     }
 
-    private void hear(Backend backend) {
-        step(new ControlEvent.SidecarExchanged(1, Samples.sidecarReport(backend), mCursor, 0));
+    private void exchange(Backend backend) {
+        step(new ControlEvent.SidecarExchanged(1, SampleData.sidecarReport(backend), mCursor, 0));
     }
 
-    /** Lets one of the sidecars exchange, without news. */
+    /** Delivers the exchange of a sidecar without changes. */
     void exchangeSidecar(int number) {
-        hear(mHeard.get(number % mHeard.size()));
+        exchange(mOwnBackends.get(number % mOwnBackends.size()));
     }
 
-    /** Lets a sidecar exchange under a new session: one change for everyone. */
+    /** Delivers the exchange of a sidecar under a new session, which is one membership change. */
     void changeSidecar(int number, int session) {
-        int index = number % mHeard.size();
-        Backend again = Samples.backend(index * INSTANCES, mHeard.get(index).service(), session);
-        mHeard.set(index, again);
-        hear(again);
+        int index = number % mOwnBackends.size();
+        Backend renewed =
+                SampleData.backend(index * INSTANCES, mOwnBackends.get(index).service(), session);
+        mOwnBackends.set(index, renewed);
+        exchange(renewed);
     }
 
-    /** Lets a router exchange that has everything. */
+    /** Delivers the exchange of a router whose membership is up to date. */
     void exchangeRouter(int number) {
         exchangeRouter(number, mCursor);
     }
 
-    /** Lets a router exchange that is given the whole membership. */
+    /** Delivers the exchange of a new router, which receives the whole membership. */
     void exchangeNewRouter(int number) {
         MembershipCursor current = mCursor;
         exchangeRouter(number, MembershipCursor.NONE);
@@ -120,54 +122,58 @@
         step(
                 new ControlEvent.RouterExchanged(
                         1,
-                        Samples.routerReport(number),
+                        SampleData.routerReport(number),
                         cursor,
                         0,
                         CrashReport.NONE,
                         LoadReport.NONE));
     }
 
-    /** Lets a second go by without news: ticks, every exchange, and every peer's. */
-    void second() {
-        for (int i = 0; i < TICKS_A_SECOND; i++) {
+    /** Runs one second without changes: ticks, all exchanges, and the updates of all peers. */
+    void runSecond() {
+        for (int i = 0; i < TICKS_PER_SECOND; i++) {
             mNow = mNow.plus(TICK);
             step(new ControlEvent.Tick());
         }
-        mHeard.forEach(this::hear);
+        mOwnBackends.forEach(this::exchange);
         for (int i = 0; i < ROUTERS / INSTANCES; i++) {
             exchangeRouter(i);
         }
-        for (int i = 0; i < SHARES_A_SECOND; i++) {
-            share();
+        for (int i = 0; i < PEER_EXCHANGES_PER_SECOND; i++) {
+            exchangeWithPeers();
         }
     }
 
-    /** Lets a tick go by. */
+    /** Delivers a tick. */
     void tick() {
         step(new ControlEvent.Tick());
     }
 
-    private void share() {
+    private void exchangeWithPeers() {
         mPeerVersion++;
         for (int i = 2; i <= INSTANCES; i++) {
             step(new ControlEvent.PeerUpdateRequested(1, "peer", mCursor, 0, false));
             step(
                     new ControlEvent.PeerUpdateReceived(
-                            name(i), peerShare(name(i)), CrashDelta.NONE, List.of(), peer(i)));
+                            instanceName(i),
+                            peerUpdate(instanceName(i)),
+                            CrashDelta.NONE,
+                            List.of(),
+                            peerStatus(i)));
         }
     }
 
-    private PeerUpdate peerShare(String peer) {
+    private PeerUpdate peerUpdate(String peer) {
         List<ServiceSum> sums = new ArrayList<>();
-        for (int i = 0; i < Samples.SERVICES; i++) {
-            sums.add(new ServiceSum(Samples.service(i), 1e6, 15, 15));
+        for (int i = 0; i < SampleData.SERVICES; i++) {
+            sums.add(new ServiceSum(SampleData.service(i), 1e6, 15, 15));
         }
-        MembershipCursor cursor = new MembershipCursor(peer, Samples.RUN, mPeerVersion);
+        MembershipCursor cursor = new MembershipCursor(peer, SampleData.INCARNATION, mPeerVersion);
         return new PeerUpdate(cursor, List.of(), sums);
     }
 
-    private static ControlInstanceStatus peer(int instance) {
-        ReplicaId id = new ReplicaId(name(instance), 1);
+    private static ControlInstanceStatus peerStatus(int instance) {
+        ReplicaId id = new ReplicaId(instanceName(instance), 1);
         return new ControlInstanceStatus(id, "10.3.0.9:7000", false, 1, 1, false, Membership.EMPTY);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ControlSteps.java
@@ -4,7 +4,7 @@
 import org.laurelweir.coordination.ControlState;
 import org.laurelweir.wire.CommandCodec;
 
-/** The control instance's steps and state. */
+/** Measures a control instance's steps and the heap size of its state. */
 final class ControlSteps {
     private static final int[] BACKENDS = {100, 1_000, 4_000};
     private static final int[] CLAIMS = {10_000, 100_000, 1_000_000};
@@ -18,7 +18,11 @@
         out.steps("sidecar's exchange without news", "backends", BACKENDS, ControlSteps::sidecar);
         out.steps("sidecar's exchange with a change", "backends", BACKENDS, ControlSteps::change);
         out.steps("router's exchange without news", "backends", BACKENDS, ControlSteps::router);
-        out.steps("new router's exchange (whole view)", "backends", BACKENDS, ControlSteps::whole);
+        out.steps(
+                "new router's exchange (whole view)",
+                "backends",
+                BACKENDS,
+                ControlSteps::newRouter);
         out.steps("tick (each 20 ms)", "backends", BACKENDS, ControlSteps::tick);
         out.steps("a second of all of these, no news", "backends", BACKENDS, ControlSteps::second);
         out.heading("control: the state machine over the log");
@@ -33,8 +37,9 @@
         out.heading("control: heap of the state");
         out.heap("backend server", "backends", BACKENDS, n -> () -> new ControlDriver(n));
         out.heap("claim", "claims", CLAIMS, n -> () -> withClaims(n));
-        out.heap("client account's settings node", "accounts", ACCOUNTS, n -> () -> accounts(n));
-        out.heap("change id with its history", "changes", CHANGES, n -> () -> changed(n));
+        out.heap(
+                "client account's settings node", "accounts", ACCOUNTS, n -> () -> withAccounts(n));
+        out.heap("change id with its history", "changes", CHANGES, n -> () -> withChanges(n));
     }
 
     private static Runnable sidecar(int backends) {
@@ -58,7 +63,7 @@
         return () -> control.exchangeRouter(number[0]++ % ControlDriver.ROUTERS);
     }
 
-    private static Runnable whole(int backends) {
+    private static Runnable newRouter(int backends) {
         ControlDriver control = new ControlDriver(backends);
         int[] number = {0};
         return () -> control.exchangeNewRouter(number[0]++ % ControlDriver.ROUTERS);
@@ -69,24 +74,26 @@
     }
 
     private static Runnable second(int backends) {
-        return new ControlDriver(backends)::second;
+        return new ControlDriver(backends)::runSecond;
     }
 
     private static ControlState withClaims(int claims) {
         ControlState state = new ControlState(ControlState.Limits.DEFAULT);
         for (int i = 0; i < claims; i++) {
-            state.apply(i + 1, Samples.claim(Instant.EPOCH.plusMillis(i), i));
+            state.apply(i + 1, SampleData.claim(Instant.EPOCH.plusMillis(i), i));
         }
         return state;
     }
 
-    /** Time passes as fast as claims come, so that none expires meanwhile. */
+    /**
+     * Returns a step that applies a claim. Time advances 1 ms a claim, so that no claim expires.
+     */
     private static Runnable claim(int claims) {
         ControlState state = withClaims(claims);
         int[] next = {claims};
         return () -> {
             Instant at = Instant.EPOCH.plusMillis(next[0]);
-            state.apply(next[0] + 1, Samples.claim(at, next[0]));
+            state.apply(next[0] + 1, SampleData.claim(at, next[0]));
             next[0]++;
         };
     }
@@ -97,25 +104,25 @@
         return () -> codec.encode(state.snapshot());
     }
 
-    private static ControlState accounts(int accounts) {
+    private static ControlState withAccounts(int accounts) {
         ControlState state = new ControlState(ControlState.Limits.DEFAULT);
-        state.restore(Samples.snapshot(accounts));
+        state.restore(SampleData.snapshot(accounts));
         return state;
     }
 
     private static Runnable settings(int accounts) {
-        ControlState state = accounts(accounts);
+        ControlState state = withAccounts(accounts);
         int[] next = {1};
         return () -> change(state, ++next[0], next[0] % accounts);
     }
 
     private static Runnable tree(int accounts) {
-        ControlState state = accounts(accounts);
+        ControlState state = withAccounts(accounts);
         return () -> state.settings().deltaSince(0);
     }
 
-    private static ControlState changed(int changes) {
-        ControlState state = accounts(1);
+    private static ControlState withChanges(int changes) {
+        ControlState state = withAccounts(1);
         for (int i = 0; i < changes; i++) {
             change(state, i + 2, 0);
         }
@@ -123,8 +130,9 @@
     }
 
     private static void change(ControlState state, int position, int account) {
-        long version = state.settings().tree().node(Samples.accountPath(account)).get().version();
+        long version =
+                state.settings().tree().node(SampleData.accountPath(account)).get().version();
         Instant at = Instant.EPOCH.plusSeconds(position);
-        state.apply(position, Samples.change(at, position, account, version));
+        state.apply(position, SampleData.change(at, position, account, version));
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Cost.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Cost.java
@@ -1,9 +1,9 @@
 package org.laurelweir.benchmarks.steps;
 
 /**
- * What one call costs.
+ * The cost of one call.
  *
- * @param nanos processor time, in nanoseconds
- * @param bytes allocated on the heap
+ * @param nanos CPU time in nanoseconds
+ * @param bytes bytes allocated on the heap
  */
 record Cost(double nanos, double bytes) {}
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Heap.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/HeapMeter.java
@@ -7,21 +7,21 @@
 import java.util.function.Supplier;
 
 /**
- * Measures what a state keeps on the heap, garbage left out. Needs
- * -XX:MarkSweepAlwaysCompactCount=1: else three of four collections leave some garbage where it is,
- * and it counts as used.
+ * Measures the heap memory that a state retains, without garbage. The virtual machine must run with
+ * -XX:MarkSweepAlwaysCompactCount=1. Otherwise three of four collections leave some garbage in
+ * place, which then counts as used.
  */
-final class Heap {
+final class HeapMeter {
     private static final MemoryMXBean sMemory = ManagementFactory.getMemoryMXBean();
 
     private static final int ROUNDS = 3;
 
-    private Heap() {}
+    private HeapMeter() {}
 
     /**
-     * Returns the bytes that a state keeps, all that it alone leads to included: the median of
-     * several, since the virtual machine's own objects come and go meanwhile. The first one also
-     * loads classes and fills caches, and is left out.
+     * Returns the bytes that a state retains, with all objects reachable only through it. The
+     * result is the median of several measurements, since the virtual machine's own objects change
+     * meanwhile. The state is created once before them, to load classes and fill caches.
      */
     static long bytesOf(Supplier<?> state) {
         state.get();
@@ -35,9 +35,9 @@
 
     private static long measure(Supplier<?> state) {
         long before = used();
-        Object kept = state.get();
+        Object retained = state.get();
         long after = used();
-        Reference.reachabilityFence(kept);
+        Reference.reachabilityFence(retained);
         return after - before;
     }
 
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/LogSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/LogSteps.java
@@ -5,13 +5,13 @@
 import org.laurelweir.settings.SettingsLookup;
 import org.laurelweir.settings.SettingsReader;
 
-/** The steps of the replicated log, and of those who read what follows from it. */
+/** Measures the steps of the replicated log and of a reader of the settings. */
 final class LogSteps {
     private static final int[] VOTERS = {3, 5, 7};
     private static final int[] PAYLOADS = {200, 2_000, 20_000};
     private static final int[] ACCOUNTS = {1_000, 5_000, 19_000};
 
-    private static final int[] RESOLVED = {1_000, 4_000, 8_000};
+    private static final int[] RESOLVED_ACCOUNTS = {1_000, 4_000, 8_000};
 
     private LogSteps() {}
 
@@ -28,8 +28,12 @@
 
     static void reportHeap(Report out) {
         out.heading("settings: heap of a reader");
-        out.heap("client account's settings node", "accounts", ACCOUNTS, n -> () -> reader(n));
-        out.heap("resolved settings of an account", "accounts", RESOLVED, n -> () -> resolved(n));
+        out.heap("client account's settings node", "accounts", ACCOUNTS, n -> () -> newReader(n));
+        out.heap(
+                "resolved settings of an account",
+                "accounts",
+                RESOLVED_ACCOUNTS,
+                n -> () -> withResolvedAccounts(n));
     }
 
     private static Runnable proposal(int voters, int bytes) {
@@ -38,22 +42,22 @@
         return () -> group.propose(command);
     }
 
-    private static SettingsReader reader(int accounts) {
+    private static SettingsReader newReader(int accounts) {
         SettingsReader reader = new SettingsReader();
-        reader.apply(new SettingsDelta(1, true, Samples.accountNodes(accounts)));
+        reader.apply(new SettingsDelta(1, true, SampleData.accountNodes(accounts)));
         return reader;
     }
 
-    private static SettingsLookup resolved(int accounts) {
+    private static SettingsLookup withResolvedAccounts(int accounts) {
         SettingsLookup lookup = new SettingsLookup("region-0", "data-centre-0");
         for (int i = 0; i < accounts; i++) {
-            lookup.effective(Samples.service(0), Samples.account(i));
+            lookup.effective(SampleData.service(0), SampleData.account(i));
         }
         return lookup;
     }
 
     private static Runnable change(int accounts) {
-        SettingsReader reader = reader(accounts);
+        SettingsReader reader = newReader(accounts);
         int[] next = {1};
         return () -> {
             int position = ++next[0];
@@ -61,19 +65,19 @@
                     new SettingsDelta(
                             position,
                             false,
-                            List.of(Samples.accountNode(position % accounts, position))));
+                            List.of(SampleData.accountNode(position % accounts, position))));
         };
     }
 
     private static Runnable lookup(int accounts, boolean changed) {
-        SettingsReader reader = reader(accounts);
+        SettingsReader reader = newReader(accounts);
         SettingsLookup lookup = new SettingsLookup("region-0", "data-centre-0");
         lookup.setTree(reader.tree());
         return () -> {
             if (changed) {
                 lookup.setTree(reader.tree());
             }
-            lookup.effective(Samples.service(0), Samples.account(accounts / 2));
+            lookup.effective(SampleData.service(0), SampleData.account(accounts / 2));
         };
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Main.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Main.java
@@ -12,20 +12,20 @@
     private Main() {}
 
     /**
-     * Measures the parts that the arguments name, or all of them.
+     * Measures the named parts, or all of them without arguments.
      *
-     * @param args names of parts; exits with 2 where one is unknown
+     * @param args names of parts; the program exits with status 2 if one is unknown
      */
     public static void main(String[] args) {
         Map<String, Consumer<Report>> parts = parts();
-        List<String> wanted = args.length == 0 ? List.copyOf(parts.keySet()) : List.of(args);
-        if (!parts.keySet().containsAll(wanted)) {
+        List<String> selected = args.length == 0 ? List.copyOf(parts.keySet()) : List.of(args);
+        if (!parts.keySet().containsAll(selected)) {
             System.err.println(
                     "usage: measure-steps [" + String.join("|", parts.keySet()) + "]...");
             System.exit(EXIT_USAGE);
         }
         Report report = new Report(System.out);
-        wanted.forEach(p -> parts.get(p).accept(report));
+        selected.forEach(p -> parts.get(p).accept(report));
     }
 
     private static Map<String, Consumer<Report>> parts() {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/ReplicaGroup.java
@@ -16,7 +16,7 @@
 import org.laurelweir.consensus.Role;
 import org.laurelweir.consensus.Snapshot;
 
-/** Replicas of a log that reach each other at once and whose disks sync at once. */
+/** A group of log replicas whose messages and disk writes complete without delay. */
 final class ReplicaGroup {
     private static final Duration TICK = Duration.ofMillis(20);
 
@@ -33,36 +33,36 @@
         for (int i = 1; i <= voters; i++) {
             ReplicaId id = new ReplicaId("control-" + i, i);
             mReplicas.put(id, new ConsensusReducer(id, config, i));
-            give(id, new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of()));
+            deliver(id, new ConsensusEvent.Recovered(HardState.INITIAL, Snapshot.NONE, List.of()));
         }
         ReplicaId first = mReplicas.keySet().iterator().next();
         Membership all = Membership.ofVoters(mReplicas.keySet());
-        give(first, new ConsensusEvent.Bootstrapped(all));
+        deliver(first, new ConsensusEvent.Bootstrapped(all));
         while (mLeader == null) {
             tick();
         }
     }
 
-    /** Lets a tick go by at every replica. */
+    /** Advances the time by one tick at every replica. */
     void tick() {
         mNow = mNow.plus(TICK);
-        mReplicas.keySet().forEach(id -> give(id, new ConsensusEvent.Tick()));
+        mReplicas.keySet().forEach(id -> deliver(id, new ConsensusEvent.Tick()));
     }
 
-    /** Proposes a command and lets everything happen that follows from it. */
+    /** Proposes a command at the leader and delivers all events that follow from it. */
     void propose(byte[] command) {
-        give(mLeader, new ConsensusEvent.Proposed(++mProposals, command));
+        deliver(mLeader, new ConsensusEvent.Proposed(++mProposals, command));
     }
 
-    private void give(ReplicaId to, ConsensusEvent event) {
+    private void deliver(ReplicaId to, ConsensusEvent event) {
         mQueue.add(new Delivery(to, event));
         while (!mQueue.isEmpty()) {
             Delivery d = mQueue.poll();
-            mReplicas.get(d.to()).step(mNow, d.event(), e -> take(d.to(), e));
+            mReplicas.get(d.to()).step(mNow, d.event(), e -> applyEffect(d.to(), e));
         }
     }
 
-    private void take(ReplicaId self, ConsensusEffect effect) {
+    private void applyEffect(ReplicaId self, ConsensusEffect effect) {
         if (effect instanceof ConsensusEffect.Send s) {
             mQueue.add(new Delivery(s.to(), new ConsensusEvent.MessageReceived(self, s.message())));
         } else if (effect instanceof ConsensusEffect.Persist p) {
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Report.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Report.java
@@ -7,7 +7,7 @@
 import java.util.function.IntFunction;
 import java.util.function.Supplier;
 
-/** Runs measurements at their sizes and prints a line for each. */
+/** Runs measurements at several sizes and prints a line for each. */
 final class Report {
     private final PrintStream mOut;
 
@@ -20,41 +20,44 @@
     }
 
     /**
-     * Measures a step at several sizes. The last column is the exponent b of cost = a size^b
-     * between the least and the greatest size: 0 is constant, 1 linear.
+     * Measures a step at several sizes. The last column is the exponent b in cost = a * size^b
+     * between the smallest and the largest size: 0 is constant cost, 1 is linear.
      *
-     * @param name of the step
-     * @param unit of the sizes
-     * @param sizes rising
-     * @param prepare fills a state of a size and returns one call of the step
+     * @param name name of the step
+     * @param unit unit of the sizes
+     * @param sizes sizes in ascending order
+     * @param prepare creates a state of a size and returns one call of the step
      */
     void steps(String name, String unit, int[] sizes, IntFunction<Runnable> prepare) {
         List<String> cells = new ArrayList<>();
         Cost first = null;
         Cost last = null;
         for (int size : sizes) {
-            last = Meter.measure(prepare.apply(size));
+            last = CallMeter.measure(prepare.apply(size));
             first = first == null ? last : first;
-            cells.add(text("%,d: %,.0f ns %,.0f B", size, last.nanos(), last.bytes()));
+            cells.add(format("%,d: %,.0f ns %,.0f B", size, last.nanos(), last.bytes()));
         }
         double growth = Math.log((double) sizes[sizes.length - 1] / sizes[0]);
         String exponent =
-                text(
+                format(
                         "b %.2f time %.2f bytes",
                         Math.log(last.nanos() / first.nanos()) / growth,
                         Math.log(Math.max(1, last.bytes()) / Math.max(1, first.bytes())) / growth);
         mOut.printf("%-44s %-9s %s | %s%n", name, unit, String.join(" | ", cells), exponent);
     }
 
-    /** Measures what a state keeps at several sizes; the last column is the slope between them. */
+    /**
+     * Measures the heap size of a state at several sizes. The last column is the slope of a
+     * least-squares fit, in bytes per element.
+     */
     void heap(String name, String unit, int[] sizes, IntFunction<Supplier<?>> state) {
         List<String> cells = new ArrayList<>();
         long[] bytes = new long[sizes.length];
         for (int i = 0; i < sizes.length; i++) {
-            bytes[i] = Heap.bytesOf(state.apply(sizes[i]));
-            cells.add(text("%,d: %,.1f KiB", sizes[i], bytes[i] / 1024.0));
+            bytes[i] = HeapMeter.bytesOf(state.apply(sizes[i]));
+            cells.add(format("%,d: %,.1f KiB", sizes[i], bytes[i] / 1024.0));
         }
-        String fit = text("%,.0f B each", slope(sizes, bytes));
+        String fit = format("%,.0f B each", slope(sizes, bytes));
         mOut.printf("%-44s %-9s %s | %s%n", name, unit, String.join(" | ", cells), fit);
     }
 
@@ -63,7 +66,7 @@
         mOut.printf("%-60s %,d B%n", message, bytes);
     }
 
-    /** Returns the least-squares slope. */
+    /** Returns the slope of the least-squares line. */
     private static double slope(int[] x, long[] y) {
         double meanX = 0;
         double meanY = 0;
@@ -71,16 +74,16 @@
             meanX += (double) x[i] / x.length;
             meanY += (double) y[i] / x.length;
         }
-        double over = 0;
-        double under = 0;
+        double covariance = 0;
+        double variance = 0;
         for (int i = 0; i < x.length; i++) {
-            over += (x[i] - meanX) * (y[i] - meanY);
-            under += (x[i] - meanX) * (x[i] - meanX);
+            covariance += (x[i] - meanX) * (y[i] - meanY);
+            variance += (x[i] - meanX) * (x[i] - meanX);
         }
-        return over / under;
+        return covariance / variance;
     }
 
-    private static String text(String format, Object... arguments) {
+    private static String format(String format, Object... arguments) {
         return String.format(Locale.ROOT, format, arguments);
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterDriver.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterDriver.java
@@ -16,31 +16,33 @@
 import org.laurelweir.routing.RouterEvent;
 import org.laurelweir.routing.RouterReducer;
 
-/** Drives a router's reducer as its shell would. */
+/** Passes events to a router's reducer in place of the router process. */
 final class RouterDriver {
     private static final int ACCOUNTS = 19_000;
 
-    /** Answers take their time here without being given up. */
-    private static final RequestPolicy POLICY = patient(RequestPolicy.DEFAULT);
+    /** The silence timeout is one day, so that no attempt is given up while it is measured. */
+    private static final RequestPolicy POLICY = withLongSilenceTimeout(RequestPolicy.DEFAULT);
 
     private final RouterReducer mRouter;
     private Instant mNow = Instant.EPOCH;
-    private RouterEffect.BeginAttempt mBegun;
-    private long mCaller;
+    private RouterEffect.BeginAttempt mLastAttempt;
+    private long mLastCaller;
     private long mVersion = 1;
 
     /**
      * Creates a driver.
      *
-     * @param backends how many backend servers the router knows, all of one service
-     * @param chatSeats how many chats it remembers the backend server of
+     * @param backends number of backend servers that the router knows, all of one service
+     * @param maxChatLocations maximum number of chats whose location the router remembers
      */
-    RouterDriver(int backends, int chatSeats) {
-        mRouter = new RouterReducer(new RouterConfig("r", 1, 1, Duration.ofDays(1), chatSeats));
-        exchange(true, Samples.backends(backends));
+    RouterDriver(int backends, int maxChatLocations) {
+        mRouter =
+                new RouterReducer(
+                        new RouterConfig("r", 1, 1, Duration.ofDays(1), maxChatLocations));
+        exchange(true, SampleData.backends(backends));
     }
 
-    private static RequestPolicy patient(RequestPolicy p) {
+    private static RequestPolicy withLongSilenceTimeout(RequestPolicy p) {
         return new RequestPolicy(
                 p.boundFactor(),
                 p.maxAttempts(),
@@ -55,73 +57,74 @@
     }
 
     private void step(RouterEvent event) {
-        mRouter.step(mNow, event, this::take);
+        mRouter.step(mNow, event, this::onEffect);
     }
 
-    private void take(RouterEffect effect) {
+    private void onEffect(RouterEffect effect) {
         if (effect instanceof RouterEffect.BeginAttempt b) {
-            mBegun = b;
+            mLastAttempt = b;
         }
     }
 
-    /** Lets a request arrive; returns its first attempt. */
-    RouterEffect.BeginAttempt arrive(long chat) {
+    /** Delivers a caller's request and returns its first attempt. */
+    RouterEffect.BeginAttempt receiveRequest(long chat) {
         mNow = mNow.plusMillis(1);
-        mCaller++;
-        mBegun = null;
+        mLastCaller++;
+        mLastAttempt = null;
         CallerRequest request =
                 new CallerRequest(
-                        Samples.account((int) (mCaller % ACCOUNTS)),
-                        Samples.service(0),
-                        Samples.chat(chat),
+                        SampleData.account((int) (mLastCaller % ACCOUNTS)),
+                        SampleData.service(0),
+                        SampleData.chat(chat),
                         false,
-                        Samples.call(),
+                        SampleData.call(),
                         true,
                         "",
                         Duration.ofDays(10),
                         5,
-                        Samples.COST,
+                        SampleData.COST,
                         POLICY,
                         OutlierConfig.DEFAULT);
-        step(new RouterEvent.RequestArrived(mCaller, request));
-        if (mBegun == null) {
-            throw new IllegalStateException("not sent, so nothing would be measured: " + mCaller);
+        step(new RouterEvent.RequestArrived(mLastCaller, request));
+        if (mLastAttempt == null) {
+            throw new IllegalStateException(
+                    "request not sent, cost cannot be measured: " + mLastCaller);
         }
-        return mBegun;
+        return mLastAttempt;
     }
 
-    /** Lets a frame of an attempt arrive. */
-    void frame(RouterEffect.BeginAttempt attempt, Frame frame) {
-        AttemptFrame f = new AttemptFrame(attempt.request().id(), Samples.LOAD, frame);
+    /** Delivers a frame of an attempt. */
+    void receiveFrame(RouterEffect.BeginAttempt attempt, Frame frame) {
+        AttemptFrame f = new AttemptFrame(attempt.request().id(), SampleData.LOAD_HINT, frame);
         step(new RouterEvent.FrameArrived(attempt.stream(), f));
     }
 
-    /** Lets a request arrive and be answered, but for the output. */
-    void request(long chat) {
-        RouterEffect.BeginAttempt attempt = arrive(chat);
-        frame(attempt, new Frame.Head(200, List.of()));
-        frame(attempt, new Frame.End(0, Frame.Usage.NONE));
+    /** Delivers a request, the head of its answer and its end, without output. */
+    void runRequest(long chat) {
+        RouterEffect.BeginAttempt attempt = receiveRequest(chat);
+        receiveFrame(attempt, new Frame.Head(200, List.of()));
+        receiveFrame(attempt, new Frame.End(0, Frame.Usage.NONE));
     }
 
-    /** Lets a caller take output. */
-    void taken(long caller, long offset) {
+    /** Reports that a caller has consumed output up to an offset. */
+    void consumeOutput(long caller, long offset) {
         step(new RouterEvent.OutputConsumed(caller, offset));
     }
 
-    /** Lets time pass. */
+    /** Advances the time and delivers a tick. */
     void tick(Duration time) {
         mNow = mNow.plus(time);
         step(new RouterEvent.Tick());
     }
 
-    /** Lets an exchange be answered. */
+    /** Answers an exchange with control. */
     void exchange(boolean full, List<Backend> backends) {
         step(
                 new RouterEvent.ExchangeAnswered(
-                        Samples.delta(mVersion++, full, backends),
+                        SampleData.delta(mVersion++, full, backends),
                         CrashDelta.NONE,
                         LoadDigest.NONE,
-                        Samples.loads(),
+                        SampleData.loads(),
                         1));
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/RouterSteps.java
@@ -5,15 +5,15 @@
 import org.laurelweir.attempt.Frame;
 import org.laurelweir.routing.RouterEffect;
 
-/** The router's steps and state. */
+/** Measures the router's steps and the heap size of its state. */
 final class RouterSteps {
     private static final int[] BACKENDS = {100, 1_000, 4_000};
     private static final int[] CHATS = {10_000, 100_000, 1_000_000};
     private static final int[] REQUESTS = {100, 600, 2_400};
-    private static final int SEATS = 10_000;
+    private static final int CHAT_LOCATIONS = 10_000;
 
-    /** The reducer looks at its timers this often. */
-    private static final Duration SCAN = Duration.ofMillis(10);
+    /** The interval at which the reducer checks its timers. */
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
 
     private static final byte[] TOKEN_BYTES = new byte[180];
 
@@ -32,72 +32,73 @@
     static void reportHeap(Report out) {
         out.heading("router: heap of the state");
         out.heap("backend server", "backends", BACKENDS, n -> () -> new RouterDriver(n, 2));
-        out.heap("seat of a chat", "chats", CHATS, n -> () -> seated(10, n));
-        out.heap("request in flight", "requests", REQUESTS, n -> () -> running(10, n));
+        out.heap("seat of a chat", "chats", CHATS, n -> () -> withChatLocations(10, n));
+        out.heap("request in flight", "requests", REQUESTS, n -> () -> withRunningRequests(10, n));
     }
 
-    private static RouterDriver seated(int backends, int chats) {
+    private static RouterDriver withChatLocations(int backends, int chats) {
         RouterDriver router = new RouterDriver(backends, 2 * chats + 2);
         for (int i = 0; i < chats; i++) {
-            router.request(i);
+            router.runRequest(i);
         }
         return router;
     }
 
-    private static RouterDriver running(int backends, int requests) {
-        RouterDriver router = new RouterDriver(backends, SEATS);
+    private static RouterDriver withRunningRequests(int backends, int requests) {
+        RouterDriver router = new RouterDriver(backends, CHAT_LOCATIONS);
         for (int i = 0; i < requests; i++) {
-            router.frame(router.arrive(i), new Frame.Head(200, List.of()));
+            router.receiveFrame(router.receiveRequest(i), new Frame.Head(200, List.of()));
         }
         return router;
     }
 
     private static Runnable request(int backends) {
-        RouterDriver router = new RouterDriver(backends, 2 * SEATS);
+        RouterDriver router = new RouterDriver(backends, 2 * CHAT_LOCATIONS);
         long[] chat = {0};
-        return () -> router.request(chat[0]++ % SEATS);
+        return () -> router.runRequest(chat[0]++ % CHAT_LOCATIONS);
     }
 
     private static Runnable requestOfChats(int chats) {
-        RouterDriver router = seated(1_000, chats);
+        RouterDriver router = withChatLocations(1_000, chats);
         long[] chat = {0};
-        return () -> router.request(chat[0]++ % chats);
+        return () -> router.runRequest(chat[0]++ % chats);
     }
 
     private static Runnable output(int requests) {
-        RouterDriver router = running(1_000, requests);
-        RouterEffect.BeginAttempt attempt = router.arrive(0);
+        RouterDriver router = withRunningRequests(1_000, requests);
+        RouterEffect.BeginAttempt attempt = router.receiveRequest(0);
         long caller = attempt.request().id().request();
-        router.frame(attempt, new Frame.Head(200, List.of()));
+        router.receiveFrame(attempt, new Frame.Head(200, List.of()));
         long[] offset = {0};
         return () -> {
-            router.frame(attempt, new Frame.Data(offset[0], TOKEN_BYTES));
+            router.receiveFrame(attempt, new Frame.Data(offset[0], TOKEN_BYTES));
             offset[0] += TOKEN_BYTES.length;
-            router.taken(caller, offset[0]);
+            router.consumeOutput(caller, offset[0]);
         };
     }
 
     private static Runnable timers(int requests) {
-        RouterDriver router = running(1_000, requests);
-        return () -> router.tick(SCAN);
+        RouterDriver router = withRunningRequests(1_000, requests);
+        return () -> router.tick(TICK_INTERVAL);
     }
 
     private static Runnable exchange(int backends) {
-        RouterDriver router = new RouterDriver(backends, SEATS);
-        // Answers from all of them, so that there is a load hint for each.
+        RouterDriver router = new RouterDriver(backends, CHAT_LOCATIONS);
+        // Enough requests that every backend server answers and leaves a load hint.
         for (int i = 0; i < 10 * backends; i++) {
-            router.request(i);
+            router.runRequest(i);
         }
         return () -> router.exchange(false, List.of());
     }
 
     private static Runnable change(int backends) {
-        RouterDriver router = new RouterDriver(backends, SEATS);
-        int[] session = {1};
+        RouterDriver router = new RouterDriver(backends, CHAT_LOCATIONS);
+        int[] restarts = {1};
         return () -> {
-            int number = session[0]++ % backends;
+            int backend = restarts[0]++ % backends;
             router.exchange(
-                    false, List.of(Samples.restarted(number, Samples.service(0), session[0])));
+                    false,
+                    List.of(SampleData.restarted(backend, SampleData.service(0), restarts[0])));
         };
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/Samples.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SampleData.java
@@ -24,18 +24,20 @@
 import org.laurelweir.settings.SettingsNode;
 import org.laurelweir.settings.SettingsState;
 
-/** Data of the shape and the lengths that a large deployment has. */
-final class Samples {
+/** Sample data with the shape and the lengths of a large deployment's data. */
+final class SampleData {
     static final int SERVICES = 37;
     static final int REGIONS = 6;
     static final int DATA_CENTRES = 16;
-    static final long RUN = 1_700_000_000_000L;
+    static final long INCARNATION = 1_700_000_000_000L;
     static final AttemptRequest.Cost COST = new AttemptRequest.Cost(100, 100);
-    static final LoadHint LOAD = new LoadHint(12_345.5, 11_000.25, false);
+    static final LoadHint LOAD_HINT = new LoadHint(12_345.5, 11_000.25, false);
 
-    private Samples() {}
+    private SampleData() {}
 
-    /** Returns the key of the n-th chat: keys are hashes, spread over all longs. */
+    /**
+     * Returns the key of the n-th chat. Like real keys, these are hashes over the range of long.
+     */
     static long chat(long number) {
         return new SplittableRandom(number).nextLong();
     }
@@ -52,10 +54,10 @@
         return "worker-" + number;
     }
 
-    /** Returns a backend server as it announces itself for the n-th time. */
+    /** Returns a backend server under the given session with control. */
     static Backend backend(int number, String service, int session) {
         return new Backend(
-                new BackendRef(backendName(number), RUN + number),
+                new BackendRef(backendName(number), INCARNATION + number),
                 service,
                 "data-centre-" + number % DATA_CENTRES,
                 "region-" + number % REGIONS,
@@ -65,11 +67,11 @@
                 session);
     }
 
-    /** Returns a backend server after its sidecar was started again for the n-th time. */
-    static Backend restarted(int number, String service, int runs) {
+    /** Returns a backend server whose sidecar has restarted the given number of times. */
+    static Backend restarted(int number, String service, int restarts) {
         Backend b = backend(number, service, 1);
         return new Backend(
-                new BackendRef(b.ref().id(), RUN + number + runs),
+                new BackendRef(b.ref().id(), INCARNATION + number + restarts),
                 service,
                 b.dataCentre(),
                 b.region(),
@@ -79,13 +81,14 @@
                 b.session());
     }
 
-    /** Returns backend servers that all belong to one service, the costliest case. */
+    /** Returns backend servers that all belong to one service, the most expensive case. */
     static List<Backend> backends(int count) {
         return IntStream.range(0, count).mapToObj(i -> backend(i, service(0), 1)).toList();
     }
 
     static MembershipDelta delta(long version, boolean full, List<Backend> backends) {
-        return new MembershipDelta(new MembershipCursor("control-1", RUN, version), full, backends);
+        return new MembershipDelta(
+                new MembershipCursor("control-1", INCARNATION, version), full, backends);
     }
 
     static List<ServiceLoad> loads() {
@@ -101,7 +104,7 @@
     static RouterReport routerReport(int number) {
         return new RouterReport(
                 "router-" + number,
-                RUN,
+                INCARNATION,
                 "data-centre-" + number % DATA_CENTRES,
                 "region-" + number % REGIONS,
                 "10.2.0." + number + ":8080",
@@ -114,7 +117,9 @@
                 "POST", "/v1/chat/completions", List.of(header), new byte[256], true);
     }
 
-    /** Returns a request that another sidecar sent on, so that it is placed where it arrives. */
+    /**
+     * Returns a request that was redirected once, so that the receiving sidecar places it itself.
+     */
     static AttemptRequest request(AttemptId id, BackendRef target, String account, long chat) {
         return AttemptRequest.builder(id, target)
                 .account(account, 1)
@@ -134,8 +139,8 @@
                 "order-2026-12-" + number,
                 service(0),
                 chat(number),
-                new AttemptId("router-17", RUN, number, 1),
-                new BackendRef(backendName(number % 3_800), RUN),
+                new AttemptId("router-17", INCARNATION, number, 1),
+                new BackendRef(backendName(number % 3_800), INCARNATION),
                 null,
                 Duration.ofHours(24));
     }
@@ -160,7 +165,7 @@
         return NodePath.ofAccount(account(number));
     }
 
-    /** Returns a control instance's state that holds client accounts alone. */
+    /** Returns a control instance's state that holds only client accounts. */
     static ControlState.Snapshot snapshot(int accounts) {
         SettingsState settings =
                 new SettingsState(1, accountNodes(accounts), 1, List.of(), List.of(), 0, "");
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarSteps.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/SidecarSteps.java
@@ -5,18 +5,21 @@
 import org.laurelweir.admission.SidecarEvent;
 import org.laurelweir.lib.AttemptId;
 
-/** The sidecar's steps and state. */
+/** Measures the sidecar's steps and the heap size of its state. */
 final class SidecarSteps {
     private static final int[] BACKENDS = {100, 1_000, 4_000};
     private static final int[] CHATS = {10_000, 100_000, 1_000_000};
-    private static final int[] DIRECTORY = {2_000, 4_000, 8_000};
+    private static final int[] DIRECTORY_ENTRIES = {2_000, 4_000, 8_000};
     private static final int[] ATTEMPTS = {25, 100, 400};
-    private static final int[] RUNNING = {500, 1_000, 4_000};
-    private static final int[] ENDED = {5_000, 10_000, 20_000};
-    private static final int USUAL_BACKENDS = 100;
+    private static final int[] RUNNING_ATTEMPTS = {500, 1_000, 4_000};
+    private static final int[] ENDED_ATTEMPTS = {5_000, 10_000, 20_000};
+    private static final int DEFAULT_BACKENDS = 100;
 
-    /** So that an ended attempt's output, kept for 30 s, goes a hundred requests later. */
-    private static final Duration BETWEEN_REQUESTS = Duration.ofMillis(300);
+    /**
+     * Time between requests. An ended attempt's output is kept for 30 s, so it is dropped 100
+     * requests later.
+     */
+    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(300);
 
     private static final byte[] TOKEN_BYTES = new byte[180];
 
@@ -30,54 +33,73 @@
         out.steps("tick (each 20 ms)", "attempts", ATTEMPTS, SidecarSteps::tick);
         out.steps("exchange without news", "backends", BACKENDS, SidecarSteps::exchange);
         out.steps("exchange with one change", "backends", BACKENDS, SidecarSteps::change);
-        out.steps("question about one chat", "chats", CHATS, SidecarSteps::question);
+        out.steps("question about one chat", "chats", CHATS, SidecarSteps::locateChat);
     }
 
     static void reportHeap(Report out) {
         out.heading("sidecar: heap of the state");
-        out.heap("backend server of its service", "backends", BACKENDS, n -> () -> sidecar(n, 0));
-        out.heap("chat that sits elsewhere", "chats", DIRECTORY, n -> () -> sidecar(10, n));
-        out.heap("attempt that runs", "attempts", RUNNING, n -> () -> running(n));
-        out.heap("attempt that ended and its chat", "attempts", ENDED, n -> () -> ended(n));
+        out.heap(
+                "backend server of its service",
+                "backends",
+                BACKENDS,
+                n -> () -> withDirectory(n, 0));
+        out.heap(
+                "chat that sits elsewhere",
+                "chats",
+                DIRECTORY_ENTRIES,
+                n -> () -> withDirectory(10, n));
+        out.heap(
+                "attempt that runs",
+                "attempts",
+                RUNNING_ATTEMPTS,
+                n -> () -> withRunningAttempts(n));
+        out.heap(
+                "attempt that ended and its chat",
+                "attempts",
+                ENDED_ATTEMPTS,
+                n -> () -> withEndedAttempts(n));
     }
 
-    private static SidecarDriver sidecar(int backends, int chats) {
+    private static SidecarDriver withDirectory(int backends, int chats) {
         SidecarDriver sidecar = new SidecarDriver(backends);
-        sidecar.takeOver(chats);
+        sidecar.receiveHandover(chats);
         return sidecar;
     }
 
-    private static SidecarDriver running(int attempts) {
-        SidecarDriver sidecar = new SidecarDriver(USUAL_BACKENDS);
+    private static SidecarDriver withRunningAttempts(int attempts) {
+        SidecarDriver sidecar = new SidecarDriver(DEFAULT_BACKENDS);
         for (int i = 0; i < attempts; i++) {
-            sidecar.begin(i);
+            sidecar.startAttempt(i);
         }
         return sidecar;
     }
 
-    /** Its attempts' output is gone; what is left is the memory of their ids and of the chats. */
-    private static SidecarDriver ended(int attempts) {
-        SidecarDriver sidecar = new SidecarDriver(USUAL_BACKENDS);
+    /**
+     * Returns a sidecar that has dropped the output of its ended attempts. It still holds the ids
+     * of the attempts and their chats.
+     */
+    private static SidecarDriver withEndedAttempts(int attempts) {
+        SidecarDriver sidecar = new SidecarDriver(DEFAULT_BACKENDS);
         for (int i = 0; i < attempts; i++) {
-            sidecar.finish(sidecar.begin(i));
+            sidecar.finishAttempt(sidecar.startAttempt(i));
         }
         sidecar.tick(Duration.ofMinutes(1));
         return sidecar;
     }
 
     private static Runnable request(int backends, int chats) {
-        SidecarDriver sidecar = sidecar(backends, chats);
+        SidecarDriver sidecar = withDirectory(backends, chats);
         long[] chat = {0};
         return () -> {
-            sidecar.tick(BETWEEN_REQUESTS);
+            sidecar.tick(REQUEST_INTERVAL);
             sidecar.exchange(false, List.of());
-            sidecar.finish(sidecar.begin(chat[0]++ % chats));
+            sidecar.finishAttempt(sidecar.startAttempt(chat[0]++ % chats));
         };
     }
 
     private static Runnable output(int attempts) {
-        SidecarDriver sidecar = running(attempts);
-        AttemptId id = sidecar.begin(0);
+        SidecarDriver sidecar = withRunningAttempts(attempts);
+        AttemptId id = sidecar.startAttempt(0);
         long[] end = {0};
         return () -> {
             end[0] += TOKEN_BYTES.length;
@@ -86,32 +108,33 @@
     }
 
     private static Runnable tick(int attempts) {
-        SidecarDriver sidecar = running(attempts);
+        SidecarDriver sidecar = withRunningAttempts(attempts);
         return () -> sidecar.tick(Duration.ofNanos(1));
     }
 
     private static Runnable exchange(int backends) {
-        SidecarDriver sidecar = sidecar(backends, 1_000);
+        SidecarDriver sidecar = withDirectory(backends, 1_000);
         return () -> sidecar.exchange(false, List.of());
     }
 
     private static Runnable change(int backends) {
-        SidecarDriver sidecar = sidecar(backends, 1_000);
-        int[] session = {1};
+        SidecarDriver sidecar = withDirectory(backends, 1_000);
+        int[] restarts = {1};
         return () -> {
-            int number = 1 + session[0]++ % (backends - 1);
-            // The incarnation makes it another candidate.
+            int backend = 1 + restarts[0]++ % (backends - 1);
+            // The new incarnation makes the server a new candidate.
             sidecar.exchange(
-                    false, List.of(Samples.restarted(number, Samples.service(0), session[0])));
+                    false,
+                    List.of(SampleData.restarted(backend, SampleData.service(0), restarts[0])));
         };
     }
 
-    private static Runnable question(int chats) {
-        SidecarDriver sidecar = sidecar(USUAL_BACKENDS, chats);
+    private static Runnable locateChat(int chats) {
+        SidecarDriver sidecar = withDirectory(DEFAULT_BACKENDS, chats);
         long[] chat = {0};
         return () ->
                 sidecar.step(
                         new SidecarEvent.LocateChatsRequested(
-                                1, List.of(Samples.chat(chat[0]++ % chats))));
+                                1, List.of(SampleData.chat(chat[0]++ % chats))));
     }
 }
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/steps/package-info.java
@@ -1,8 +1,8 @@
 /**
- * What the reducers cost: processor time and allocated bytes of each step, heap of the state, and
- * encoded sizes of the messages, each at several sizes.
+ * Measures the cost of the reducers at several sizes of their state: CPU time and allocated bytes
+ * of each step, heap size of the state, and encoded sizes of messages.
  *
- * <p>The figures are processor time and allocation of one thread, not time on the clock, so that
- * other processes on the machine change them little.
+ * <p>CPU time and allocation are those of one thread. Unlike wall-clock time, they depend little on
+ * other processes of the machine.
  */
 package org.laurelweir.benchmarks.steps;
--- a/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/whole/package-info.java
+++ b/org.laurelweir.benchmarks/src/main/java/org/laurelweir/benchmarks/whole/package-info.java
@@ -1,2 +1,2 @@
-/** What bin/measure-path needs beside the programs that it measures. */
+/** Helper programs of bin/measure-path, beside the programs that it measures. */
 package org.laurelweir.benchmarks.whole;
